--- a/waxwingford/ownership/__init__.py
+++ b/waxwingford/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Which daemon commands which backend server, and for how long."""
+"""Control leases of daemons on backend servers, and their distribution."""
 
 from waxwingford.ownership._lease import ControlLease, LeaseState
 from waxwingford.ownership._preference import OwnershipTimes, Preference
--- a/waxwingford/ownership/_lease.py
+++ b/waxwingford/ownership/_lease.py
@@ -1,8 +1,7 @@
-"""The holder's side of a control lease.
+"""Control lease as seen by its holder.
 
-The holder counts its lease from before it sent the request and takes a margin
-off for the rate of its clock, so that it stops before the server lets anybody
-else in.  No clock is compared with another one.
+The lease term starts before the request is sent and is shortened by a margin
+for clock drift, so that it ends at the holder before it ends at the server.
 """
 
 import enum
@@ -13,7 +12,7 @@
 
 
 class LeaseState(enum.StrEnum):
-    """Life cycle of a control lease at one daemon."""
+    """Life cycle of a control lease at its holder."""
 
     unheld = 'unheld'
     acquiring = 'acquiring'
@@ -31,7 +30,7 @@
     ('lose', ['held', 'handing_over'], 'lost'),
 )
 
-#: One machine serves all leases: only its models have state.
+#: Shared by all leases; the state is kept in its models.
 _machine = Machine(
     model=None,
     states=[state.value for state in LeaseState],
@@ -42,27 +41,26 @@
 
 
 class ControlLease:
-    """Lease of one backend server.
-
-    :ivar state: name of a :class:`LeaseState`, kept by ``transitions``.
-    :ivar epoch: epoch granted last, 0 before the first.
-    :ivar boot_id: boot of the server that granted it.
-    :ivar until_ms: monotonic time at which this daemon stops to rely on it.
-    :ivar needs_new_epoch: an exchange with starts got no answer and may still
-        arrive: it would start an attempt that was meanwhile given up.  One
-        would notice a task that runs twice.  Under a new epoch the server
-        refuses what was sent under the old one.
+    """Control lease of one backend server.
+
+    :ivar state: name of a :class:`LeaseState`, maintained by ``transitions``.
+    :ivar epoch: last granted epoch, 0 before the first grant.
+    :ivar boot_id: boot ID of the server that granted the lease.
+    :ivar until_ms: monotonic time at which the lease expires at this daemon.
+    :ivar needs_new_epoch: whether an unanswered request with start commands may
+        still reach the server.  Under a new epoch the server refuses it;
+        otherwise it could run a task twice.
     """
 
     state: str
 
-    # Answers carry a stamp of the server's clock; requests give it back with
-    # the time for which they are good, so no two clocks are compared.
+    # Requests return the last clock stamp of the server together with their
+    # validity, so that no two clocks are compared.
 
     def __init__(self, margin_ms: int) -> None:
-        """Start without the lease.
+        """Start in the state ``unheld``.
 
-        :param margin_ms: taken off for the rate of clocks, in milliseconds.
+        :param margin_ms: margin for clock drift, in milliseconds.
         """
         self.epoch = 0
         self.boot_id = ''
@@ -74,32 +72,33 @@
         _machine.add_model(self)
 
     def is_valid(self, now_ms: int) -> bool:
-        """Tell whether this daemon may still rely on the lease.
+        """Check whether the lease is held and has not expired.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: true while it is held and not run out.
+        :returns: true while this daemon may rely on the lease.
         """
         return self.state == LeaseState.held and now_ms < self.until_ms
 
     def may_command(self, now_ms: int) -> bool:
-        """Tell whether commands may be sent under the present epoch.
+        """Check whether commands may be sent under the current epoch.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: true while it is held and needs no new epoch.
+        :returns: true while the lease is valid and needs no new epoch.
         """
         return self.is_valid(now_ms) and not self.needs_new_epoch
 
     def note_asked(self) -> None:
-        """Note that a new epoch is asked for."""
+        """Record that a new epoch was requested."""
         if self.state in {LeaseState.unheld, LeaseState.lost}:
             self.trigger('ask')
 
     def good_for(self, until_ms: int) -> tuple[int, int]:
-        """Bound a request by the server's own clock.
+        """Express the validity of a request in the clock of the server.
 
-        :param until_ms: monotonic time after which it must not take effect.
-        :returns: stamp and milliseconds for ``ControlRequest``; zeros if the
-            server gives no stamps.
+        :param until_ms: monotonic time after which the request must not take
+            effect.
+        :returns: ``stamp_ms`` and ``good_for_ms`` of ``ControlRequest``; zeros
+            if the server sends no clock stamps.
         """
         if not self._stamp_ms:
             return 0, 0
@@ -112,13 +111,15 @@
         lease_ms: int,
         answer: ControlGranted,
     ) -> bool:
-        """Take the server's grant.
-
-        :param sent_ms: monotonic time before the request was sent.
-        :param now_ms: monotonic time after the answer was read.
-        :param lease_ms: length that the request asked for.
-        :param answer: the grant.
-        :returns: whether the epoch or the boot is another one than before.
+        """Apply a grant of the server.
+
+        :param sent_ms: monotonic time before the request was sent, in
+            milliseconds.
+        :param now_ms: monotonic time after the answer was read, in
+            milliseconds.
+        :param lease_ms: requested lease term, in milliseconds.
+        :param answer: answer of the server.
+        :returns: true if the epoch or the boot ID changed.
         """
         changed = (answer.epoch, answer.boot_id) != (self.epoch, self.boot_id)
         self.epoch = answer.epoch
@@ -135,7 +136,7 @@
         return changed
 
     def note_denied(self) -> None:
-        """Note that somebody else holds the lease, or the epoch is stale."""
+        """Record that another daemon holds the lease or the epoch is stale."""
         if self.state == LeaseState.acquiring:
             self.trigger('deny')
         elif self.state in {LeaseState.held, LeaseState.handing_over}:
@@ -143,10 +144,10 @@
         self.needs_new_epoch = False
 
     def note_time(self, now_ms: int) -> bool:
-        """Let a lease run out.
+        """Mark the lease as lost if it has expired.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: whether it ran out just now.
+        :returns: true if the state changed.
         """
         if now_ms < self.until_ms:
             return False
@@ -156,5 +157,5 @@
         return True
 
     def note_handing_over(self) -> None:
-        """Note that the lease is being given up; no command follows."""
+        """Record that the lease is being handed over; no more commands follow."""
         self.trigger('hand_over')
--- a/waxwingford/ownership/_preference.py
+++ b/waxwingford/ownership/_preference.py
@@ -1,4 +1,4 @@
-"""When a daemon tries for a server's control lease, and when it gives it up."""
+"""Schedule for acquiring and handing over the control lease of a server."""
 
 from typing import NamedTuple
 
@@ -9,103 +9,99 @@
 
 
 class OwnershipTimes(NamedTuple):
-    """Delays of ownership, all in milliseconds.
-
-    :ivar retry_ms: the first choice tries again after so long.
-    :ivar hand_over_ms: a holder that is no longer the first choice keeps the
-        lease so long, lest views that flap move it to and fro.
-    :ivar fallback_ms: each lower rank waits so long more before it tries.
-    :ivar fallback_hold_ms: one that got the lease as a fallback keeps it so
-        long, since the first choice may not reach the server at all.
-    :ivar free_step_ms: each lower rank waits so long more for a lease that its
-        holder said it gave up; the first choice may be that holder.
-    :ivar retry_spread: share of the delay over which repeated tries are spread,
-        half of it earlier and half later; up to 0.6 a lower rank still tries
-        later than a higher one.
+    """Delays for acquiring and handing over leases, in milliseconds.
+
+    :ivar retry_ms: delay between tries of the first choice.
+    :ivar handover_delay_ms: time for which a holder that is no longer the first
+        choice keeps the lease, so that unstable membership does not move it.
+    :ivar fallback_step_ms: additional delay of each lower rank.
+    :ivar fallback_hold_ms: time for which a fallback keeps the lease, since the
+        first choice may be unable to reach the server.
+    :ivar release_step_ms: additional delay of each lower rank after the holder
+        announced the release of the lease.
+    :ivar retry_spread: jitter of retries as a share of the delay, centered on
+        it; up to 0.6 a lower rank tries after every higher one.
     """
 
     retry_ms: int = 2000
-    hand_over_ms: int = 10_000
-    fallback_ms: int = 12_000
+    handover_delay_ms: int = 10_000
+    fallback_step_ms: int = 12_000
     fallback_hold_ms: int = 300_000
-    free_step_ms: int = 300
+    release_step_ms: int = 300
     retry_spread: float = 0.5
 
 
 class Preference:
-    """This daemon's wish for one server, by its rank.
+    """Schedule of this daemon for the lease of one server, by rank.
 
-    :ivar rank: 0 for the first choice.
+    :ivar rank: rank of this daemon, 0 for the first choice.
     """
 
     def __init__(self, times: OwnershipTimes, rank: int, now_ms: int) -> None:
-        """Start with a rank.
+        """Schedule the first try.
 
-        :param times: delays.
-        :param rank: rank among the daemons that seem alive.
-        :param now_ms: monotonic time.
+        :param times: delays, in milliseconds.
+        :param rank: rank among the daemons that are believed to be alive.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.rank = rank
         self._times = times
         self._rank_since_ms = now_ms
-        self._next_try_ms = now_ms + rank * times.fallback_ms
-        self._asked_as_fallback = False
+        self._next_try_ms = now_ms + rank * times.fallback_step_ms
+        self._requested_as_fallback = False
         self._granted_as_fallback = False
 
     def update(self, rank: int, now_ms: int) -> None:
-        """Take a new rank.
+        """Update the rank and reschedule the next try if it changed.
 
-        :param rank: rank among the daemons that seem alive.
-        :param now_ms: monotonic time.
+        :param rank: rank among the daemons that are believed to be alive.
+        :param now_ms: monotonic time, in milliseconds.
         """
         if rank == self.rank:
             return
         if not (rank and self.rank):
             self._rank_since_ms = now_ms
         self.rank = rank
-        self._next_try_ms = now_ms + rank * self._times.fallback_ms
+        self._next_try_ms = now_ms + rank * self._times.fallback_step_ms
         self._granted_as_fallback = self._granted_as_fallback and rank > 0
 
     def next_try_ms(self) -> int:
-        """Tell when to try for the lease.
+        """Return the time of the next try.
 
         :returns: monotonic time, in milliseconds.
         """
         return self._next_try_ms
 
     def note_free(self, now_ms: int) -> None:
-        """Note that the holder gave the lease up just now.
+        """Reschedule the next try after the holder released the lease.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
-        soon_ms = now_ms + self.rank * self._times.free_step_ms
-        self._next_try_ms = min(self._next_try_ms, soon_ms)
+        release_try_ms = now_ms + self.rank * self._times.release_step_ms
+        self._next_try_ms = min(self._next_try_ms, release_try_ms)
 
     def note_tried(self, now_ms: int) -> None:
-        """Note a try that did not give the lease, or a lease given up.
+        """Schedule the next try after a denial, a timeout or a handover.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         delay_ms = (
-            self.rank * self._times.fallback_ms
+            self.rank * self._times.fallback_step_ms
             if self.rank
             else self._times.retry_ms
         )
-        self._next_try_ms = now_ms + self._spread_ms(delay_ms, now_ms)
+        self._next_try_ms = now_ms + self._jittered_ms(delay_ms, now_ms)
 
-    def _spread_ms(self, delay_ms: int, now_ms: int) -> int:
-        """Take a random part off a delay, or add it.
+    def _jittered_ms(self, delay_ms: int, now_ms: int) -> int:
+        """Add jitter to a delay.
 
-        A daemon that starts asks for all its servers in one moment; with a
-        fixed delay it would ask those that deny it in step for ever, as would
-        all daemons of a lower rank: one would notice a spike of exchanges in
-        every such delay.  The time of each denial differs by the way it took;
-        its hash stands for a random number, so that the decision stays a
-        function of what came in.
+        Without jitter, the requests that a daemon sends at startup would be
+        repeated in synchronized bursts.  A hash of the time replaces a random
+        number, so that decisions are a deterministic function of the inputs.
 
-        :param delay_ms: mean delay.
-        :param now_ms: monotonic time of the denial.
-        :returns: milliseconds from then.
+        :param delay_ms: mean delay, in milliseconds.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: delay with jitter, in milliseconds.
         """
         stamp = now_ms.to_bytes(_STAMP_BYTES, 'big', signed=True)
         fraction = xxhash.xxh32_intdigest(stamp) / (1 << _HASH_BITS)
@@ -113,33 +109,34 @@
         return round(delay_ms * (1 + share))
 
     def note_asked(self) -> None:
-        """Note that the lease is asked for.
+        """Record that the lease was requested with the current rank.
 
-        The rank may change before the answer comes, as it does when a whole
-        failure domain starts: a first choice that was taken for a fallback by
-        its rank at the answer kept ten of eleven servers for five minutes.
+        The rank may change before the answer arrives.  A daemon that requested
+        the lease as the first choice must not hold it as long as a fallback.
         """
-        self._asked_as_fallback = self.rank > 0
+        self._requested_as_fallback = self.rank > 0
 
     def note_granted(self, now_ms: int) -> None:
-        """Note that the lease was acquired.
+        """Record that the lease was acquired.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
-        self._granted_as_fallback = self._asked_as_fallback and self.rank > 0
+        self._granted_as_fallback = (
+            self._requested_as_fallback and self.rank > 0
+        )
         self._rank_since_ms = now_ms
 
     def should_hand_over(self, now_ms: int) -> bool:
-        """Tell whether the holder should give the lease up.
+        """Check whether the holder should hand the lease over.
 
-        :param now_ms: monotonic time.
-        :returns: whether it is long enough not the first choice.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: true if it has not been the first choice for long enough.
         """
         if self.rank == 0:
             return False
-        keep_ms = (
+        hold_ms = (
             self._times.fallback_hold_ms
             if self._granted_as_fallback
-            else self._times.hand_over_ms
+            else self._times.handover_delay_ms
         )
-        return now_ms - self._rank_since_ms >= keep_ms
+        return now_ms - self._rank_since_ms >= hold_ms
--- a/waxwingford/ownership/_ranking.py
+++ b/waxwingford/ownership/_ranking.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every daemon ranks the same way without talking."""
+"""Rendezvous hashing: daemons compute equal rankings without coordination."""
 
 import collections
 from collections.abc import Iterable
@@ -11,11 +11,11 @@
 
 
 def ranked(daemon_ids: Iterable[str], subject: str) -> list[str]:
-    """Order daemons by preference for a subject.
+    """Rank the daemons for a subject.
 
-    :param daemon_ids: daemons that seem alive.
-    :param subject: a server, task or anything else with a name.
-    :returns: the daemons, first choice first.
+    :param daemon_ids: daemons that are believed to be alive.
+    :param subject: name of a server, task or other object.
+    :returns: daemon IDs, first choice first.
     """
     return sorted(
         daemon_ids,
@@ -25,16 +25,16 @@
 
 
 def rank_of(daemon_id: str, daemon_ids: Iterable[str], subject: str) -> int:
-    """Tell a daemon's place in the order.
+    """Compute the rank of a daemon for a subject.
 
-    :param daemon_id: whose place; it counts also if it is not listed.
-    :param daemon_ids: daemons that seem alive.
-    :param subject: what they are ranked for.
-    :returns: 0 for the first choice.
+    :param daemon_id: daemon to rank; it need not be in ``daemon_ids``.
+    :param daemon_ids: daemons that are believed to be alive.
+    :param subject: name of a server, task or other object.
+    :returns: rank, 0 for the first choice.
     """
-    own = (_weight(daemon_id, subject), daemon_id)
+    own_weight = (_weight(daemon_id, subject), daemon_id)
     return sum(
-        (_weight(other, subject), other) > own
+        (_weight(other, subject), other) > own_weight
         for other in daemon_ids
         if other != daemon_id
     )
@@ -43,28 +43,31 @@
 def shared_out(
     daemon_ids: Iterable[str], subjects: Iterable[str]
 ) -> dict[str, list[str]]:
-    """Rank daemons for many subjects, so that each is first for a fair share.
+    """Rank daemons for many subjects with balanced first choices.
 
-    Plain rendezvous hashing gave one of two daemons five of six servers.
-    Here a daemon that is first for its share already is passed over, in an
-    order of subjects that depends on their names only: the same hints give the
-    same answer everywhere, and different hints do no harm.
+    Plain rendezvous hashing distributes few subjects unevenly.  Here a daemon
+    that is already the first choice for its share of the subjects is skipped.
+    The result depends only on the sets of names, not on their order.
 
-    :param daemon_ids: daemons that seem alive.
-    :param subjects: all servers.
-    :returns: by subject the daemons, first choice first.
+    :param daemon_ids: daemons that are believed to be alive.
+    :param subjects: names of all subjects, for example of servers.
+    :returns: daemon IDs by subject, first choice first.
     """
     names = sorted(daemon_ids)
-    in_order = sorted(subjects, key=lambda subject: _weight('', subject))
+    ordered_subjects = sorted(
+        subjects, key=lambda subject: _weight('', subject)
+    )
     if not names:
-        return {subject: [] for subject in in_order}
-    share = -(-len(in_order) // len(names))
-    first_of = collections.Counter[str]()
+        return {subject: [] for subject in ordered_subjects}
+    share = -(-len(ordered_subjects) // len(names))
+    first_choice_counts = collections.Counter[str]()
     ranks_by_subject = {}
-    for subject in in_order:
+    for subject in ordered_subjects:
         order = ranked(names, subject)
-        first = next(name for name in order if first_of[name] < share)
-        first_of[first] += 1
+        first = next(
+            name for name in order if first_choice_counts[name] < share
+        )
+        first_choice_counts[first] += 1
         order.remove(first)
         ranks_by_subject[subject] = [first, *order]
     return ranks_by_subject
--- a/waxwingford/ownership/tests/lease_steps.py
+++ b/waxwingford/ownership/tests/lease_steps.py
@@ -1,4 +1,4 @@
-"""Steps for control leases, ranks and preferences."""
+"""Steps for control leases, rankings and acquisition schedules."""
 
 import collections
 
@@ -20,10 +20,10 @@
 
 
 @when(
-    'it is asked for and granted with epoch {epoch:d}, sent at {sent_ms:d}, '
+    'it is requested and granted with epoch {epoch:d}, sent at {sent_ms:d}, '
     'read at {now_ms:d}'
 )
-def asked_and_granted(context, epoch, sent_ms, now_ms):
+def requested_and_granted(context, epoch, sent_ms, now_ms):
     context.lease.note_asked()
     granted(context, epoch, sent_ms, now_ms)
 
@@ -37,13 +37,13 @@
     context.lease.note_granted(sent_ms, now_ms, context.lease_ms, answer)
 
 
-@when('the holder looks again at {now_ms:d}')
-def looks_again(context, now_ms):
+@when('the holder checks for expiry at {now_ms:d}')
+def checks_expiry(context, now_ms):
     assert context.lease.note_time(now_ms)
 
 
-@when('a start of it stays without an answer')
-def start_unknown(context):
+@when('the outcome of a start command is unknown')
+def start_outcome_unknown(context):
     context.lease.needs_new_epoch = True
 
 
@@ -67,12 +67,12 @@
     assert not context.lease.is_valid(now_ms)
 
 
-@then('it may command at {now_ms:d}')
+@then('it may send commands at {now_ms:d}')
 def may_command(context, now_ms):
     assert context.lease.may_command(now_ms)
 
 
-@then('it may not command at {now_ms:d}')
+@then('it may not send commands at {now_ms:d}')
 def may_not_command(context, now_ms):
     assert not context.lease.may_command(now_ms)
 
@@ -82,9 +82,11 @@
     assert context.lease.state == state, context.lease.state
 
 
-@then('a request until {until:d} is good for {good:d} ms after stamp {stamp:d}')
-def good_for(context, until, good, stamp):
-    assert context.lease.good_for(until) == (stamp, good)
+@then(
+    'a request until {until:d} is valid for {validity_ms:d} ms after stamp {stamp:d}'
+)
+def request_is_valid_for(context, until, validity_ms, stamp):
+    assert context.lease.good_for(until) == (stamp, validity_ms)
 
 
 @when('{servers:d} servers are ranked for {daemons:d} daemons')
@@ -94,15 +96,15 @@
     context.orders = shared_out(context.daemons, context.servers)
 
 
-@then('each daemon is first for {share:d} servers')
+@then('each daemon is the first choice for {share:d} servers')
 def fair_share(context, share):
     firsts = collections.Counter(order[0] for order in context.orders.values())
     assert set(firsts.values()) == {share}, firsts
     assert len(firsts) == len(context.daemons)
 
 
-@then('the order of the hints does not matter')
-def order_of_hints(context):
+@then('the ranking does not depend on the order of its inputs')
+def ranking_ignores_input_order(context):
     again = shared_out(reversed(context.daemons), reversed(context.servers))
     assert again == context.orders
 
@@ -113,14 +115,14 @@
     context.now_ms = 1000
 
 
-@when('it is second for {span_ms:d} ms and then first again')
+@when('it is second choice for {span_ms:d} ms and then first choice again')
 def second_then_first(context, span_ms):
     second_for(context, span_ms)
     context.keeps = not context.preference.should_hand_over(context.now_ms)
     context.preference.update(0, context.now_ms)
 
 
-@when('it is second for {span_ms:d} ms')
+@when('it is second choice for {span_ms:d} ms')
 def second_for(context, span_ms):
     context.preference.update(1, context.now_ms)
     context.now_ms += span_ms
@@ -158,13 +160,13 @@
     assert not context.preference.should_hand_over(now_ms)
 
 
-@when('it hears at {now_ms:d} that the lease is free')
-def hears_free(context, now_ms):
+@when('it learns at {now_ms:d} that the lease was released')
+def learns_of_release(context, now_ms):
     context.preference.note_free(now_ms)
 
 
-@given('a daemon that asks for a lease as the first choice')
-def asks_as_first(context):
+@given('a daemon that requests a lease as the first choice')
+def requests_as_first(context):
     context.preference = Preference(OwnershipTimes(), 0, 0)
     context.preference.note_asked()
 
@@ -173,4 +175,4 @@
 def second_before_grant(context, now_ms):
     context.preference.update(1, now_ms - 1)
     context.preference.note_granted(now_ms)
-    context.now_ms = now_ms + OwnershipTimes().hand_over_ms
+    context.now_ms = now_ms + OwnershipTimes().handover_delay_ms
