--- a/waxwingford/ports/__init__.py
+++ b/waxwingford/ports/__init__.py
@@ -1,4 +1,4 @@
-"""Narrow ports to outside systems: log, list of VMs, backend servers."""
+"""Interfaces to external systems: log, VM list and backend servers."""
 
 from waxwingford.ports._directory import (
     DirectoryPort,
--- a/waxwingford/ports/_directory.py
+++ b/waxwingford/ports/_directory.py
@@ -1,4 +1,4 @@
-"""Port to the platform's lagging list of VMs: only ever a hint."""
+"""Interface to the VM list of the platform, which may be out of date."""
 
 import dataclasses
 import enum
@@ -6,18 +6,18 @@
 
 
 class VmState(enum.StrEnum):
-    """State that the list shows, with a lag."""
+    """State of a VM as published in the list."""
 
     live = 'live'
     leaving = 'leaving'
 
 
 class Resources(NamedTuple):
-    """A vector of resources.
+    """Resource vector.
 
-    :ivar processors_milli: thousandths of a core.
-    :ivar memory_mb: mebibytes.
-    :ivar accelerators: whole devices.
+    :ivar processors_milli: CPU, in millicores.
+    :ivar memory_mb: memory, in mebibytes.
+    :ivar accelerators: number of accelerator devices.
     """
 
     processors_milli: int
@@ -26,18 +26,18 @@
 
 
 class Vm(NamedTuple):
-    """One backend server VM in the list.
-
-    :ivar server_id: name of the backend server on it.
-    :ivar failure_domain: name of its failure domain.
-    :ivar rack: name of its rack.
-    :ivar host: IP number.
-    :ivar port: TCP port of its control and service interface.
-    :ivar state: live or leaving.
-    :ivar resources: size of the VM.
-    :ivar slots: service requests that it runs at once at most.
-    :ivar connections: TCP connections that it takes at most.
-    :ivar service: the latency-critical service that runs on it.
+    """Entry of the VM list: a VM that runs a backend server.
+
+    :ivar server_id: name of the backend server.
+    :ivar failure_domain: name of the failure domain.
+    :ivar rack: name of the rack.
+    :ivar host: IP address.
+    :ivar port: TCP port of the control and service interface.
+    :ivar state: live, or leaving if it is about to be removed.
+    :ivar resources: resources of the VM.
+    :ivar slots: maximum number of concurrent service requests.
+    :ivar connections: maximum number of TCP connections.
+    :ivar service: name of the latency-critical service that runs on the VM.
     """
 
     server_id: str
@@ -54,9 +54,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmList:
-    """The list as last published.
+    """VM list as last published.
 
-    :ivar vms: all VMs, in no order.
+    :ivar vms: all VMs, in no particular order.
     """
 
     vms: tuple[Vm, ...]
@@ -64,20 +64,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmListUnavailable:
-    """The list gave no answer.
+    """The VM list could not be read.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable cause.
     """
 
     reason: str
 
 
 class DirectoryPort(Protocol):
-    """Reader of the list."""
+    """Reads the VM list."""
 
     async def read(self) -> VmList | VmListUnavailable:
-        """Read the list.
+        """Read the VM list.
 
-        :returns: tagged outcome.
+        :returns: the list, or the reason why it could not be read.
         """
         ...
--- a/waxwingford/ports/_log.py
+++ b/waxwingford/ports/_log.py
@@ -1,4 +1,4 @@
-"""Port to the platform's append-only log."""
+"""Interface to the append-only log of the platform."""
 
 import dataclasses
 from typing import NamedTuple, Protocol
@@ -6,9 +6,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Appended:
-    """The entry is in the log.
+    """The entry was appended.
 
-    :ivar offset: its offset in the stream.
+    :ivar offset: offset of the entry in the stream.
     """
 
     offset: int
@@ -16,10 +16,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppendRefused:
-    """The entry is certainly not in the log (rate cap, not connected).
+    """The entry was not appended, for example because of a rate limit.
 
-    :ivar reason: for people.
-    :ivar retry_after_ms: earliest time to try again, in milliseconds.
+    :ivar reason: human-readable cause.
+    :ivar retry_after_ms: minimum delay before a retry, in milliseconds.
     """
 
     reason: str
@@ -28,18 +28,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppendUnknown:
-    """The answer was lost: the entry may or may not be in the log.
+    """The outcome is unknown: the entry may or may not have been appended.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable cause.
     """
 
     reason: str
 
 
 class LogEntry(NamedTuple):
-    """One entry of a stream.
+    """Entry of a stream.
 
-    :ivar offset: position, counts up by one.
+    :ivar offset: position in the stream; consecutive entries differ by one.
     :ivar payload: bytes as appended.
     """
 
@@ -49,11 +49,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogRead:
-    """Entries in offset order.
+    """Result of a read.
 
-    :ivar entries: from the offset asked for, maybe none.
-    :ivar next_offset: offset that the next append will get (the head).
-    :ivar oldest_offset: first offset still retained.
+    :ivar entries: entries in offset order, possibly none.
+    :ivar next_offset: offset of the next append.
+    :ivar oldest_offset: lowest retained offset.
     """
 
     entries: tuple[LogEntry, ...]
@@ -63,9 +63,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogUnavailable:
-    """The log gave no answer.
+    """The log could not be read.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable cause.
     """
 
     reason: str
@@ -76,14 +76,16 @@
 
 
 class LogPort(Protocol):
-    """What the brief promises of the log, and no more."""
+    """Appends to and reads from the streams of the log."""
 
     async def append(self, stream: str, payload: bytes) -> AppendOutcome:
-        """Append one entry; group many records into one entry.
+        """Append one entry, which may hold a group of records.
 
-        :param stream: name, for example ``domain/gulberg`` or ``config``.
-        :param payload: at most 1 MiB.
-        :returns: tagged outcome.
+        :param stream: name of the stream, for example ``domain/gulberg`` or
+            ``config``.
+        :param payload: content of the entry, at most 1 MiB.
+        :returns: whether the entry was appended, refused, or may have been
+            appended.
         """
         ...
 
@@ -94,15 +96,14 @@
         limit: int,
         wait_ms: int = 0,
     ) -> ReadOutcome:
-        """Read entries forward.
-
-        :param stream: its name; one never written to reads as empty.
-        :param from_offset: first offset wanted; a lower one than the oldest
-            retained gives entries from the oldest on (compare
-            ``oldest_offset`` to see the gap).
-        :param limit: entries at most.
-        :param wait_ms: how long the log may hold the call when there is
-            nothing new, in milliseconds.
-        :returns: tagged outcome.
+        """Read entries in offset order.
+
+        :param stream: name of the stream; an unknown stream is empty.
+        :param from_offset: offset of the first entry.  Below the oldest
+            retained offset, reading starts at the oldest retained entry;
+            ``oldest_offset`` of the result shows the gap.
+        :param limit: maximum number of entries.
+        :param wait_ms: maximum time to wait for new entries, in milliseconds.
+        :returns: entries, or the reason why the log could not be read.
         """
         ...
--- a/waxwingford/ports/_servers.py
+++ b/waxwingford/ports/_servers.py
@@ -1,8 +1,7 @@
-"""Port to backend servers: one grouped control exchange, and services.
+"""Interface to backend servers: control exchanges and service requests.
 
 A control exchange acquires or renews the control lease of a backend server,
-renews task leases and carries commands, all under one epoch.  Grouping by
-server keeps control traffic independent of the number of tasks on it.
+renews task leases and carries commands, all under one epoch.
 """
 
 import dataclasses
@@ -14,10 +13,10 @@
 
 
 class TaskKey(NamedTuple):
-    """One attempt of one task.
+    """Identifies one attempt of a task.
 
-    :ivar task_id: ``<job id>/<index>``.
-    :ivar attempt: counts from 1.
+    :ivar task_id: task ID, ``<job id>/<index>``.
+    :ivar attempt: number of the attempt, starting from 1.
     """
 
     task_id: str
@@ -25,7 +24,7 @@
 
 
 class TaskPhase(enum.StrEnum):
-    """What a backend server says of an attempt that it knows."""
+    """Phase of an attempt as reported by its backend server."""
 
     running = 'running'
     done = 'done'
@@ -37,15 +36,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskReport:
-    """State of one attempt at the server.
+    """State of one attempt at its backend server.
 
-    Ended attempts are kept by the server until a Forget command.
+    The server keeps ended attempts until it receives :class:`ForgetTask`.
 
-    :ivar key: which attempt.
-    :ivar phase: its phase.
-    :ivar detail: result, checkpoint reference or reason, by phase.
-    :ivar throttled: whether it is throttled now.
-    :ivar ran_ms: processor-independent run time so far, in milliseconds.
+    :ivar key: attempt.
+    :ivar phase: phase of the attempt.
+    :ivar detail: result, checkpoint reference or reason, depending on the
+        phase.
+    :ivar throttled: whether the attempt is throttled.
+    :ivar ran_ms: wall-clock run time so far, in milliseconds.
     """
 
     key: TaskKey
@@ -59,13 +59,13 @@
 class StartTask:
     """Start an attempt under a task lease.
 
-    :ivar key: which attempt.
+    :ivar key: attempt.
     :ivar kind: batch kind, for example ``archive_rebuild``.
-    :ivar resources: what it is given.
-    :ivar payload: opaque work description.
-    :ivar resume_from: checkpoint reference, empty for a fresh start.
-    :ivar lease_ms: task lease; renewed by each control exchange that names
-        it in ``renew``; the server stops the task when it lapses.
+    :ivar resources: resources allocated to the attempt.
+    :ivar payload: opaque description of the work.
+    :ivar resume_from: checkpoint reference, empty for a start from scratch.
+    :ivar lease_ms: term of the task lease, in milliseconds.  Control exchanges
+        renew the lease; the server stops the attempt when it expires.
     """
 
     key: TaskKey
@@ -78,17 +78,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CheckpointTask:
-    """Checkpoint and stop an attempt; the report then is ``checkpointed``."""
+    """Checkpoint and stop an attempt, which ends in phase ``checkpointed``.
+
+    :ivar key: attempt.
+    """
 
     key: TaskKey
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ThrottleTask:
-    """Throttle an attempt or lift the throttle.
+    """Throttle an attempt or lift its throttle.
 
-    :ivar key: which attempt.
-    :ivar percent: share of its processors that it may use, 1 to 100.
+    :ivar key: attempt.
+    :ivar percent: percent of its CPU that the attempt may use, 1 to 100.
     """
 
     key: TaskKey
@@ -97,14 +100,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopTask:
-    """Stop an attempt without a checkpoint."""
+    """Stop an attempt without a checkpoint.
+
+    :ivar key: attempt.
+    """
 
     key: TaskKey
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForgetTask:
-    """Drop an ended attempt whose end stands in the log."""
+    """Discard the report of an ended attempt whose end is in the log.
+
+    :ivar key: attempt.
+    """
 
     key: TaskKey
 
@@ -116,15 +125,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageSample:
-    """Usage of a server, reported with a lag.
+    """Delayed usage report of a server for one time window.
 
-    :ivar sampled_ms_ago: age when the answer was written, in milliseconds.
-    :ivar window_ms: length of the window that it covers, in milliseconds.
+    :ivar sampled_ms_ago: age of the sample when the server sent it, in
+        milliseconds.
+    :ivar window_ms: length of the window, in milliseconds.
     :ivar service: name of the service.
     :ivar service_load: mean share of busy slots in the window, 0 to 1.
-    :ivar service_p99_ms: 99th percentile of the service there; 0 if idle.
+    :ivar service_p99_ms: 99th percentile latency of the service, in
+        milliseconds; 0 if it was idle.
     :ivar running: batch attempts that ran in the window.
-    :ivar used_by_task_id: measured use by task.
+    :ivar used_by_task_id: measured resource use by task ID.
     """
 
     sampled_ms_ago: int
@@ -138,24 +149,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlRequest:
-    """One grouped exchange with a backend server.
+    """Request of a control exchange with a backend server.
 
-    :ivar holder: daemon id with incarnation, ``<daemon>#<incarnation>``.
+    :ivar holder: daemon with incarnation, ``<daemon>#<incarnation>``.
     :ivar epoch: epoch held, or 0 to acquire a new one.
-    :ivar lease_ms: control lease asked for; 0 gives it up after the commands.
+    :ivar lease_ms: requested term of the control lease, in milliseconds; 0
+        releases the lease after the commands.
     :ivar renew: attempts whose task leases are renewed.
-    :ivar task_lease_ms: what they are renewed to.
-    :ivar commands: carried out in order, each once.
-    :ivar stamp_ms: ``stamp_ms`` of the last answer of this server, given back.
-    :ivar good_for_ms: the server denies the request if its own clock is past
-        ``stamp_ms + good_for_ms``; 0 for no limit.  A request that is held up
-        on the way, or by a sender that was frozen, cannot then start or renew
-        an attempt that was meanwhile given up for lost.
+    :ivar task_lease_ms: new term of these task leases, in milliseconds.
+    :ivar commands: commands, executed in order and once each.
+    :ivar stamp_ms: ``stamp_ms`` of the last answer of this server.
+    :ivar good_for_ms: validity of the request, in milliseconds; 0 for no
+        limit.  The server denies the request when its own clock has passed
+        ``stamp_ms + good_for_ms``, so that a delayed request cannot start or
+        renew an attempt that was already given up.
     :ivar known: ``version`` of the last answer that the holder read under this
-        epoch; 0 asks for every attempt.
-    :ivar renew_except: if not None, in place of ``renew``: every running
-        attempt that the answer ``known`` or one before it named is renewed,
-        except these.
+        epoch; 0 requests a report of every attempt.
+    :ivar renew_except: if not None, replaces ``renew``: renews every running
+        attempt that was reported up to the version ``known``, except these.
     """
 
     holder: str
@@ -172,21 +183,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlGranted:
-    """The server took the request under the given epoch.
-
-    :ivar epoch: current epoch; new when it was acquired.
-    :ivar boot_id: changes when the VM was replaced or rebooted: all attempts
-        of an earlier boot are over.
-    :ivar leaving: the server itself knows that it is leaving.
-    :ivar tasks: every attempt that it knows, running or ended.
-    :ivar refused: commands that it did not carry out, with the reason.
-    :ivar usage: samples since the last exchange.
-    :ivar stamp_ms: the server's own monotonic clock when it answered; 0 if it
-        gives none.
-    :ivar version: counts changes of attempts in this boot; 0 if the server
-        does not count.
-    :ivar is_delta: ``tasks`` names only attempts that changed after the
-        request's ``known``; those forgotten since are left out as well.
+    """The server accepted the request.
+
+    :ivar epoch: current epoch, a new one if the request acquired the lease.
+    :ivar boot_id: ID that changes when the VM is replaced or rebooted, which
+        ends all attempts.
+    :ivar leaving: whether the server is about to be removed.
+    :ivar tasks: reports of all running and ended attempts on the server.
+    :ivar refused: attempts whose commands were not executed, with the reasons.
+    :ivar usage: usage samples since the last exchange.
+    :ivar stamp_ms: monotonic clock of the server at the time of the answer, in
+        milliseconds; 0 if the server sends no clock stamps.
+    :ivar version: number of changes of attempts since boot; 0 if the server
+        does not count them.
+    :ivar is_delta: whether ``tasks`` holds only attempts that changed after the
+        version ``known`` of the request, without those forgotten since.
     """
 
     epoch: int
@@ -202,11 +213,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlDenied:
-    """Another holder has the lease, or the epoch is stale; nothing was done.
+    """The server denied the request without executing any command.
+
+    Another daemon holds the lease, the epoch is stale, or the request is no
+    longer valid.
 
-    :ivar holder: who holds it now; empty if nobody does.
-    :ivar epoch: current epoch at the server.
-    :ivar remaining_ms: rest of the other holder's lease, in milliseconds.
+    :ivar holder: current holder of the lease, empty if there is none.
+    :ivar epoch: current epoch of the server.
+    :ivar remaining_ms: remaining term of the lease, in milliseconds.
     """
 
     holder: str
@@ -216,10 +230,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlUnknown:
-    """No answer: commands may or may not have been carried out.
+    """No answer was received; commands may or may not have been executed.
 
-    :ivar reason: for people.
-    :ivar not_sent: true only if certainly nothing reached the server.
+    :ivar reason: human-readable cause.
+    :ivar not_sent: true only if nothing can have reached the server.
     """
 
     reason: str
@@ -230,7 +244,7 @@
 
 
 class BackendServerPort(Protocol):
-    """Speaks to backend servers by IP number and port."""
+    """Client of backend servers."""
 
     async def control(
         self,
@@ -239,13 +253,13 @@
         request: ControlRequest,
         timeout_ms: int,
     ) -> ControlOutcome:
-        """Carry out one grouped control exchange.
+        """Perform one control exchange.
 
-        :param host: IP number.
-        :param port: TCP port.
-        :param request: the exchange.
-        :param timeout_ms: give up after this time, in milliseconds.
-        :returns: tagged outcome.
+        :param host: IP address of the server.
+        :param port: TCP port of the server.
+        :param request: control request.
+        :param timeout_ms: timeout of the exchange, in milliseconds.
+        :returns: grant, denial, or unknown outcome.
         """
         ...
 
@@ -255,11 +269,11 @@
         port: int,
         call: ServiceCall,
     ) -> ServiceOutcome:
-        """Run a service request, bounded by its deadline.
+        """Send a service request and wait until its deadline.
 
-        :param host: IP number.
-        :param port: TCP port.
-        :param call: the request.
-        :returns: tagged outcome.
+        :param host: IP address of the server.
+        :param port: TCP port of the server.
+        :param call: service request.
+        :returns: response, or whether the request may have been executed.
         """
         ...
--- a/waxwingford/ports/_services.py
+++ b/waxwingford/ports/_services.py
@@ -1,17 +1,18 @@
-"""Messages to the latency-critical services on backend servers."""
+"""Requests to the latency-critical services on backend servers."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """A caller's request as sent to a backend server.
+    """Service request as sent to a backend server.
 
-    :ivar request_id: unique; the answer must carry it back.
-    :ivar service: service name.
+    :ivar request_id: unique ID, which the response must repeat.
+    :ivar service: name of the service.
     :ivar path: path below the service.
     :ivar body: request body.
-    :ivar deadline_ms: time left, in milliseconds, passed on to the server.
+    :ivar deadline_ms: time until the deadline, in milliseconds, which is also
+        sent to the server.
     """
 
     request_id: str
@@ -23,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceAnswer:
-    """The whole answer of a backend server.
+    """Complete response of a backend server.
 
-    :ivar request_id: id that the server gave back.
-    :ivar status: HTTP status.
-    :ivar content_type: of the body.
-    :ivar body: whole body.
+    :ivar request_id: ID of the request.
+    :ivar status: HTTP status code.
+    :ivar content_type: media type of the body.
+    :ivar body: response body.
     """
 
     request_id: str
@@ -39,9 +40,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceNotRun:
-    """The request certainly did not run (never sent, or server said so).
+    """The request was not executed: it was not sent, or the server refused it.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable cause.
     """
 
     reason: str
@@ -49,9 +50,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceUnknown:
-    """The request may have run: no whole answer came.
+    """The request may have been executed, but has no complete response.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable cause.
     """
 
     reason: str
--- a/waxwingford/ports/_vectors.py
+++ b/waxwingford/ports/_vectors.py
@@ -1,35 +1,37 @@
-"""Arithmetic of resource vectors, dimension by dimension."""
+"""Element-wise arithmetic of resource vectors."""
 
 from waxwingford.ports._directory import Resources
 
 
-def add_resources(one: Resources, other: Resources) -> Resources:
+def add_resources(left: Resources, right: Resources) -> Resources:
     """Add two vectors.
 
-    :param one: a vector.
-    :param other: a vector.
-    :returns: the sum, by dimension.
+    :param left: first vector.
+    :param right: second vector.
+    :returns: element-wise sum.
     """
-    return Resources(one[0] + other[0], one[1] + other[1], one[2] + other[2])
+    return Resources(left[0] + right[0], left[1] + right[1], left[2] + right[2])
 
 
-def subtract_resources(one: Resources, other: Resources) -> Resources:
-    """Subtract a vector from another; a dimension may become negative.
+def subtract_resources(left: Resources, right: Resources) -> Resources:
+    """Subtract one vector from another; elements may become negative.
 
-    :param one: a vector.
-    :param other: what to take away.
-    :returns: the difference, by dimension.
+    :param left: minuend.
+    :param right: subtrahend.
+    :returns: element-wise difference.
     """
-    return Resources(one[0] - other[0], one[1] - other[1], one[2] - other[2])
+    return Resources(left[0] - right[0], left[1] - right[1], left[2] - right[2])
 
 
-def fits_resources(needed: Resources, room: Resources) -> bool:
-    """Compare two vectors.
+def fits_resources(needed: Resources, available: Resources) -> bool:
+    """Check whether required resources are available.
 
-    :param needed: what is asked for.
-    :param room: what there is.
-    :returns: whether no dimension asks for more than there is.
+    :param needed: required resources.
+    :param available: available resources.
+    :returns: true if no element of ``needed`` exceeds that of ``available``.
     """
     return (
-        needed[0] <= room[0] and needed[1] <= room[1] and needed[2] <= room[2]
+        needed[0] <= available[0]
+        and needed[1] <= available[1]
+        and needed[2] <= available[2]
     )
