--- a/waxwingford/colocation/tests/learned.feature
+++ b/waxwingford/colocation/tests/learned.feature
@@ -4,10 +4,10 @@
   # attributed to the tasks that run when they arrive.
   Scenario: A delayed sample is not attributed to the successor of an evicted task
     Given a learned policy with 12 samples of the isolated service at 60 ms
-    And it observed 12 samples of the service beside a "quiet" task at 61 ms
+    And it observed 12 samples of the service colocated with a "quiet" task at 61 ms
     When samples of 10 s with a "noisy" task at 180 ms arrive while a "quiet" task runs
-    Then the policy predicts more than 140 ms beside a "noisy" task
-    And the policy predicts less than 90 ms beside a "quiet" task
+    Then the policy predicts more than 140 ms colocated with a "noisy" task
+    And the policy predicts less than 90 ms colocated with a "quiet" task
 
   # Guards against repeating an eviction for each delayed sample whose window
   # began before the eviction.
@@ -31,7 +31,7 @@
   # over the server.
   Scenario: A throttle ordered by an earlier lease holder is lifted
     Given a learned policy with 12 samples of the isolated service at 60 ms
-    And it observed 30 samples of the service beside a "quiet" task at 61 ms
+    And it observed 30 samples of the service colocated with a "quiet" task at 61 ms
     When it reacts for 60 s to one adopted "quiet" task that is throttled
     Then its last reaction lifts the throttle
 
@@ -49,10 +49,10 @@
     When it reacts for 300 s to 4 "noisy" tasks that ignore evictions
     Then it has stopped a task that it had evicted before
 
-  # Guards against placing more work beside a service that is slowing down.
+  # Guards against placing more work on the server of a service that is slowing down.
   Scenario: Nothing is placed where the predicted latency exceeds the target
     Given a learned policy trained that a "noisy" task raises 60 ms to 200 ms
-    And it observed 30 samples of the service beside a "quiet" task at 61 ms
+    And it observed 30 samples of the service colocated with a "quiet" task at 61 ms
     Then it places a "quiet" task and no "noisy" task
 
   # Guards against filling servers before any sample of them has arrived.
--- a/waxwingford/colocation/tests/learned_steps.py
+++ b/waxwingford/colocation/tests/learned_steps.py
@@ -131,7 +131,7 @@
 
 
 @given(
-    'it observed {samples:d} samples of the service beside a "{kind}" task at {p99:d} ms'
+    'it observed {samples:d} samples of the service colocated with a "{kind}" task at {p99:d} ms'
 )
 def observe_colocated_samples(context, samples, kind, p99):
     _observe_windows(context, kind, 1, p99, samples)
@@ -159,13 +159,17 @@
         )
 
 
-@then('the policy predicts more than {bound:d} ms beside a "{kind}" task')
+@then(
+    'the policy predicts more than {bound:d} ms colocated with a "{kind}" task'
+)
 def predicts_more(context, bound, kind):
     found = context.policy.predicted_ms(_view(_running(context, kind, 1)))
     assert found > bound, found
 
 
-@then('the policy predicts less than {bound:d} ms beside a "{kind}" task')
+@then(
+    'the policy predicts less than {bound:d} ms colocated with a "{kind}" task'
+)
 def predicts_less(context, bound, kind):
     found = context.policy.predicted_ms(_view(_running(context, kind, 1)))
     assert found < bound, found
