--- a/waxwingford/ownership/__init__.py
+++ b/waxwingford/ownership/__init__.py
@@ -2,7 +2,7 @@
 
 from waxwingford.ownership._lease import ControlLease, LeaseState
 from waxwingford.ownership._preference import OwnershipTimes, Preference
-from waxwingford.ownership._ranking import rank_of, ranked, shared_out
+from waxwingford.ownership._ranking import rank_daemons, rank_of, shared_out
 
 __all__ = (
     'ControlLease',
@@ -10,6 +10,6 @@
     'OwnershipTimes',
     'Preference',
     'rank_of',
-    'ranked',
+    'rank_daemons',
     'shared_out',
 )
--- a/waxwingford/ownership/_ranking.py
+++ b/waxwingford/ownership/_ranking.py
@@ -10,7 +10,7 @@
     return xxhash.xxh3_64_intdigest(f'{daemon_id}\0{subject}'.encode())
 
 
-def ranked(daemon_ids: Iterable[str], subject: str) -> list[str]:
+def rank_daemons(daemon_ids: Iterable[str], subject: str) -> list[str]:
     """Rank the daemons for a subject.
 
     :param daemon_ids: daemons that are believed to be alive.
@@ -63,7 +63,7 @@
     first_choice_counts = collections.Counter[str]()
     ranks_by_subject = {}
     for subject in ordered_subjects:
-        order = ranked(names, subject)
+        order = rank_daemons(names, subject)
         first = next(
             name for name in order if first_choice_counts[name] < share
         )
