--- a/waxwingford/ownership/__init__.py
+++ b/waxwingford/ownership/__init__.py
@@ -9,7 +9,7 @@
     'LeaseState',
     'OwnershipTimes',
     'Preference',
-    'rank_of',
     'rank_daemons',
+    'rank_of',
     'shared_out',
 )
