--- a/waxwingford/colocation/_baselines.py
+++ b/waxwingford/colocation/_baselines.py
@@ -34,7 +34,7 @@
         :param seed: seed of the random number generator.
         """
         self._weights_by_service = weights_by_service
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
 
     def observe(
         self,
@@ -114,7 +114,7 @@
         servers: list[ServerView],
         capacity: FreeCapacity,
     ) -> ServerView:
-        return self._random.choice(servers)
+        return self._rng.choice(servers)
 
 
 @policies.register('least_loaded')
--- a/waxwingford/colocation/_model.py
+++ b/waxwingford/colocation/_model.py
@@ -3,7 +3,9 @@
 The logarithm of a service's 99th percentile latency is modeled as a sum of
 terms: one for the service in isolation, one for the server, and one for each
 colocated batch kind in proportion to its CPU use.  Each sample updates the
-estimates as in a Kalman filter with independent states.
+estimates as in a Kalman filter with independent states.  The effect of a new
+pair of service and batch kind starts from known pairs of the same kind, or else
+from all known pairs.
 """
 
 import bisect
