--- a/waxwingford/ownership/__init__.py
+++ b/waxwingford/ownership/__init__.py
@@ -1,15 +1,15 @@
-"""Which daemon commands which backend server, and for how long."""
+"""Control leases of daemons on backend servers, and their distribution."""
 
 from waxwingford.ownership._lease import ControlLease, LeaseState
 from waxwingford.ownership._preference import OwnershipTimes, Preference
-from waxwingford.ownership._ranking import rank_of, ranked, shared_out
+from waxwingford.ownership._ranking import rank_daemons, rank_of, shared_out
 
 __all__ = (
     'ControlLease',
     'LeaseState',
     'OwnershipTimes',
     'Preference',
+    'rank_daemons',
     'rank_of',
-    'ranked',
     'shared_out',
 )
