--- a/waxwingford/scheduling/_admission.py
+++ b/waxwingford/scheduling/_admission.py
@@ -1,9 +1,9 @@
-"""Which servers may take one more fill.
+"""Selects the servers that may start a best-effort task.
 
-A fill that starts where it harms costs more than it brings: the tasks beside it
-are over their targets until it is slowed, and then it only keeps its memory. So
-fills wait for a server that bears them at most of their speed; swings of load
-open such room on all servers again and again.
+Starting a task where it interferes pushes its neighbours over their targets
+until it is throttled, and a throttled task only holds memory. Best-effort tasks
+therefore wait for a server that can run them at most of their speed; load
+swings free such capacity regularly.
 """
 
 import itertools
@@ -11,123 +11,132 @@
 
 from waxwingford.scheduling._book import runs_of
 from waxwingford.scheduling._harm import HarmModel
-from waxwingford.scheduling._occupants import full_share
+from waxwingford.scheduling._occupants import full_pace_share
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Job, Step
 
-#: A fill waits for a server that bears it at this share of its speed.
-LEAST_SPEED = 0.8
-#: A job that has nothing running for so long, in ms, takes a server that bears a
-#: fill of it at a part of its speed; after the longer time, any server.
-HOLD_MS = 1500
-MOST_HOLD_MS = 2600
-#: Servers of a service are crowded when tasks other than fills take this share of
-#: their cpu: then a job that waits is not forced on tasks that it harms.
+#: Share of its full speed at which a server must be able to run a task.
+MIN_SPEED_SHARE = 0.8
+#: Idle time of a job after which its tasks may also start on a server that can
+#: run them at a part of that speed, in ms.
+REDUCED_SPEED_AFTER_MS = 1500
+#: Idle time of a job after which its tasks may start on any server, in ms.
+ANY_SERVER_AFTER_MS = 2600
+#: Share of a service's CPU in use by tasks that aren't best-effort from which on
+#: ``ANY_SERVER_AFTER_MS`` doesn't apply.
 CROWDED_SHARE = 0.6
-#: Servers among which one fill chooses at most, in turn where more are open: the
-#: best of two dozen is hardly worse than the best of hundreds.
-MOST_CHOICES = 24
+#: Servers that are evaluated for one task at most; further ones are rotated in.
+MAX_CANDIDATES = 24
 
 
 class _Pool(NamedTuple):
-    # Servers of a service that take starts, and whether they are crowded.
+    # Servers of a service that accept starts, and whether they are crowded.
     servers: list[Server]
     crowded: bool
 
 
-class FillAdmission:
-    """Tells where fills may start."""
+class BestEffortAdmission:
+    """Decides where best-effort tasks may start."""
 
     def __init__(self, model: HarmModel) -> None:
-        """Work with a model.
+        """Create an admission policy.
 
-        :param model: of what harms what.
+        :param model: predicts interference.
         """
         self._model = model
-        self._begin = 0
+        self._offset = 0
         self._servers: list[Server] = []
         self._pool_by_service: dict[str, _Pool] = {}
-        self._open_by_kind: dict[tuple[str, str], list[Server]] = {}
+        self._open_by_image: dict[tuple[str, str], list[Server]] = {}
 
-    def update(self, servers: list[Server]) -> None:
-        """Begin a round of placing.
+    def begin(self, servers: list[Server]) -> None:
+        """Begin a placement round.
 
-        :param servers: that take starts.
+        :param servers: that accept starts.
         """
-        self._open_by_kind.clear()
+        self._open_by_image.clear()
         self._pool_by_service.clear()
         self._servers = servers
 
     def open_servers(
-        self, fill: Step, service: str, now_ms: int
+        self, best_effort: Step, service: str, now_ms: int
     ) -> list[Server]:
-        """Find the servers that bear any fill of an image, once a round.
+        """List servers with any capacity for a best-effort image.
 
-        Hundreds of steps may wait, and at a time few of many servers are open
-        to an image: to ask each for each step and start would take all of a
-        core on 176 servers with 300 starts a second.
+        Cached for the round: hundreds of steps may be pending, and evaluating
+        all servers for each of them would occupy a core.
 
-        :param fill: step of the fill.
+        :param best_effort: step to place.
         :param service: whose servers run it.
-        :param now_ms: steady time.
-        :returns: some that are worth a closer look.
+        :param now_ms: monotonic time.
+        :returns: candidates for ``admitting``.
         """
         servers = self._pool(service).servers
-        if self._forced(fill, service, now_ms):
+        if self._any_server(best_effort, service, now_ms):
             return servers
-        kind = service, fill.spec.image
-        found = self._open_by_kind.get(kind)
+        key = service, best_effort.spec.image
+        found = self._open_by_image.get(key)
         if found is None:
             found = [
                 server
                 for server in servers
-                if min(self._model.allowance(server, fill, now_ms)) > 0
+                if min(self._model.allowance(server, best_effort, now_ms)) > 0
             ]
-            self._open_by_kind[kind] = found
-        if len(found) <= MOST_CHOICES:
+            self._open_by_image[key] = found
+        if len(found) <= MAX_CANDIDATES:
             return found
-        self._begin = (self._begin + MOST_CHOICES) % len(found)
-        chosen = itertools.chain(found[self._begin :], found)
-        return list(itertools.islice(chosen, MOST_CHOICES))
-
-    def bearing(
-        self, fill: Step, service: str, servers: list[Server], now_ms: int
+        self._offset = (self._offset + MAX_CANDIDATES) % len(found)
+        rotated = itertools.chain(found[self._offset :], found)
+        return list(itertools.islice(rotated, MAX_CANDIDATES))
+
+    def admitting(
+        self,
+        best_effort: Step,
+        service: str,
+        servers: list[Server],
+        now_ms: int,
     ) -> list[Server]:
-        """Leave out the servers whose serving tasks a fill would harm.
+        """Keep the servers on which a task would run fast enough.
 
-        :param fill: step of the fill.
+        :param best_effort: step of the task.
         :param service: whose servers run it.
-        :param servers: with room for it.
-        :param now_ms: steady time.
-        :returns: those that bear it.
+        :param servers: with free resources for the task.
+        :param now_ms: monotonic time.
+        :returns: servers that admit the task.
         """
-        if self._forced(fill, service, now_ms):
+        if self._any_server(best_effort, service, now_ms):
             return servers
-        least = LEAST_SPEED if _idle_ms(fill.job, now_ms) < HOLD_MS else 0
+        min_speed = (
+            MIN_SPEED_SHARE
+            if _idle_ms(best_effort.job, now_ms) < REDUCED_SPEED_AFTER_MS
+            else 0
+        )
         return [
             server
             for server in servers
-            if self._bears(server, fill, least, now_ms)
+            if self._admits(server, best_effort, min_speed, now_ms)
         ]
 
-    def excess(self, fill: Step, server: Server, now_ms: int) -> float:
-        """Predict by how much a fill goes beyond what a server bears.
+    def excess(self, best_effort: Step, server: Server, now_ms: int) -> float:
+        """Predict by how much a task exceeds the allowance of a server.
 
-        :param fill: step of the fill.
-        :param server: where it would run.
-        :param now_ms: steady time.
-        :returns: share of what the fill needs, over 1 where there is too much
-            already.
+        :param best_effort: step of the task.
+        :param server: to run it.
+        :param now_ms: monotonic time.
+        :returns: share of the CPU that the task needs; over 1 if the allowance
+            is exceeded already.
         """
-        allowed = self._model.allowance(server, fill, now_ms)
-        return max(0, 1 - min(allowed) / full_share(server, fill))
+        allowance = self._model.allowance(server, best_effort, now_ms)
+        return max(0, 1 - min(allowance) / full_pace_share(server, best_effort))
 
-    def _forced(self, fill: Step, service: str, now_ms: int) -> bool:
-        idle_ms = _idle_ms(fill.job, now_ms)
-        return idle_ms >= MOST_HOLD_MS and not self._pool(service).crowded
+    def _any_server(self, best_effort: Step, service: str, now_ms: int) -> bool:
+        idle_ms = _idle_ms(best_effort.job, now_ms)
+        return (
+            idle_ms >= ANY_SERVER_AFTER_MS and not self._pool(service).crowded
+        )
 
     def _pool(self, service: str) -> _Pool:
-        # Only when a fill waits: most rounds of placing have none.
+        # Computed on demand: most rounds have no best-effort task to place.
         pool = self._pool_by_service.get(service)
         if pool is None:
             servers = [
@@ -139,12 +148,15 @@
             self._pool_by_service[service] = pool
         return pool
 
-    def _bears(
-        self, server: Server, fill: Step, least: float, now_ms: int
+    def _admits(
+        self, server: Server, best_effort: Step, min_speed: float, now_ms: int
     ) -> bool:
-        needed = full_share(server, fill)
-        allowed = self._model.allowance(server, fill, now_ms)
-        return needed <= allowed.start and needed * least <= allowed.sustained
+        needed = full_pace_share(server, best_effort)
+        allowance = self._model.allowance(server, best_effort, now_ms)
+        return (
+            needed <= allowance.start
+            and needed * min_speed <= allowance.sustained
+        )
 
 
 def _idle_ms(job: Job, now_ms: int) -> int:
--- a/waxwingford/scheduling/_effects.py
+++ b/waxwingford/scheduling/_effects.py
@@ -1,84 +1,87 @@
-"""What fills of one image take of the headroom of a serving image, as learned."""
+"""Learned interference of best-effort images with serving images."""
 
 import dataclasses
 import math
 from typing import NamedTuple
 
-#: Effect of a pair that was never seen, in headroom for a whole server's cpu,
-#: with its standard deviation; what a sample adds to its variance.
-EXPECTED_EFFECT = 3.0
-EFFECT_DEVIATION = 4.0
-EFFECT_DRIFT = 0.01
-#: Standard deviations by which an effect counts as larger than its mean where
-#: it must not be underrated.
-DOUBT = 1.0
+#: Prior of an unobserved pair of images: mean and standard deviation of the
+#: headroom lost per whole server's CPU.
+PRIOR_MEAN = 3.0
+PRIOR_DEVIATION = 4.0
+#: Process noise: variance added by each sample, per share of CPU used.
+VARIANCE_DRIFT = 0.01
+#: Standard deviations between the mean and the conservative estimate.
+UPPER_BOUND_DEVIATIONS = 1.0
 
 
 @dataclasses.dataclass(slots=True)
-class Effect:
-    """What a pair does, in headroom for a whole server's cpu.
+class InterferenceCoefficient:
+    """Headroom that one image takes from another per whole server's CPU.
 
     :ivar mean: expected value.
-    :ivar variance: of what is not known yet.
-    :ivar surely: what it may be where it must not be underrated.
+    :ivar variance: of the estimate.
+    :ivar upper_bound: conservative estimate for admission decisions.
     """
 
-    mean: float = EXPECTED_EFFECT
-    variance: float = EFFECT_DEVIATION**2
-    surely: float = dataclasses.field(init=False)
+    mean: float = PRIOR_MEAN
+    variance: float = PRIOR_DEVIATION**2
+    upper_bound: float = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
-        """Work out what it may be."""
-        self.doubt()
+        """Compute the conservative estimate of the prior."""
+        self.update_upper_bound()
 
-    def doubt(self) -> None:
-        """Work out anew what it may be, after a change.
+    def update_upper_bound(self) -> None:
+        """Recompute the conservative estimate after a change.
 
-        Kept: it is asked for with each fill that waits, on each server.
+        Cached because placement reads it for each pending best-effort task on
+        each server.
         """
-        self.surely = self.mean + DOUBT * math.sqrt(self.variance)
+        self.upper_bound = self.mean + UPPER_BOUND_DEVIATIONS * math.sqrt(
+            self.variance
+        )
 
 
-class Term(NamedTuple):
-    """What fills of one image take of a headroom.
+class InterferenceTerm(NamedTuple):
+    """Contribution of one best-effort image to the loss of headroom.
 
-    :ivar effect: of the pair.
-    :ivar now: their share of the server's cpu.
-    :ivar then: the same at the look before.
+    :ivar coefficient: of the pair of images.
+    :ivar current: share of the server's CPU in use at the latest poll.
+    :ivar previous: share in use at the poll before.
     """
 
-    effect: Effect
-    now: float
-    then: float
+    coefficient: InterferenceCoefficient
+    current: float
+    previous: float
 
     @property
     def share(self) -> float:
-        """Average their use.
+        """Average the CPU use.
 
-        :returns: share of the server's cpu between the two looks.
+        :returns: share of the server's CPU between the two polls.
         """
-        return (self.now + self.then) / 2
+        return (self.current + self.previous) / 2
 
     @property
     def variance(self) -> float:
-        """Say how uncertain the term is.
+        """Compute the variance of the contribution.
 
-        When the use has changed between the looks is not known.
+        Includes the unknown moment at which the use changed between the polls.
 
-        :returns: variance of what they take.
+        :returns: variance of the headroom taken.
         """
-        changed = self.effect.mean * (self.now - self.then) / 2
-        return self.effect.variance * self.share**2 + changed**2
+        changed = self.coefficient.mean * (self.current - self.previous) / 2
+        return self.coefficient.variance * self.share**2 + changed**2
 
-    def correct(self, scaled: float, variance: float) -> None:
-        """Apply a sample to the effect.
+    def correct(self, scaled_innovation: float, variance: float) -> None:
+        """Apply a headroom sample to the coefficient.
 
-        :param scaled: how much more headroom there was than expected, divided
-            by the variance of that difference.
-        :param variance: of the difference.
+        :param scaled_innovation: measured less expected headroom, divided by
+            ``variance``.
+        :param variance: of the innovation.
         """
-        effect, share = self.effect, self.share
-        gain = effect.variance * share
-        effect.mean = max(0, effect.mean - gain * scaled)
-        effect.variance -= gain**2 / variance - EFFECT_DRIFT * share
-        effect.doubt()
+        coefficient, share = self.coefficient, self.share
+        gain = coefficient.variance * share
+        coefficient.mean = max(0, coefficient.mean - gain * scaled_innovation)
+        coefficient.variance -= gain**2 / variance - VARIANCE_DRIFT * share
+        coefficient.update_upper_bound()
--- a/waxwingford/scheduling/_harm.py
+++ b/waxwingford/scheduling/_harm.py
@@ -1,13 +1,11 @@
-"""What fills do to the tails of tasks that serve beside them, learned.
-
-Which image harms which differs by pair, and strongly: most pairs do nothing
-to each other, some double a tail with one task. A rule that slows all fills
-alike slows mostly harmless ones and leaves batch work unfinished.
-
-The headroom of a serving task (see ``_loads``) is that of its step's own load,
-less, for each image of fills beside it, an effect times the share of the server's
-cpu that those fills use. Each sample corrects both by their uncertainty: a load
-is measured on all servers of its step, an effect on all servers with its pair.
+"""Model of the interference of best-effort tasks with serving tasks.
+
+A serving task's headroom (see ``_loads``) is that of its step without
+best-effort tasks, less a coefficient per best-effort image times the share of
+the server's CPU that runs of the image use. Interference differs strongly by
+pair of images, so a coefficient is learned for each. A sample corrects the
+estimates in proportion to their variances; a step's estimate is shared by all
+servers of the step, a coefficient by all servers with the pair.
 """
 
 import math
@@ -15,300 +13,334 @@
 
 import msgspec
 
-from waxwingford.scheduling._effects import Effect, Term
-from waxwingford.scheduling._loads import Load
+from waxwingford.scheduling._effects import (
+    InterferenceCoefficient,
+    InterferenceTerm,
+)
+from waxwingford.scheduling._loads import HeadroomFilter
 from waxwingford.scheduling._occupants import (
-    fill_runs,
-    full_share,
+    best_effort_runs,
+    full_pace_share,
     serving_runs,
     serving_steps,
     share_by_image,
 )
-from waxwingford.scheduling._samples import Sample, Seen, take_sample
+from waxwingford.scheduling._samples import Observation, Sample, take_sample
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Run, Step
 
-#: A serving task younger than this may not have its usual tail yet, in ms.
-WARM_MS = 1500
-#: Samples of one task are taken no closer than this, in ms: the nearer they
-#: are, the more the rounding to whole ms counts in their difference.
-LEAST_SPAN_MS = 200
-#: Headroom of a queue that is full: how full it is can't be seen any more.
-FULL_HEADROOM = 0.25
-#: A sample further off than so many standard deviations counts as this far: a
-#: server that is slow for a cause of its own must not pass for a load.
-MOST_DEVIATIONS = 3.0
-#: Times ahead for which loads are foretold when a fill is placed, in ms: a
-#: fill works for some seconds, a swing takes 8 to 16 s.
-AHEAD_MS = (300, 1500)
-#: Forecasts for a server are used for so long, in ms.
-FORECAST_KEPT_MS = 100
-#: Headroom that the start of a fill must leave to the tasks beside it.
+#: Age below which the tail latency of a serving task isn't sampled, in ms.
+WARM_UP_MS = 1500
+#: Shortest interval between two samples of a task, in ms: in shorter ones the
+#: rounding to whole ms dominates the difference.
+MIN_SAMPLE_INTERVAL_MS = 200
+#: Headroom of a saturated queue, below which samples carry no information.
+SATURATED_HEADROOM = 0.25
+#: Limit of the innovation of a sample, in standard deviations. Keeps a server
+#: that is slow for other reasons from distorting the estimate of its step.
+MAX_DEVIATIONS = 3.0
+#: Forecast horizons for placing a best-effort task, in ms.
+FORECAST_HORIZONS_MS = (300, 1500)
+#: Time for which the forecast of a server is cached, in ms.
+FORECAST_TTL_MS = 100
+#: Headroom that serving tasks must keep when a best-effort task starts.
 START_HEADROOM = 1.3
-#: Headroom that fills must leave to the tasks beside them when they are placed.
-SAFE_HEADROOM = 1.1
-#: Loads that have not been measured for this long are dropped, in ms.
-FORGET_MS = 30000
+#: Headroom that serving tasks must keep while a best-effort task runs.
+SUSTAINED_HEADROOM = 1.1
+#: Time after which estimates without a sample are dropped, in ms.
+RETENTION_MS = 30000
 _FULL_PERCENT = 100
 
 _decoder = msgspec.msgpack.Decoder(list[tuple[str, str, float, float]])
 
 
-class _Spare(NamedTuple):
-    """Headroom that the fills of a server leave a serving step at full pace.
+class _StepHeadroom(NamedTuple):
+    """Headroom of a serving step on a server, given its best-effort runs.
 
-    :ivar step: which.
-    :ivar headroom: the least of the seconds to come.
-    :ivar present: what fills leave at the paces that they have now.
+    :ivar step: the serving step.
+    :ivar at_full_pace: least forecast headroom with all runs at full pace.
+    :ivar at_current_pace: forecast headroom with the runs at current pace.
     """
 
     step: Step
-    headroom: float
-    present: float
+    at_full_pace: float
+    at_current_pace: float
 
 
 class Allowance(NamedTuple):
-    """How much more of one image of fills a server bears.
+    """CPU that further best-effort runs of an image may use on a server.
 
-    A fill works at full pace until a first change of pace takes effect, and a
-    queue that is overloaded for a tenth of a second stays over its target for
-    most of a second: a start needs more room than going on.
+    A start needs more headroom than a running task: it runs at full pace until
+    its first change of pace takes effect, and a queue stays over its target for
+    most of a second after a short overload.
 
-    :ivar sustained: share of the server's cpu over the seconds to come.
-    :ivar start: share of it that may start now.
+    :ivar sustained: share of the server's CPU over the forecast horizons.
+    :ivar start: share of the server's CPU that may start now.
     """
 
     sustained: float
     start: float
 
 
-class _Spares(NamedTuple):
-    """Prediction for a server.
+class _ServerForecast(NamedTuple):
+    """Cached headroom forecast of a server.
 
-    :ivar changes: count of its changes for which it holds.
-    :ivar at_ms: when it was made, steady time.
-    :ivar spares: one for each step that serves there.
-    :ivar allowance_by_image: worked out so far, by image of fills.
+    :ivar changes: the server's change count at the time of the forecast.
+    :ivar at_ms: monotonic time of the forecast.
+    :ivar headrooms: one for each serving step on the server.
+    :ivar allowance_by_image: allowances computed so far.
     """
 
     changes: int
     at_ms: int
-    spares: list[_Spare]
+    headrooms: list[_StepHeadroom]
     allowance_by_image: dict[str, Allowance]
 
 
 class HarmModel:
-    """Learned loads of serving steps and effects of fills on them."""
+    """Estimates step headrooms and interference coefficients from polls."""
 
     def __init__(self) -> None:
-        """Know nothing but what is expected."""
-        self._effect_by_pair: dict[tuple[str, str], Effect] = {}
-        self._load_by_step: dict[str, Load] = {}
-        self._seen_by_server: dict[str, Seen] = {}
-        self._spares_by_server: dict[str, _Spares] = {}
-        self._forgot_ms = 0
+        """Start from the priors."""
+        self._coefficient_by_pair: dict[
+            tuple[str, str], InterferenceCoefficient
+        ] = {}
+        self._filter_by_step: dict[str, HeadroomFilter] = {}
+        self._observation_by_server: dict[str, Observation] = {}
+        self._forecast_by_server: dict[str, _ServerForecast] = {}
+        self._evicted_ms = 0
 
     def learn(self, server: Server, now_ms: int) -> None:
-        """Learn from what a look at a server listed.
+        """Update the model from the latest poll of a server.
 
-        :param server: just looked at.
-        :param now_ms: steady time.
+        :param server: with the reported figures applied.
+        :param now_ms: monotonic time.
         """
         server_id = server.entry.server_id
-        self._spares_by_server.pop(server_id, None)
-        former = self._seen_by_server.get(server_id)
-        if former is not None and now_ms - former.at_ms < LEAST_SPAN_MS:
+        self._forecast_by_server.pop(server_id, None)
+        previous = self._observation_by_server.get(server_id)
+        if (
+            previous is not None
+            and now_ms - previous.at_ms < MIN_SAMPLE_INTERVAL_MS
+        ):
             return
         serving = serving_runs(server)
-        seen = Seen(
+        current = Observation(
             now_ms,
             {run.key: run.figure for run, _ in serving},
             share_by_image(server),
         )
-        self._seen_by_server[server_id] = seen
-        if former is None:
+        self._observation_by_server[server_id] = current
+        if previous is None:
             return
         for run, step in serving:
-            before = former.tail_by_run.get(run.key)
-            warm = run.adopted or now_ms - run.since_ms >= WARM_MS
-            if warm and before and run.figure > 0:
+            previous_ms = previous.tail_latency_by_run.get(run.key)
+            warm = run.adopted or now_ms - run.since_ms >= WARM_UP_MS
+            if warm and previous_ms and run.figure > 0:
                 sample = take_sample(
-                    step.spec.target_ms, before, run.figure, seen, former
+                    step.spec.target_ms,
+                    previous_ms,
+                    run.figure,
+                    current,
+                    previous,
                 )
-                self._learn(step, sample, seen, former)
-        self._forget(now_ms)
+                self._apply_sample(step, sample, current, previous)
+        self._evict_stale(now_ms)
 
     def encode(self) -> bytes:
-        """Write what is known of pairs for the store.
+        """Serialise the interference coefficients for the store.
 
-        :returns: its bytes.
+        :returns: a MessagePack list of serving image, best-effort image, mean
+            and variance.
         """
         return msgspec.msgpack.encode(
             [
-                (*pair, effect.mean, effect.variance)
-                for pair, effect in self._effect_by_pair.items()
+                (*pair, coefficient.mean, coefficient.variance)
+                for pair, coefficient in self._coefficient_by_pair.items()
             ]
         )
 
     def restore(self, raw: bytes) -> None:
-        """Go on from what a former owner knew.
+        """Load the interference coefficients of a previous owner.
 
-        :param raw: as ``encode`` wrote it.
+        :param raw: as written by ``encode``.
         """
-        self._effect_by_pair = {
-            (serving, fill): Effect(mean, variance)
-            for serving, fill, mean, variance in _decoder.decode(raw)
+        self._coefficient_by_pair = {
+            (serving, best_effort): InterferenceCoefficient(mean, variance)
+            for serving, best_effort, mean, variance in _decoder.decode(raw)
         }
 
-    def effect(self, serving: Step, fill: Step) -> float:
-        """Predict what a fill takes of a serving task's headroom.
+    def coefficient(self, serving: Step, best_effort: Step) -> float:
+        """Predict the interference of a best-effort step with a serving step.
 
-        :param serving: step that serves.
-        :param fill: step that fills.
-        :returns: headroom for a whole server's cpu.
+        :param serving: step whose headroom is reduced.
+        :param best_effort: step that reduces it.
+        :returns: headroom lost per whole server's CPU.
         """
-        return self._effect(serving.spec.image, fill.spec.image).mean
-
-    def allowance(self, server: Server, fill: Step, now_ms: int) -> Allowance:
-        """Predict how much more of a fill's image a server bears.
-
-        :param server: where.
-        :param fill: step of the fill.
-        :param now_ms: steady time.
-        :returns: shares of the server's cpu, below 0 where there is too much.
+        return self._coefficient(
+            serving.spec.image, best_effort.spec.image
+        ).mean
+
+    def allowance(
+        self, server: Server, best_effort: Step, now_ms: int
+    ) -> Allowance:
+        """Predict how much more of a best-effort image a server can run.
+
+        :param server: to run it.
+        :param best_effort: step of the image.
+        :param now_ms: monotonic time.
+        :returns: shares of the server's CPU, negative if it is overcommitted.
         """
-        spares = self._spares(server, now_ms)
-        image = fill.spec.image
-        found = spares.allowance_by_image.get(image)
+        forecast = self._forecast(server, now_ms)
+        image = best_effort.spec.image
+        found = forecast.allowance_by_image.get(image)
         if found is None:
-            found = self._allow(spares.spares, image)
-            spares.allowance_by_image[image] = found
+            found = self._compute_allowance(forecast.headrooms, image)
+            forecast.allowance_by_image[image] = found
         return found
 
-    def _allow(self, spares: list[_Spare], image: str) -> Allowance:
+    def _compute_allowance(
+        self, headrooms: list[_StepHeadroom], image: str
+    ) -> Allowance:
         sustained = math.inf
         start = math.inf
-        for spare in spares:
-            effect = self._effect(spare.step.spec.image, image)
-            room = (spare.present - START_HEADROOM) / effect.surely
-            start = min(start, room)
-            if effect.mean > 0:
-                ahead = (spare.headroom - SAFE_HEADROOM) / effect.mean
-                sustained = min(sustained, ahead)
+        for headroom in headrooms:
+            coefficient = self._coefficient(headroom.step.spec.image, image)
+            start_share = (
+                headroom.at_current_pace - START_HEADROOM
+            ) / coefficient.upper_bound
+            start = min(start, start_share)
+            if coefficient.mean > 0:
+                sustained_share = (
+                    headroom.at_full_pace - SUSTAINED_HEADROOM
+                ) / coefficient.mean
+                sustained = min(sustained, sustained_share)
         return Allowance(sustained, start)
 
-    def _spares(self, server: Server, now_ms: int) -> _Spares:
-        """Predict what the fills of a server leave of its headrooms.
+    def _forecast(self, server: Server, now_ms: int) -> _ServerForecast:
+        """Forecast the headrooms of a server's serving steps.
 
-        Kept for a moment, or until a run comes or leaves or a sample is
-        learned: it is asked for with every fill that waits.
+        Cached, because placement needs it for each pending best-effort task.
+        A change of the server's runs or a new sample invalidates it.
 
-        :param server: where.
-        :param now_ms: steady time.
-        :returns: the prediction.
+        :param server: to forecast.
+        :param now_ms: monotonic time.
+        :returns: the forecast.
         """
         server_id = server.entry.server_id
-        kept = self._spares_by_server.get(server_id)
+        cached = self._forecast_by_server.get(server_id)
         if (
-            kept is not None
-            and kept.changes == server.changes
-            and now_ms - kept.at_ms < FORECAST_KEPT_MS
+            cached is not None
+            and cached.changes == server.changes
+            and now_ms - cached.at_ms < FORECAST_TTL_MS
         ):
-            return kept
-        fills = fill_runs(server)
-        spares = [
-            self._spare(server, step, fills, now_ms)
+            return cached
+        best_effort = best_effort_runs(server)
+        headrooms = [
+            self._step_headroom(server, step, best_effort, now_ms)
             for step in serving_steps(server)
         ]
-        made = _Spares(server.changes, now_ms, spares, {})
-        self._spares_by_server[server_id] = made
+        made = _ServerForecast(server.changes, now_ms, headrooms, {})
+        self._forecast_by_server[server_id] = made
         return made
 
-    def _spare(
+    def _step_headroom(
         self,
         server: Server,
         serving: Step,
-        fills: list[tuple[Run, Step]],
+        best_effort_pairs: list[tuple[Run, Step]],
         now_ms: int,
-    ) -> _Spare:
-        taken: float = 0
-        taken_now: float = 0
-        for run, fill in fills:
-            takes = self.effect(serving, fill) * full_share(server, fill)
-            taken += takes
+    ) -> _StepHeadroom:
+        loss: float = 0
+        current_loss: float = 0
+        for run, best_effort in best_effort_pairs:
+            run_loss = self.coefficient(serving, best_effort) * full_pace_share(
+                server, best_effort
+            )
+            loss += run_loss
             pace = _FULL_PERCENT if run.pace is None else run.pace
-            taken_now += takes * pace / _FULL_PERCENT
-        load = self.load(serving, now_ms)
-        ahead = min(load.forecast(now_ms + span) for span in AHEAD_MS)
-        present = load.forecast(now_ms + AHEAD_MS[0]) - taken_now
-        return _Spare(serving, ahead - taken, present)
-
-    def load(self, serving: Step, now_ms: int) -> Load:
-        """Give the load of a serving step.
-
-        :param serving: which.
-        :param now_ms: steady time.
-        :returns: its headroom without fills.
+            current_loss += run_loss * pace / _FULL_PERCENT
+        step_filter = self.headroom_filter(serving, now_ms)
+        least = min(
+            step_filter.forecast(now_ms + horizon)
+            for horizon in FORECAST_HORIZONS_MS
+        )
+        at_current_pace = (
+            step_filter.forecast(now_ms + FORECAST_HORIZONS_MS[0])
+            - current_loss
+        )
+        return _StepHeadroom(serving, least - loss, at_current_pace)
+
+    def headroom_filter(self, serving: Step, now_ms: int) -> HeadroomFilter:
+        """Return the headroom estimate of a serving step.
+
+        :param serving: step to look up.
+        :param now_ms: monotonic time.
+        :returns: its filter, new if the step has none.
         """
-        found = self._load_by_step.get(serving.name)
+        found = self._filter_by_step.get(serving.name)
         if found is None:
-            found = Load(now_ms)
-            self._load_by_step[serving.name] = found
+            found = HeadroomFilter(now_ms)
+            self._filter_by_step[serving.name] = found
         return found
 
-    def _effect(self, serving: str, fill: str) -> Effect:
-        found = self._effect_by_pair.get((serving, fill))
+    def _coefficient(
+        self, serving: str, best_effort: str
+    ) -> InterferenceCoefficient:
+        found = self._coefficient_by_pair.get((serving, best_effort))
         if found is None:
-            found = Effect()
-            self._effect_by_pair[serving, fill] = found
+            found = InterferenceCoefficient()
+            self._coefficient_by_pair[serving, best_effort] = found
         return found
 
-    def _learn(
-        self, step: Step, sample: Sample, seen: Seen, former: Seen
+    def _apply_sample(
+        self,
+        step: Step,
+        sample: Sample,
+        current: Observation,
+        previous: Observation,
     ) -> None:
-        load = self.load(step, seen.at_ms)
-        load.advance(seen.at_ms)
-        expected = load.level(sample.before_s)
-        variance = load.variance(sample.before_s) + sample.variance
-        terms = self._terms(step, seen, former)
-        expected -= sum(term.effect.mean * term.share for term in terms)
+        step_filter = self.headroom_filter(step, current.at_ms)
+        step_filter.advance(current.at_ms)
+        expected = step_filter.level(sample.age_s)
+        variance = step_filter.variance(sample.age_s) + sample.variance
+        terms = self._terms(step, current, previous)
+        expected -= sum(term.coefficient.mean * term.share for term in terms)
         variance += sum(term.variance for term in terms)
-        if max(expected, sample.headroom) < FULL_HEADROOM:
+        if max(expected, sample.headroom) < SATURATED_HEADROOM:
             return
-        surprise = sample.headroom - max(0, expected)
-        most = MOST_DEVIATIONS * math.sqrt(variance)
-        scaled = max(-most, min(most, surprise)) / variance
-        load.correct(sample.before_s, scaled)
-        load.shrink(sample.before_s, variance)
+        innovation = sample.headroom - max(0, expected)
+        limit = MAX_DEVIATIONS * math.sqrt(variance)
+        scaled = max(-limit, min(limit, innovation)) / variance
+        step_filter.correct(sample.age_s, scaled)
+        step_filter.correct_covariance(sample.age_s, variance)
         for term in terms:
             term.correct(scaled, variance)
 
-    def _terms(self, step: Step, seen: Seen, former: Seen) -> list[Term]:
-        images = {**seen.share_by_image, **former.share_by_image}
+    def _terms(
+        self, step: Step, current: Observation, previous: Observation
+    ) -> list[InterferenceTerm]:
+        images = {**current.share_by_image, **previous.share_by_image}
         return [
-            Term(
-                self._effect(step.spec.image, image),
-                seen.share_by_image.get(image, 0),
-                former.share_by_image.get(image, 0),
+            InterferenceTerm(
+                self._coefficient(step.spec.image, image),
+                current.share_by_image.get(image, 0),
+                previous.share_by_image.get(image, 0),
             )
             for image in images
         ]
 
-    def _forget(self, now_ms: int) -> None:
-        """Drop what was not seen for long.
-
-        :param now_ms: steady time.
-        """
-        if now_ms - self._forgot_ms < FORGET_MS:
+    def _evict_stale(self, now_ms: int) -> None:
+        if now_ms - self._evicted_ms < RETENTION_MS:
             return
-        self._forgot_ms = now_ms
-        self._load_by_step = {
-            name: load
-            for name, load in self._load_by_step.items()
-            if now_ms - load.at_ms < FORGET_MS
+        self._evicted_ms = now_ms
+        self._filter_by_step = {
+            name: step_filter
+            for name, step_filter in self._filter_by_step.items()
+            if now_ms - step_filter.updated_ms < RETENTION_MS
         }
-        self._seen_by_server = {
-            server_id: seen
-            for server_id, seen in self._seen_by_server.items()
-            if now_ms - seen.at_ms < FORGET_MS
+        self._observation_by_server = {
+            server_id: observation
+            for server_id, observation in self._observation_by_server.items()
+            if now_ms - observation.at_ms < RETENTION_MS
         }
--- a/waxwingford/scheduling/_loads.py
+++ b/waxwingford/scheduling/_loads.py
@@ -1,157 +1,154 @@
-"""Headroom of serving steps, followed from the tails that servers list.
+"""Estimated headroom of serving steps without best-effort tasks beside them.
 
-The tail of a queue grows as 1 / (1 - utilisation), and the utilisations of what
-shares a server add up.  So the inverse of a tail falls in proportion to a task's
-own load and to the cpu that fills use beside it, while the tail itself explodes
-near its limit.  All figures here are such inverses: the headroom of a task is its
-target as a multiple of its tail, 1 at the target and more below it.
+The headroom of a task is its latency target as a multiple of its tail latency:
+1 at the target, less above it. The tail latency of a queue grows as
+1 / (1 - utilisation) and utilisations add up, so headroom falls linearly with a
+task's own load and with the CPU that best-effort tasks use beside it.
 
-All tasks of a step serve the same users, so they share one load: what one
-server lists of a step is known for all of its servers.
+All tasks of a step serve the same traffic and share one estimate.
 """
 
 import math
 
-#: Headroom that a serving step is taken to have before any sample, with its
-#: variance and that of its slope per second.
-EXPECTED_HEADROOM = 2.5
-_LEVEL_VARIANCE = 0.5
-_SLOPE_VARIANCE = 0.2
-#: Spectral density of the noise that drives the slope, per second cubed: loads
-#: that swing by half within 8 to 16 s change it by 0.2 to 0.6 a second.
+#: Mean and variance of the headroom of a step before any sample.
+PRIOR_HEADROOM = 2.5
+_PRIOR_LEVEL_VARIANCE = 0.5
+#: Variance of the slope before any sample, per second squared.
+_PRIOR_SLOPE_VARIANCE = 0.2
+#: Spectral density of the noise that drives the slope, per second cubed.
 _SLOPE_NOISE = 0.15
-#: A slope that no sample confirms fades within this time, in seconds.
-_SLOPE_FADES_S = 2.0
-#: Time over which the usual headroom is averaged, in seconds: a swing or so.
-_USUAL_S = 10.0
-#: Longest step of the filter, in seconds: after more than that without a
-#: sample nothing is known but the usual headroom.
-_LONGEST_S = 5.0
+#: Time constant of the decay of the slope between samples, in seconds.
+_SLOPE_DECAY_S = 2.0
+#: Time constant of the long-term mean, in seconds: about one load swing.
+_MEAN_WINDOW_S = 10.0
+#: Longest prediction interval, in seconds. Beyond it the filter falls back to
+#: the long-term mean.
+_MAX_PREDICTION_S = 5.0
 _MS_IN_S = 1000
 
 
-class Load:
-    """Headroom of one serving step without any fills beside it.
+class HeadroomFilter:
+    """Kalman filter of the headroom of one serving step.
 
-    A filter of level and slope, so that paces can be set for the load to come:
-    what servers list is late by about as long as a change of pace takes.
+    The state is the headroom and its slope. The slope compensates for reported
+    figures that lag by about as long as a change of pace takes to apply.
 
-    :ivar usual: mean over a swing.
+    :ivar mean: long-term mean.
     """
 
     def __init__(self, now_ms: int) -> None:
-        """Start from what is expected of any serving step.
+        """Start from the prior.
 
-        :param now_ms: steady time.
+        :param now_ms: monotonic time.
         """
-        self.usual = EXPECTED_HEADROOM
-        self._at_ms = now_ms
-        self._level = EXPECTED_HEADROOM
+        self.mean = PRIOR_HEADROOM
+        self._updated_ms = now_ms
+        self._level = PRIOR_HEADROOM
         self._slope: float = 0
-        self._level_variance = _LEVEL_VARIANCE
+        self._level_variance = _PRIOR_LEVEL_VARIANCE
         self._covariance: float = 0
-        self._slope_variance = _SLOPE_VARIANCE
+        self._slope_variance = _PRIOR_SLOPE_VARIANCE
 
     @property
-    def at_ms(self) -> int:
-        """Say when it was last measured.
+    def updated_ms(self) -> int:
+        """Return the time of the latest sample.
 
-        :returns: steady time.
+        :returns: monotonic time.
         """
-        return self._at_ms
+        return self._updated_ms
 
     def forecast(self, at_ms: int) -> float:
         """Predict the headroom.
 
-        :param at_ms: for this steady time.
-        :returns: headroom without fills.
+        :param at_ms: monotonic time of the prediction.
+        :returns: headroom without best-effort tasks.
         """
-        ahead_s = (at_ms - self._at_ms) / _MS_IN_S
-        if ahead_s > _LONGEST_S:
-            return self.usual
-        faded_s = _SLOPE_FADES_S * (1 - math.exp(-ahead_s / _SLOPE_FADES_S))
-        return self._level + self._slope * faded_s
+        ahead_s = (at_ms - self._updated_ms) / _MS_IN_S
+        if ahead_s > _MAX_PREDICTION_S:
+            return self.mean
+        decayed_s = _SLOPE_DECAY_S * (1 - math.exp(-ahead_s / _SLOPE_DECAY_S))
+        return self._level + self._slope * decayed_s
 
     def advance(self, now_ms: int) -> None:
-        """Bring the filter to a time.
+        """Predict the state at a later time.
 
-        :param now_ms: steady time; earlier ones change nothing.
+        :param now_ms: monotonic time; earlier times have no effect.
         """
-        span_s = (now_ms - self._at_ms) / _MS_IN_S
+        span_s = (now_ms - self._updated_ms) / _MS_IN_S
         if span_s <= 0:
             return
-        if span_s > _LONGEST_S:
-            self._restart()
+        if span_s > _MAX_PREDICTION_S:
+            self._reset()
         else:
             self._predict(span_s)
-        self._at_ms = now_ms
-        self.usual += (self._level - self.usual) * min(1, span_s / _USUAL_S)
+        self._updated_ms = now_ms
+        self.mean += (self._level - self.mean) * min(1, span_s / _MEAN_WINDOW_S)
 
-    def _restart(self) -> None:
-        self._level = self.usual
+    def _reset(self) -> None:
+        self._level = self.mean
         self._slope = 0
-        self._level_variance = _LEVEL_VARIANCE
+        self._level_variance = _PRIOR_LEVEL_VARIANCE
         self._covariance = 0
-        self._slope_variance = _SLOPE_VARIANCE
+        self._slope_variance = _PRIOR_SLOPE_VARIANCE
 
     def _predict(self, span_s: float) -> None:
-        kept = math.exp(-span_s / _SLOPE_FADES_S)
-        moved_s = _SLOPE_FADES_S * (1 - kept)
-        self._level += self._slope * moved_s
-        self._slope *= kept
+        decay = math.exp(-span_s / _SLOPE_DECAY_S)
+        decayed_s = _SLOPE_DECAY_S * (1 - decay)
+        self._level += self._slope * decayed_s
+        self._slope *= decay
         self._level_variance += (
-            2 * moved_s * self._covariance
-            + moved_s**2 * self._slope_variance
+            2 * decayed_s * self._covariance
+            + decayed_s**2 * self._slope_variance
             + _SLOPE_NOISE * span_s**3 / 3
         )
         self._covariance = (
-            kept * (self._covariance + moved_s * self._slope_variance)
+            decay * (self._covariance + decayed_s * self._slope_variance)
             + _SLOPE_NOISE * span_s**2 / 2
         )
         self._slope_variance = (
-            kept**2 * self._slope_variance + _SLOPE_NOISE * span_s
+            decay**2 * self._slope_variance + _SLOPE_NOISE * span_s
         )
 
-    def variance(self, before_s: float) -> float:
-        """Say how uncertain the headroom was some time before now.
+    def variance(self, age_s: float) -> float:
+        """Compute the variance of a past headroom.
 
-        :param before_s: seconds before the filter's time.
+        :param age_s: seconds before the time of the state.
         :returns: variance.
         """
         return (
             self._level_variance
-            - 2 * before_s * self._covariance
-            + before_s**2 * self._slope_variance
+            - 2 * age_s * self._covariance
+            + age_s**2 * self._slope_variance
         )
 
-    def level(self, before_s: float) -> float:
-        """Say what the headroom was some time before now.
+    def level(self, age_s: float) -> float:
+        """Estimate a past headroom.
 
-        :param before_s: seconds before the filter's time.
-        :returns: headroom without fills.
+        :param age_s: seconds before the time of the state.
+        :returns: headroom without best-effort tasks.
         """
-        return self._level - before_s * self._slope
+        return self._level - age_s * self._slope
 
-    def correct(self, before_s: float, surprise_by_variance: float) -> None:
-        """Apply a sample.
+    def correct(self, age_s: float, scaled_innovation: float) -> None:
+        """Apply a sample to the state.
 
-        :param before_s: seconds before the filter's time that it is of.
-        :param surprise_by_variance: how much it differs from what was
-            expected, divided by the variance of that difference.
+        :param age_s: age of the sample, in seconds before the time of the state.
+        :param scaled_innovation: measured less expected headroom, divided by
+            the variance of that difference.
         """
-        level_gain = self._level_variance - before_s * self._covariance
-        slope_gain = self._covariance - before_s * self._slope_variance
-        self._level += level_gain * surprise_by_variance
-        self._slope += slope_gain * surprise_by_variance
+        level_gain = self._level_variance - age_s * self._covariance
+        slope_gain = self._covariance - age_s * self._slope_variance
+        self._level += level_gain * scaled_innovation
+        self._slope += slope_gain * scaled_innovation
 
-    def shrink(self, before_s: float, variance: float) -> None:
-        """Count a sample in the uncertainty, after ``correct``.
+    def correct_covariance(self, age_s: float, variance: float) -> None:
+        """Apply a sample to the covariance of the state, after ``correct``.
 
-        :param before_s: seconds before the filter's time that it is of.
-        :param variance: of the difference from what was expected.
+        :param age_s: age of the sample, in seconds before the time of the state.
+        :param variance: of the innovation.
         """
-        level_gain = self._level_variance - before_s * self._covariance
-        slope_gain = self._covariance - before_s * self._slope_variance
+        level_gain = self._level_variance - age_s * self._covariance
+        slope_gain = self._covariance - age_s * self._slope_variance
         self._level_variance -= level_gain**2 / variance
         self._covariance -= level_gain * slope_gain / variance
         self._slope_variance -= slope_gain**2 / variance
--- a/waxwingford/scheduling/_moving.py
+++ b/waxwingford/scheduling/_moving.py
@@ -9,7 +9,7 @@
 import itertools
 
 from waxwingford.scheduling._book import Book
-from waxwingford.scheduling._occupants import fill_runs
+from waxwingford.scheduling._occupants import best_effort_runs
 from waxwingford.scheduling._placing import Placer
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Run, RunPhase, Step
@@ -106,7 +106,7 @@
         return []
     return [
         (run, step)
-        for run, step in fill_runs(server)
+        for run, step in best_effort_runs(server)
         if _may_move(run, step)
         and run.pace is not None
         and run.pace <= HELD_BACK_PERCENT
--- a/waxwingford/scheduling/_occupants.py
+++ b/waxwingford/scheduling/_occupants.py
@@ -1,16 +1,17 @@
-"""What runs on a server: tasks that serve, and fills beside them."""
+"""Serving and best-effort runs that share a backend server."""
 
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Run, RunPhase, Step
 
-#: Share of its asked cpu that a fill is taken to use before it was listed.
+#: Share of its requested CPU that a best-effort task is assumed to use at full
+#: pace.
 EXPECTED_USE_SHARE = 0.9
 
 
 def serving_runs(server: Server) -> list[tuple[Run, Step]]:
-    """List the runs that have a target for their tail.
+    """List the runs that have a tail latency target.
 
-    :param server: where.
+    :param server: to list.
     :returns: runs with their steps.
     """
     return [
@@ -21,18 +22,18 @@
 
 
 def serving_steps(server: Server) -> list[Step]:
-    """List the steps whose tasks have a target for their tail.
+    """List the steps whose tasks have a tail latency target.
 
-    :param server: where.
+    :param server: to list.
     :returns: each step once.
     """
     return list(dict.fromkeys(step for _, step in serving_runs(server)))
 
 
-def fill_runs(server: Server) -> list[tuple[Run, Step]]:
-    """List the runs that use only the cpu that others leave.
+def best_effort_runs(server: Server) -> list[tuple[Run, Step]]:
+    """List the runs that use only CPU left idle by other runs.
 
-    :param server: where.
+    :param server: to list.
     :returns: runs with their steps.
     """
     return [
@@ -42,35 +43,35 @@
     ]
 
 
-def full_share(server: Server, step: Step) -> float:
-    """Predict the cpu that a fill uses at full pace.
+def full_pace_share(server: Server, step: Step) -> float:
+    """Estimate the CPU that a best-effort task uses at full pace.
 
-    :param server: where it is.
-    :param step: its step.
-    :returns: share of the server's cpu, above 0.
+    :param server: on which the task runs.
+    :param step: of the task.
+    :returns: share of the server's CPU, above 0.
     """
-    asked = max(1, step.spec.needs.processors_milli)
-    return EXPECTED_USE_SHARE * asked / cpu_of(server)
+    requested = max(1, step.spec.needs.processors_milli)
+    return EXPECTED_USE_SHARE * requested / cpu_capacity_milli(server)
 
 
-def cpu_of(server: Server) -> int:
-    """Say what cpu a server has.
+def cpu_capacity_milli(server: Server) -> int:
+    """Return the CPU capacity of a server.
 
-    :param server: which.
+    :param server: to inspect.
     :returns: thousandths of a core, at least 1.
     """
     return max(1, server.entry.capacity.processors_milli)
 
 
 def share_by_image(server: Server) -> dict[str, float]:
-    """Say what cpu the fills of each image use.
+    """Sum the CPU use of the best-effort runs of each image.
 
-    :param server: where.
-    :returns: shares of the server's cpu, as listed last.
+    :param server: to inspect.
+    :returns: shares of the server's CPU, as reported by the latest poll.
     """
     shares: dict[str, float] = {}
-    capacity = cpu_of(server)
-    for run, step in fill_runs(server):
+    capacity = cpu_capacity_milli(server)
+    for run, step in best_effort_runs(server):
         if run.phase is RunPhase.present:
             image = step.spec.image
             shares[image] = shares.get(image, 0) + run.figure / capacity
--- a/waxwingford/scheduling/_pacing.py
+++ b/waxwingford/scheduling/_pacing.py
@@ -1,17 +1,17 @@
-"""Slows fills down where they harm tasks that serve users.
+"""Throttles best-effort tasks that interfere with serving tasks.
 
-The tail that a server lists covers the last half second, so harm shows late:
-at the first sign those fills that the model blames are slowed at once as far
-as the tail has to come down, and let up again by steps that the model expects
-to be harmless.
+Reported tail latencies are averages over half a second, so interference shows
+late. At the first sign of it the best-effort runs to which the model attributes
+it are slowed at once by as much as the latency has to fall, and later sped up
+again as far as the model predicts no interference.
 """
 
 from waxwingford.scheduling._book import Book
 from waxwingford.scheduling._harm import HarmModel
-from waxwingford.scheduling._loads import Load
+from waxwingford.scheduling._loads import HeadroomFilter
 from waxwingford.scheduling._occupants import (
-    fill_runs,
-    full_share,
+    best_effort_runs,
+    full_pace_share,
     serving_runs,
     serving_steps,
 )
@@ -20,98 +20,94 @@
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Run, RunPhase, Step
 
-#: Headroom that is left to serving tasks: their tails at 0.95 of
-#: the target.
-LEAST_HEADROOM = 1.05
-#: Times ahead for which paces are set, in ms: a change takes a tenth of a second
-#: to work, and stands until the next one.
-AHEAD_MS = (100, 400)
-#: A tail over its target for this long, in ms, halts all fills beside it:
-#: more than that the consortium's rules forbid, and a pair that is not known
-#: yet may be the cause.
-UNEXPLAINED_MS = 1500
-#: A change of pace by less than this, in percent, is not worth an order.
-LEAST_CHANGE_PERCENT = 12
-#: Below this percent a fill is halted: so low a share only keeps its memory.
-LEAST_PERCENT = 8
+#: Headroom reserved for serving tasks: tail latencies at 95% of the target.
+MIN_HEADROOM = 1.05
+#: Forecast horizons for setting paces, in ms.
+FORECAST_HORIZONS_MS = (100, 400)
+#: Time over the target after which all best-effort runs on the server are
+#: halted, in ms, as the model may not know the cause yet.
+MAX_OVER_TARGET_MS = 1500
+#: Smallest change of pace that is ordered, in percent.
+MIN_CHANGE_PERCENT = 12
+#: Slowest pace, in percent; a run that would be slower is halted.
+MIN_PERCENT = 8
 FULL_PERCENT = 100
-_ON_THE_WAY = frozenset((RunPhase.planned, RunPhase.sent, RunPhase.doubtful))
-#: Time between two changes of one run, in ms: the figures listed lag by half
-#: a second, and pacing takes a tenth of one to work.
-CHANGE_EVERY_MS = 250
+_STARTING = frozenset((RunPhase.planned, RunPhase.sent, RunPhase.doubtful))
+#: Shortest time between two changes of pace of a run, in ms.
+CHANGE_INTERVAL_MS = 250
 
 
 class Pacer:
-    """Chooses the pace of fills, server by server.
+    """Sets the paces of best-effort runs, server by server.
 
-    :ivar watched: servers whose figures are needed often, when last counted.
+    :ivar watched: number of servers that need frequent polls, as of the last
+        ``count``.
     """
 
     def __init__(self, book: Book, model: HarmModel) -> None:
-        """Work on a book.
+        """Create a pacer.
 
         :param book: of the shard.
-        :param model: of what harms what.
+        :param model: predicts interference.
         """
         self._book = book
         self._model = model
         self.watched = 0
 
     def count(self) -> None:
-        """Count the servers whose figures are needed often."""
+        """Count the servers that need frequent polls."""
         self.watched = sum(map(self.watches, self._book.server_by_id.values()))
 
     def watches(self, server: Server) -> bool:
-        """Tell whether a server has fills whose pace may have to change.
+        """Tell whether a server has runs whose pace may have to change.
 
-        Fills that were slowed for tasks that have left since, or that a former
-        owner slowed, would stand still for good if nobody let them up.
+        Includes slowed runs without a serving task beside them, which would
+        otherwise never be sped up again.
 
-        :param server: which.
-        :returns: whether its figures are needed often.
+        :param server: to check.
+        :returns: whether it needs frequent polls.
         """
-        fills = fill_runs(server)
-        if any(run.pace != FULL_PERCENT for run, _ in fills):
+        best_effort = best_effort_runs(server)
+        if any(run.pace != FULL_PERCENT for run, _ in best_effort):
             return True
-        return bool(fills and serving_runs(server))
+        return bool(best_effort and serving_runs(server))
 
     def react(self, server: Server, now_ms: int) -> None:
-        """Choose paces after a look and order what has to change.
+        """Compute paces after a poll and order those that changed.
 
-        :param server: which was looked at.
-        :param now_ms: steady time.
+        :param server: that was polled.
+        :param now_ms: monotonic time.
         """
-        fills = [
+        best_effort = [
             (run, step)
-            for run, step in fill_runs(server)
+            for run, step in best_effort_runs(server)
             if run.phase is RunPhase.present
         ]
-        if not fills:
+        if not best_effort:
             return
         serving = serving_runs(server)
-        self._note_over(serving, now_ms)
-        if any(_unexplained(run, now_ms) for run, _ in serving):
-            for fill, _ in fills:
-                self._pace(fill, 0, now_ms)
+        self._track_over_target(serving, now_ms)
+        if any(_over_target_too_long(run, now_ms) for run, _ in serving):
+            for halted, _ in best_effort:
+                self._set_pace(halted, 0, now_ms)
             return
-        shares = _Shares(self._model, server, now_ms)
-        for run, step in fill_runs(server):
-            if run.phase in _ON_THE_WAY:
-                shares.reserve(step)
-        for run, step in sorted(fills, key=_turn):
-            self._pace(run, shares.take(step), now_ms)
+        budget = _HeadroomBudget(self._model, server, now_ms)
+        for run, step in best_effort_runs(server):
+            if run.phase in _STARTING:
+                budget.reserve(step)
+        for run, step in sorted(best_effort, key=_most_progress_first):
+            self._set_pace(run, budget.allocate(step), now_ms)
 
     def answered(
         self, server: Server, order: Pace, outcome: OrderOutcome
     ) -> None:
         """Apply the answer to a change of pace.
 
-        Without an answer the fill may go on as before, and harm, or at the new
-        pace: the next round of paces orders anew.
+        After a failure the pace of the run is unknown until the next order.
 
-        :param server: which answered.
-        :param order: what was ordered.
-        :param outcome: what came back.
+        :param server: that answered.
+        :param order: that was sent.
+        :param outcome: of the order.
         """
         run = server.run_by_key.get(order.key)
         if run is None or isinstance(outcome, OrderTaken):
@@ -128,10 +124,12 @@
             run.pace = None
             run.paced_ms = 0
 
-    def _note_over(self, serving: list[tuple[Run, Step]], now_ms: int) -> None:
+    def _track_over_target(
+        self, serving: list[tuple[Run, Step]], now_ms: int
+    ) -> None:
         for pair in serving:
             run, step = pair
-            over = _tail_share(pair) > 1
+            over = _share_of_target(pair) > 1
             if over and not run.over_ms:
                 run.over_ms = now_ms
             elif run.over_ms and not over:
@@ -145,12 +143,12 @@
                 )
                 run.over_ms = 0
 
-    def _pace(self, run: Run, percent: int, now_ms: int) -> None:
-        percent = percent if percent >= LEAST_PERCENT else 0
+    def _set_pace(self, run: Run, percent: int, now_ms: int) -> None:
+        percent = percent if percent >= MIN_PERCENT else 0
         known = run.pace is not None
-        if known and abs(percent - run.pace) < LEAST_CHANGE_PERCENT:
+        if known and abs(percent - run.pace) < MIN_CHANGE_PERCENT:
             return
-        if now_ms - run.paced_ms >= CHANGE_EVERY_MS:
+        if now_ms - run.paced_ms >= CHANGE_INTERVAL_MS:
             self._book.notes.add(
                 'run.paced',
                 run.key.task,
@@ -166,8 +164,8 @@
             run.moved_ms = now_ms
 
 
-class _Shares:
-    """Headroom of the serving tasks of a server, shared out to fills in turn."""
+class _HeadroomBudget:
+    """Headroom of a server's serving tasks that best-effort runs may use up."""
 
     def __init__(
         self,
@@ -177,60 +175,63 @@
     ) -> None:
         self._model = model
         self._server = server
-        self._spare_by_step = {
-            step: _least_headroom(model.load(step, now_ms), now_ms)
-            - LEAST_HEADROOM
+        self._available_by_step = {
+            step: _least_forecast(model.headroom_filter(step, now_ms), now_ms)
+            - MIN_HEADROOM
             for step in serving_steps(server)
         }
 
-    def reserve(self, fill: Step) -> None:
-        """Leave a fill that will start at full pace what it needs.
+    def reserve(self, best_effort: Step) -> None:
+        """Subtract the full use of a run that is about to start.
 
-        :param fill: its step.
+        :param best_effort: step of the run.
         """
-        needed = full_share(self._server, fill)
-        for step in self._spare_by_step:
-            taken = needed * self._model.effect(step, fill)
-            self._spare_by_step[step] -= taken
+        needed = full_pace_share(self._server, best_effort)
+        for step in self._available_by_step:
+            loss = needed * self._model.coefficient(step, best_effort)
+            self._available_by_step[step] -= loss
 
-    def take(self, fill: Step) -> int:
-        """Give a fill what is left for it.
+    def allocate(self, best_effort: Step) -> int:
+        """Allocate to a run as much of the remaining headroom as it needs.
 
-        :param fill: its step.
-        :returns: the pace that it may have, in percent.
+        :param best_effort: step of the run.
+        :returns: pace that the run may have, in percent.
         """
-        needed = full_share(self._server, fill)
-        taken_by_step = {
-            step: needed * self._model.effect(step, fill)
-            for step in self._spare_by_step
+        needed = full_pace_share(self._server, best_effort)
+        loss_by_step = {
+            step: needed * self._model.coefficient(step, best_effort)
+            for step in self._available_by_step
         }
         share = min(
             (
-                max(0, self._spare_by_step[step]) / taken
-                for step, taken in taken_by_step.items()
-                if taken
+                max(0, self._available_by_step[step]) / loss
+                for step, loss in loss_by_step.items()
+                if loss
             ),
             default=1,
         )
         share = min(1, share)
-        for step, taken in taken_by_step.items():
-            self._spare_by_step[step] -= taken * share
+        for step, loss in loss_by_step.items():
+            self._available_by_step[step] -= loss * share
         return int(share * FULL_PERCENT)
 
 
-def _least_headroom(load: Load, now_ms: int) -> float:
-    return min(load.forecast(now_ms + ahead_ms) for ahead_ms in AHEAD_MS)
+def _least_forecast(step_filter: HeadroomFilter, now_ms: int) -> float:
+    return min(
+        step_filter.forecast(now_ms + horizon_ms)
+        for horizon_ms in FORECAST_HORIZONS_MS
+    )
 
 
-def _turn(pair: tuple[Run, Step]) -> float:
-    # Those that are nearest their end first: they make room for the others.
+def _most_progress_first(pair: tuple[Run, Step]) -> float:
+    # Runs near their end free their resources soonest.
     return -pair[0].percent
 
 
-def _tail_share(pair: tuple[Run, Step]) -> float:
+def _share_of_target(pair: tuple[Run, Step]) -> float:
     run, step = pair
     return run.figure / step.spec.target_ms
 
 
-def _unexplained(run: Run, now_ms: int) -> bool:
-    return run.over_ms > 0 and now_ms - run.over_ms >= UNEXPLAINED_MS
+def _over_target_too_long(run: Run, now_ms: int) -> bool:
+    return run.over_ms > 0 and now_ms - run.over_ms >= MAX_OVER_TARGET_MS
--- a/waxwingford/scheduling/_placing.py
+++ b/waxwingford/scheduling/_placing.py
@@ -2,7 +2,7 @@
 
 from waxwingford.ports import fits_resources
 from waxwingford.scheduling import _gangs as gangs
-from waxwingford.scheduling._admission import FillAdmission
+from waxwingford.scheduling._admission import BestEffortAdmission
 from waxwingford.scheduling._book import Book
 from waxwingford.scheduling._choices import Choices
 from waxwingford.scheduling._crashes import is_suspect
@@ -56,7 +56,7 @@
         :param model: of what harms what.
         """
         self._book = book
-        self._admission = FillAdmission(model)
+        self._admission = BestEffortAdmission(model)
         self._fills_ms = 0
         self._fills_due_ms = 0
         self._looks = 0
@@ -93,7 +93,7 @@
             # servers with each takes most of an owner's processor.
             return
         usable = self._usable(now_ms)
-        self._admission.update(usable)
+        self._admission.begin(usable)
         self._isolation.begin(usable)
         self._looks = 0
         self._choices_by_step.clear()
@@ -122,7 +122,7 @@
         steps = step.job.steps_by_occurrence[step.occurrence]
         turn = waiting(task, step, queue, work_left(steps), now_ms)
         usable = self._usable(now_ms)
-        self._admission.update(usable)
+        self._admission.begin(usable)
         return self._fitting(turn, usable, now_ms)
 
     def _usable(self, now_ms: int) -> list[Server]:
@@ -289,7 +289,7 @@
             if fits_resources(takes, self._holds.room(server))
         ]
         if step.spec.fills:
-            fitting = self._admission.bearing(step, service, fitting, now_ms)
+            fitting = self._admission.admitting(step, service, fitting, now_ms)
         if turn.queue.advised and fitting:
             return self._book.advice.allowed(step, fitting, now_ms)
         return fitting
--- a/waxwingford/scheduling/_samples.py
+++ b/waxwingford/scheduling/_samples.py
@@ -1,73 +1,81 @@
-"""Headroom of a serving task between two looks, from the tails that they listed."""
+"""Headroom samples of serving tasks, from the tail latencies of two polls."""
 
 import math
 from typing import NamedTuple
 
 from waxwingford.scheduling._runners import RunKey
 
-#: The tail listed is an average that forgets with this time, in ms.
-SMOOTHED_MS = 500
-#: A sample is of the middle of its span, but of no longer ago than this, in ms.
-MOST_LAG_MS = 400
-#: Standard deviation of a listed tail's rounding to whole ms, in ms.
-ROUNDING_MS = 0.3
-#: That of a sample of headroom as a share of it, and of what is left of a
-#: former tail as a share of that: servers average at steps of their own.
+#: Time constant of the exponential average that servers report, in ms.
+SMOOTHING_MS = 500
+#: Upper bound on the age that a sample is attributed to, in ms.
+MAX_LAG_MS = 400
+#: Standard deviation of rounding a reported tail latency to whole ms, in ms.
+ROUNDING_DEVIATION_MS = 0.3
+#: Standard deviation of a headroom sample, relative to its value.
 NOISE_SHARE = 0.08
-LEFTOVER_SHARE = 0.1
-#: A tail is taken for this at least, in ms.
-LEAST_TAIL_MS = 0.5
+#: Standard deviation of the remainder of the previous average, relative to it;
+#: accounts for servers that average in steps of different length.
+REMAINDER_NOISE_SHARE = 0.1
+#: Lower bound of the reconstructed tail latency, in ms.
+MIN_TAIL_LATENCY_MS = 0.5
 _MS_IN_S = 1000
 
 
-class Seen(NamedTuple):
-    """What a look at a server listed.
+class Observation(NamedTuple):
+    """Figures that a server reported in one poll.
 
-    :ivar at_ms: when, steady time.
-    :ivar tail_by_run: tails of serving runs, in ms.
-    :ivar share_by_image: cpu in use by fills, of the server's.
+    :ivar at_ms: monotonic time of the poll.
+    :ivar tail_latency_by_run: of serving runs, in ms.
+    :ivar share_by_image: share of the server's CPU in use by best-effort runs.
     """
 
     at_ms: int
-    tail_by_run: dict[RunKey, float]
+    tail_latency_by_run: dict[RunKey, float]
     share_by_image: dict[str, float]
 
 
 class Sample(NamedTuple):
     """A measured headroom.
 
-    :ivar headroom: its value.
-    :ivar variance: of its error.
-    :ivar before_s: how long ago it was so.
+    :ivar headroom: target as a multiple of the tail latency.
+    :ivar variance: of the measurement error.
+    :ivar age_s: age of the measured state, in seconds.
     """
 
     headroom: float
     variance: float
-    before_s: float
+    age_s: float
 
 
 def take_sample(
-    target_ms: int, before_ms: float, tail_ms: float, seen: Seen, former: Seen
+    target_ms: int,
+    previous_ms: float,
+    current_ms: float,
+    current: Observation,
+    previous: Observation,
 ) -> Sample:
-    """Work out the tail since the look before, and its headroom.
+    """Compute the headroom of a task between two polls.
 
-    A listed tail forgets slowly: after one bad moment it stays over its target
-    for a second. What it was in between follows from two of them.
+    The reported tail latency is an exponential average, which stays over the
+    target for a second after a short spike. Removing the decayed previous
+    average yields the latency within the interval.
 
-    :param target_ms: of the task.
-    :param before_ms: tail that the look before listed.
-    :param tail_ms: tail that the newest look listed.
-    :param seen: the newest look.
-    :param former: the look before.
+    :param target_ms: tail latency target of the task.
+    :param previous_ms: tail latency reported by the previous poll.
+    :param current_ms: tail latency reported by the latest poll.
+    :param current: figures of the latest poll.
+    :param previous: figures of the previous poll.
     :returns: the sample.
     """
-    span_ms = seen.at_ms - former.at_ms
-    kept = math.exp(-span_ms / SMOOTHED_MS)
-    tail = max(LEAST_TAIL_MS, (tail_ms - kept * before_ms) / (1 - kept))
-    rounding = ROUNDING_MS * math.hypot(1, kept)
-    leftover = LEFTOVER_SHARE * kept * before_ms
-    deviation_ms = math.hypot(rounding, leftover) / (1 - kept)
-    headroom = target_ms / tail
-    deviation = headroom * math.hypot(NOISE_SHARE, deviation_ms / tail)
-    before_s = min(span_ms / 2, MOST_LAG_MS) / _MS_IN_S
-    return Sample(headroom, deviation**2, before_s)
+    span_ms = current.at_ms - previous.at_ms
+    decay = math.exp(-span_ms / SMOOTHING_MS)
+    tail_latency = max(
+        MIN_TAIL_LATENCY_MS, (current_ms - decay * previous_ms) / (1 - decay)
+    )
+    rounding = ROUNDING_DEVIATION_MS * math.hypot(1, decay)
+    remainder = REMAINDER_NOISE_SHARE * decay * previous_ms
+    deviation_ms = math.hypot(rounding, remainder) / (1 - decay)
+    headroom = target_ms / tail_latency
+    deviation = headroom * math.hypot(NOISE_SHARE, deviation_ms / tail_latency)
+    age_s = min(span_ms / 2, MAX_LAG_MS) / _MS_IN_S
+    return Sample(headroom, deviation**2, age_s)
