--- a/waxwingford/scheduling/_advice.py
+++ b/waxwingford/scheduling/_advice.py
@@ -1,4 +1,9 @@
-"""Leave to run the steps of queues whose policy is known to a service only."""
+"""Start tickets for steps whose eligible servers only the advice service knows.
+
+The policy of an advised queue is kept by an external service. It returns a
+ticket for each server that may run a step, and servers refuse starts without a
+valid one.
+"""
 
 import dataclasses
 import math
@@ -9,35 +14,33 @@
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Step
 
-#: Servers that one question names at most: the service takes time for each,
-#: and a step seldom needs more.
-MOST_ASKED = 30
-#: The same for a gang that needs so many at once: the service takes no more.
-MOST_NAMED = 100
-#: Time between two checks whether a gang needs further servers, in ms: a
-#: question takes longer than this, and decisions are made every few ms.
-CHECK_EVERY_MS = 100
-#: Part of a ticket's validity in which it is still used: the start has to
-#: arrive while it is valid.
-USABLE_SHARE = 0.8
-#: What a ticket has to have left when a run is planned on it, in ms: its record
-#: has to be stored, and orders to the server may go first. From submission to
-#: start takes 55 ms where nothing is slow; five times that, for a line of them.
-PLAN_LEFT_MS = 280
-#: Part of what a ticket has left when it comes for which runs are planned on it
-#: at least: where tickets are short, nothing would ever start otherwise.
-PLAN_SHARE = 0.5
+#: Servers named in a request, unless a gang needs more: the service takes time
+#: for each.
+DEFAULT_REQUEST_SERVERS = 30
+#: Servers that the service accepts in one request at most.
+MAX_REQUEST_SERVERS = 100
+#: Shortest time between two checks whether a gang needs more tickets, in ms.
+GANG_CHECK_INTERVAL_MS = 100
+#: Share of a ticket's validity in which starts are sent with it, so that they
+#: arrive in time.
+USABLE_VALIDITY_SHARE = 0.8
+#: Validity that a ticket must have left when a run is planned with it, in ms:
+#: the run has to be stored and earlier orders sent first.
+PLANNING_MARGIN_MS = 280
+#: Upper bound of that margin, as a share of the validity left on arrival, so
+#: that short-lived tickets are usable as well.
+MAX_PLANNING_MARGIN_SHARE = 0.5
 
 
 _room = operator.attrgetter('room')
 
 
 class Ticket(NamedTuple):
-    """Leave to start tasks of a step on a server.
+    """Permission to start tasks of a step on a server.
 
-    :ivar text: carried by the start.
-    :ivar until_ms: starts are sent before, steady time.
-    :ivar plan_until_ms: runs are planned before, steady time.
+    :ivar text: sent with the start.
+    :ivar until_ms: monotonic time until which starts are sent with it.
+    :ivar plan_until_ms: monotonic time until which runs are planned with it.
     """
 
     text: str
@@ -46,13 +49,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class StepAdvice:
-    """What is known of one step.
+class StepTickets:
+    """Tickets of one step.
 
     :ivar ticket_by_server: of eligible servers.
-    :ivar refused: servers that may not run it; that doesn't change.
-    :ivar checked_ms: when it was last checked whether a gang needs further
-        servers, steady time.
+    :ivar refused: servers that may not run the step; permanent.
+    :ivar checked_ms: monotonic time of the latest check whether a gang needs
+        more tickets.
     """
 
     ticket_by_server: dict[str, Ticket] = dataclasses.field(
@@ -62,11 +65,11 @@
     checked_ms: float = -math.inf
 
 
-class Question(NamedTuple):
-    """What to ask the service.
+class TicketRequest(NamedTuple):
+    """Request to the advice service.
 
-    :ivar step: the step.
-    :ivar server_ids: servers that might run it.
+    :ivar step: to run.
+    :ivar server_ids: candidate servers.
     """
 
     step: Step
@@ -74,169 +77,186 @@
 
 
 class AdviceBook:
-    """Tickets by step, and the questions that are open."""
+    """Tickets by step, and pending requests for more."""
 
     def __init__(self) -> None:
-        """Know nothing."""
-        self._advice_by_step: dict[str, StepAdvice] = {}
-        self._question_by_step: dict[str, Question] = {}
+        """Start without tickets."""
+        self._tickets_by_step: dict[str, StepTickets] = {}
+        self._request_by_step: dict[str, TicketRequest] = {}
 
     def allowed(
         self, step: Step, servers: list[Server], now_ms: int
     ) -> list[Server]:
-        """Keep the servers that may run a step; ask if they don't suffice.
+        """Keep the servers with a ticket; request more if they don't suffice.
 
         :param step: of an advised queue.
-        :param servers: with room for it.
-        :param now_ms: steady time.
-        :returns: those with a ticket that a start can still be in time for.
+        :param servers: with free resources for a task of the step.
+        :param now_ms: monotonic time.
+        :returns: servers on which runs may be planned.
         """
-        advice = self._advice_by_step.setdefault(step.name, StepAdvice())
+        tickets = self._tickets_by_step.setdefault(step.name, StepTickets())
         allowed = [
             server
             for server in servers
-            if _may_plan(advice, server.entry.server_id, now_ms)
+            if _may_plan(tickets, server.entry.server_id, now_ms)
         ]
         possible = [
             server
             for server in servers
-            if server.entry.server_id not in advice.refused
+            if server.entry.server_id not in tickets.refused
         ]
         if step.spec.gang and len(allowed) < len(possible):
-            self._ask_for_gang(step, allowed, possible, now_ms)
+            self._request_for_gang(step, allowed, possible, now_ms)
         elif not allowed:
-            self._ask(step, possible, set(), now_ms)
+            self._request(step, possible, set(), now_ms)
         return allowed
 
     def ticket(self, step: Step, server_id: str, now_ms: int) -> str:
-        """Find a ticket that is valid when a start that is sent now arrives.
+        """Find a ticket that is still valid when a start arrives.
 
         :param step: of an advised queue.
-        :param server_id: where it would run.
-        :param now_ms: steady time.
-        :returns: the ticket, empty if there is none.
+        :param server_id: server to run it.
+        :param now_ms: monotonic time at which the start is sent.
+        :returns: the ticket's text, empty if there is none.
         """
-        advice = self._advice_by_step.get(step.name)
-        if advice is None:
+        tickets = self._tickets_by_step.get(step.name)
+        if tickets is None:
             return ''
-        ticket = advice.ticket_by_server.get(server_id)
+        ticket = tickets.ticket_by_server.get(server_id)
         valid = ticket is not None and now_ms < ticket.until_ms
         return ticket.text if valid else ''
 
-    def next_question(self) -> Question | None:
-        """Take the question that has waited longest.
+    def next_question(self) -> TicketRequest | None:
+        """Remove and return the oldest pending request.
 
-        :returns: the question, ``None`` if there is none.
+        :returns: the request, ``None`` if there is none.
         """
-        if not self._question_by_step:
+        if not self._request_by_step:
             return None
-        name = next(iter(self._question_by_step))
-        return self._question_by_step.pop(name)
+        name = next(iter(self._request_by_step))
+        return self._request_by_step.pop(name)
 
     def answered(
         self,
-        question: Question,
-        ticket_by_server: dict[str, str],
-        asked_ms: int,
+        request: TicketRequest,
+        text_by_server: dict[str, str],
+        sent_ms: int,
         validity_ms: int,
         now_ms: int,
     ) -> None:
-        """Note an answer.
+        """Apply a response of the service.
 
-        :param question: what was asked.
-        :param ticket_by_server: of the eligible servers.
-        :param asked_ms: when it was asked, steady time.
+        :param request: that was sent.
+        :param text_by_server: tickets of the eligible servers.
+        :param sent_ms: monotonic time at which the request was sent.
         :param validity_ms: of the tickets.
-        :param now_ms: when the answer came, steady time.
+        :param now_ms: monotonic time at which the response arrived.
         """
-        advice = self._advice_by_step.get(question.step.name)
-        if advice is None:
-            # The step was forgotten meanwhile: its job has ended.
+        tickets = self._tickets_by_step.get(request.step.name)
+        if tickets is None:
+            # The job has ended in the meantime.
             return
-        until_ms = asked_ms + validity_ms * USABLE_SHARE
-        kept_ms = min(PLAN_LEFT_MS, PLAN_SHARE * (until_ms - now_ms))
-        advice.ticket_by_server.update(
-            (server_id, Ticket(text, until_ms, until_ms - kept_ms))
-            for server_id, text in ticket_by_server.items()
+        until_ms = sent_ms + validity_ms * USABLE_VALIDITY_SHARE
+        margin_ms = min(
+            PLANNING_MARGIN_MS,
+            MAX_PLANNING_MARGIN_SHARE * (until_ms - now_ms),
+        )
+        tickets.ticket_by_server.update(
+            (server_id, Ticket(text, until_ms, until_ms - margin_ms))
+            for server_id, text in text_by_server.items()
         )
-        advice.checked_ms = -math.inf
-        asked = set(question.server_ids)
-        advice.refused |= asked - ticket_by_server.keys()
-        # Decisions were made while the service was at work, and have put the
-        # same question again.
-        self._question_by_step.pop(question.step.name, None)
+        tickets.checked_ms = -math.inf
+        requested = set(request.server_ids)
+        tickets.refused |= requested - text_by_server.keys()
+        # Placement rounds during the call have queued the same request again.
+        self._request_by_step.pop(request.step.name, None)
 
     def forget(self, step: Step) -> None:
-        """Drop what is kept of a step that is over.
+        """Drop the tickets and the request of a finished step.
 
-        :param step: which.
+        :param step: that has finished.
         """
-        self._advice_by_step.pop(step.name, None)
-        self._question_by_step.pop(step.name, None)
+        self._tickets_by_step.pop(step.name, None)
+        self._request_by_step.pop(step.name, None)
 
-    def _ask_for_gang(
+    def _request_for_gang(
         self,
         step: Step,
         allowed: list[Server],
         possible: list[Server],
         now_ms: int,
     ) -> None:
-        """Ask if a gang has room, but not on the servers with tickets.
+        """Request tickets for a gang that fits, but not on allowed servers only.
 
-        While it has no room at all, further tickets would only keep other steps
-        from the service.
+        Requests for a gang that doesn't fit at all would only delay those of
+        other steps.
 
         :param step: of the gang.
         :param allowed: servers with tickets.
-        :param possible: these, and those that the service didn't refuse.
-        :param now_ms: steady time.
+        :param possible: servers that the service hasn't refused.
+        :param now_ms: monotonic time.
         """
-        advice = self._advice_by_step[step.name]
-        if now_ms - advice.checked_ms < CHECK_EVERY_MS:
+        tickets = self._tickets_by_step[step.name]
+        if now_ms - tickets.checked_ms < GANG_CHECK_INTERVAL_MS:
             return
-        advice.checked_ms = now_ms
+        tickets.checked_ms = now_ms
         if allowed and (
-            not gangs.is_whole(step) or gangs.find_seats(step, allowed, _room)
+            not gangs.is_ready(step)
+            or gangs.assign_members(step, allowed, _room)
         ):
             return
-        seats = gangs.find_seats(step, possible, _room)
-        if seats or not allowed:
-            seated = {seat.server.entry.server_id for seat in seats or ()}
-            self._ask(step, possible, seated, now_ms)
-
-    def _ask(
+        assignments = gangs.assign_members(step, possible, _room)
+        if assignments or not allowed:
+            assigned = {
+                assignment.server.entry.server_id
+                for assignment in assignments or ()
+            }
+            self._request(step, possible, assigned, now_ms)
+
+    def _request(
         self,
         step: Step,
         possible: list[Server],
-        seated: set[str],
+        assigned: set[str],
         now_ms: int,
     ) -> None:
-        """Put a question, in the place of an open one about the same step.
+        """Queue a request, replacing a pending one of the same step.
 
-        :param step: which.
-        :param possible: servers that the service didn't refuse.
-        :param seated: servers that a gang would get. All are named, with
-            tickets or not: those that are named in turn run out in turn.
-        :param now_ms: steady time.
+        :param step: to run.
+        :param possible: servers that the service hasn't refused.
+        :param assigned: servers that the members of a gang would use. All of
+            them are named, so that their tickets expire at the same time.
+        :param now_ms: monotonic time.
         """
-        advice = self._advice_by_step[step.name]
-        names = [server.entry.server_id for server in possible]
-        held = {name for name in names if _may_plan(advice, name, now_ms)}
-        asked = [name for name in names if name in seated or name not in held]
-        # Without a ticket first, and of the rest those that were eligible before.
-        asked.sort(
-            key=lambda name: (
-                name not in seated,
-                name in held,
-                name not in advice.ticket_by_server,
+        tickets = self._tickets_by_step[step.name]
+        server_ids = [server.entry.server_id for server in possible]
+        held = {
+            server_id
+            for server_id in server_ids
+            if _may_plan(tickets, server_id, now_ms)
+        }
+        requested = [
+            server_id
+            for server_id in server_ids
+            if server_id in assigned or server_id not in held
+        ]
+        # Assigned servers first, then those without a usable ticket; in each
+        # group formerly eligible ones first.
+        requested.sort(
+            key=lambda server_id: (
+                server_id not in assigned,
+                server_id in held,
+                server_id not in tickets.ticket_by_server,
             )
         )
-        most = min(MOST_NAMED, max(MOST_ASKED, len(seated)))
-        if asked:
-            question = Question(step, tuple(asked[:most]))
-            self._question_by_step[step.name] = question
+        limit = min(
+            MAX_REQUEST_SERVERS, max(DEFAULT_REQUEST_SERVERS, len(assigned))
+        )
+        if requested:
+            request = TicketRequest(step, tuple(requested[:limit]))
+            self._request_by_step[step.name] = request
 
 
-def _may_plan(advice: StepAdvice, server_id: str, now_ms: int) -> bool:
-    ticket = advice.ticket_by_server.get(server_id)
+def _may_plan(tickets: StepTickets, server_id: str, now_ms: int) -> bool:
+    ticket = tickets.ticket_by_server.get(server_id)
     return ticket is not None and now_ms < ticket.plan_until_ms
--- a/waxwingford/scheduling/_blame.py
+++ b/waxwingford/scheduling/_blame.py
@@ -1,95 +1,94 @@
-"""Blame of backend servers for runs that failed there or stood still.
+"""Excludes backend servers from placement after failed or stalled runs.
 
-A server with much blame gets no starts for a while, unless it is the last one for
-a task that waits.
+Each failed run adds to a decaying penalty of its server. A server whose penalty
+reaches the threshold gets no starts for a while, unless it is the last one for
+a pending task.
 """
 
 from waxwingford.ports import fits_resources
 from waxwingford.scheduling._book import Book
-from waxwingford.scheduling._eligibility import eligible, suits
+from waxwingford.scheduling._eligibility import eligible, matches
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Step
 
-#: Blame of a server for one failed run and for one that stood still; what is
-#: at or over the threshold bars it for `BLAMED_BAR_MS`.
+#: Penalties for one failed and for one stalled run.
 BLAME_FAILED = 1.0
 BLAME_STUCK = 2.0
-BLAME_THRESHOLD = 2.5
-BLAMED_BAR_MS = 4000
-#: The same for the last server that is left for a task, in ms: a task that may
-#: wait 3 s is there in time, and one that fails at once isn't started all the time.
-LAST_BAR_MS = 1000
-#: A run that ended well takes this share of the blame away.
+#: Penalty from which on a server is excluded.
+PENALTY_THRESHOLD = 2.5
+EXCLUSION_MS = 4000
+#: Exclusion of the last server that can run a pending task, in ms.
+LAST_SERVER_EXCLUSION_MS = 1000
+#: Factor of the penalty for a run that succeeded.
 PRAISE_FACTOR = 0.6
-#: Time in which half of the blame is gone, in ms. Failures that lie 15 s apart
-#: never add up to the threshold: lasting tasks fail now and then by their own
-#: fault, and never end well. A server that fails all that it starts fails several
-#: runs within the seconds in between.
-BLAME_HALF_LIFE_MS = 20_000
+#: Half-life of the penalty, in ms. Occasional failures, as of long-running tasks
+#: that never succeed, must not add up to the threshold.
+PENALTY_HALF_LIFE_MS = 20_000
 
 
-def blame_server(server: Server, blame: float, now_ms: int) -> None:
-    """Count a failure against a server, and bar it when there are many.
+def blame_server(server: Server, penalty: float, now_ms: int) -> None:
+    """Add a penalty, and exclude the server at the threshold.
 
-    A job that fails everywhere must not bar good servers, so one failure is
-    never enough; a server that fails all it starts reaches the threshold with
-    few tasks lost.
+    A single failure never excludes a server, as a job may fail everywhere.
 
-    :param server: where it happened.
-    :param blame: how much.
-    :param now_ms: steady time.
+    :param server: on which a run failed or stalled.
+    :param penalty: to add.
+    :param now_ms: monotonic time.
     """
     fade_blame(server, now_ms)
-    server.blame += blame
-    if server.blame >= BLAME_THRESHOLD:
-        server.blamed_until_ms = now_ms + BLAMED_BAR_MS
-        server.blame = BLAME_THRESHOLD / 2
+    server.blame += penalty
+    if server.blame >= PENALTY_THRESHOLD:
+        server.blamed_until_ms = now_ms + EXCLUSION_MS
+        server.blame = PENALTY_THRESHOLD / 2
 
 
 def fade_blame(server: Server, now_ms: int) -> None:
-    """Let blame go with time.
+    """Decay the penalty of a server.
 
-    :param server: whose.
-    :param now_ms: steady time.
+    :param server: to update.
+    :param now_ms: monotonic time.
     """
-    passed_ms = now_ms - server.faded_ms
+    elapsed_ms = now_ms - server.faded_ms
     server.faded_ms = now_ms
     if server.blame:
-        server.blame *= 0.5 ** (passed_ms / BLAME_HALF_LIFE_MS)
+        server.blame *= 0.5 ** (elapsed_ms / PENALTY_HALF_LIFE_MS)
 
 
 def spare_last_servers(book: Book, now_ms: int) -> None:
-    """Lift the bar of a server that is the last one for a task, after a second.
+    """Readmit servers that are the last ones for a pending task.
 
-    Of several that are barred only the one with least blame is let up.
+    Applies after ``LAST_SERVER_EXCLUSION_MS``. Of several excluded servers only
+    the one with the lowest penalty is readmitted.
 
     :param book: of the shard.
-    :param now_ms: steady time.
+    :param now_ms: monotonic time.
     """
-    alive = [
+    available = [
         server for server in book.server_by_id.values() if server.takes_part
     ]
-    barred = [
+    excluded = [
         server
-        for server in alive
+        for server in available
         if server.refused_until_ms <= now_ms < server.blamed_until_ms
-        and server.blamed_until_ms - now_ms <= BLAMED_BAR_MS - LAST_BAR_MS
+        and server.blamed_until_ms - now_ms
+        <= EXCLUSION_MS - LAST_SERVER_EXCLUSION_MS
     ]
-    if not barred:
+    if not excluded:
         return
-    free = [server for server in alive if server.barred_until_ms <= now_ms]
-    for step in _waiting_steps(book):
-        # First the few that are barred: this is asked often, and hundreds of
-        # steps may wait.
-        spared = _with_room(book, step, barred)
-        if spared and not _is_left(book, step, free):
-            least = min(spared, key=lambda server: server.blame)
-            least.blamed_until_ms = now_ms
-            barred.remove(least)
-            free.append(least)
-
-
-def _waiting_steps(book: Book) -> list[Step]:
+    included = [
+        server for server in available if server.barred_until_ms <= now_ms
+    ]
+    for step in _pending_steps(book):
+        # Check the few excluded servers first: hundreds of steps may be pending.
+        candidates = _with_room(book, step, excluded)
+        if candidates and not _has_alternative(book, step, included):
+            readmitted = min(candidates, key=lambda server: server.blame)
+            readmitted.blamed_until_ms = now_ms
+            excluded.remove(readmitted)
+            included.append(readmitted)
+
+
+def _pending_steps(book: Book) -> list[Step]:
     step_by_name: dict[str, Step] = {}
     for task in book.ready_by_key.values():
         job = book.job_by_id.get(task.key.job_id)
@@ -99,23 +98,24 @@
     return list(step_by_name.values())
 
 
-def _is_left(book: Book, step: Step, free: list[Server]) -> bool:
-    """Tell whether a step's tasks can wait for a server that isn't barred.
+def _has_alternative(book: Book, step: Step, included: list[Server]) -> bool:
+    """Tell whether a step can wait for a server that isn't excluded.
 
-    Tasks that end make room within a short time, those that last don't.
+    Long-running tasks need free resources now. Others can wait for resources
+    that finishing tasks release.
 
     :param book: of the shard.
-    :param step: that waits.
-    :param free: servers that take part and aren't barred.
-    :returns: whether bars may stand.
+    :param step: that is pending.
+    :param included: available servers that aren't excluded.
+    :returns: whether one of them can run the step.
     """
     if step.spec.lasting:
-        return bool(_with_room(book, step, free))
+        return bool(_with_room(book, step, included))
     service = book.queue_of(step.job).service
     return any(
-        suits(step, service, server)
+        matches(step, service, server)
         and fits_resources(step.spec.takes, server.entry.capacity)
-        for server in free
+        for server in included
     )
 
 
--- a/waxwingford/scheduling/_choices.py
+++ b/waxwingford/scheduling/_choices.py
@@ -1,11 +1,9 @@
-"""Servers with room for the tasks of a step, cheapest first, in one round.
+"""Priority queue of the servers that can run a task of one step.
 
-Steps have up to hundreds of tasks, and a fleet has hundreds of servers. To go
-through all servers for each task makes a round as long as tasks times servers;
-heartbeats and looks are late by that much, and the owner is taken for lost.
-Within a round room only shrinks, and only on servers on which something was
-placed or room is kept. So all servers are rated once for a step, and after that
-only those that have changed.
+Within a placement round free resources only shrink, and only on servers that
+got a run or a reservation. So each server is evaluated once per step, and after
+that only when it has changed: a scan of all servers for each task would take
+tasks times servers and delay heartbeats on large fleets.
 """
 
 import heapq
@@ -15,30 +13,30 @@
 from waxwingford.scheduling._servers import Server
 
 
-class _Rated(NamedTuple):
-    # ``number`` orders servers of one cost as they were given; a rating counts
-    # while ``rating`` is the newest of its server.
+class _Candidate(NamedTuple):
+    # ``number`` breaks ties of cost by the given order of servers; entries whose
+    # ``version`` isn't the latest of their server are stale.
     cost: float
     number: int
-    rating: int
+    version: int
 
 
-class Choices:
-    """Servers that may take a task of one step."""
+class CandidateQueue:
+    """Servers that can run a task of one step, by cost."""
 
     def __init__(
         self,
         servers: list[Server],
         fit: Callable[[list[Server]], list[Server]],
         cost: Callable[[Server], float],
-        seen: int,
+        changed_count: int,
     ) -> None:
-        """Rate servers.
+        """Evaluate all servers.
 
-        :param servers: that take starts.
-        :param fit: chooses those with room for a task.
-        :param cost: of a task on a server with room, lower is better.
-        :param seen: how many have changed in this round so far.
+        :param servers: that accept starts.
+        :param fit: keeps the servers with free resources for a task.
+        :param cost: of a task on a server; lower is better.
+        :param changed_count: changes of servers in this round so far.
         """
         self._servers = servers
         self._fit = fit
@@ -47,34 +45,34 @@
             server.entry.server_id: number
             for number, server in enumerate(servers)
         }
-        self._ratings = [0 for _ in servers]
-        self._rated = [self._rate(server) for server in fit(servers)]
-        heapq.heapify(self._rated)
-        self._seen = seen
+        self._versions = [0 for _ in servers]
+        self._heap = [self._evaluate(server) for server in fit(servers)]
+        heapq.heapify(self._heap)
+        self._changed_count = changed_count
 
     def best(self, changed: list[Server]) -> Server | None:
-        """Choose a server.
+        """Return the cheapest server.
 
-        :param changed: servers of this round on which something was placed or
-            room is kept, in order.
-        :returns: the cheapest, ``None`` if none has room.
+        :param changed: servers that got a run or a reservation in this round,
+            in order.
+        :returns: the server, ``None`` if no server fits.
         """
-        for server in dict.fromkeys(changed[self._seen :]):
-            self._renew(server)
-        self._seen = len(changed)
-        while self._rated:
-            first = self._rated[0]
-            if first.rating == self._ratings[first.number]:
+        for server in dict.fromkeys(changed[self._changed_count :]):
+            self._update(server)
+        self._changed_count = len(changed)
+        while self._heap:
+            first = self._heap[0]
+            if first.version == self._versions[first.number]:
                 return self._servers[first.number]
-            heapq.heappop(self._rated)
+            heapq.heappop(self._heap)
         return None
 
-    def _renew(self, server: Server) -> None:
+    def _update(self, server: Server) -> None:
         number = self._number_by_server[server.entry.server_id]
-        self._ratings[number] += 1
+        self._versions[number] += 1
         for fitting in self._fit([server]):
-            heapq.heappush(self._rated, self._rate(fitting))
+            heapq.heappush(self._heap, self._evaluate(fitting))
 
-    def _rate(self, server: Server) -> _Rated:
+    def _evaluate(self, server: Server) -> _Candidate:
         number = self._number_by_server[server.entry.server_id]
-        return _Rated(self._cost(server), number, self._ratings[number])
+        return _Candidate(self._cost(server), number, self._versions[number])
--- a/waxwingford/scheduling/_eligibility.py
+++ b/waxwingford/scheduling/_eligibility.py
@@ -1,16 +1,19 @@
-"""Which backend servers may run the tasks of a step, with room or without."""
+"""Selects the backend servers that may run the tasks of a step.
+
+Free resources are not considered here.
+"""
 
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Step
 
 
-def suits(step: Step, service: str, server: Server) -> bool:
-    """Tell whether a server is of the kind that a step asks for.
+def matches(step: Step, service: str, server: Server) -> bool:
+    """Tell whether a server has the service and label that a step requires.
 
-    :param step: which.
+    :param step: to run.
     :param service: whose servers run it.
-    :param server: which.
-    :returns: whether it is of that service and has the step's label.
+    :param server: to check.
+    :returns: whether both match.
     """
     label = step.spec.label
     if server.entry.service != service:
@@ -21,16 +24,16 @@
 def eligible(step: Step, service: str, servers: list[Server]) -> list[Server]:
     """List the servers that may run one more task of a step.
 
-    :param step: which.
+    :param step: to run.
     :param service: whose servers run it.
-    :param servers: from these.
-    :returns: those that suit it and are below its bound for one server.
+    :param servers: to choose from.
+    :returns: matching servers below the step's limit of tasks per server.
     """
     counts = step.per_server() if step.spec.most_per_server else {}
-    most = step.spec.most_per_server or len(step.tasks) + 1
+    limit = step.spec.most_per_server or len(step.tasks) + 1
     return [
         server
         for server in servers
-        if counts.get(server.entry.server_id, 0) < most
-        and suits(step, service, server)
+        if counts.get(server.entry.server_id, 0) < limit
+        and matches(step, service, server)
     ]
--- a/waxwingford/scheduling/_gangs.py
+++ b/waxwingford/scheduling/_gangs.py
@@ -1,9 +1,8 @@
-"""Steps whose tasks work only all together.
+"""Gang scheduling: steps whose tasks run only all together.
 
-A member that is alone waits for the others and is given up after a while, and
-all that its servers kept for it is lost. So all members are placed at once or
-none is, under one run number, and when one start fails the others are stopped
-without waiting for that.
+All members are placed at once, or none, and share one run number. A member on
+its own would hold its resources until it times out, so when a start fails the
+other members are stopped right away.
 """
 
 from collections.abc import Callable
@@ -14,73 +13,73 @@
 from waxwingford.scheduling._state import Step, Task
 
 
-class Seat(NamedTuple):
-    """A place for a member of a gang.
+class Assignment(NamedTuple):
+    """Server assigned to a member of a gang.
 
     :ivar task: the member.
-    :ivar server: where it runs.
+    :ivar server: to run it.
     """
 
     task: Task
     server: Server
 
 
-def is_whole(step: Step) -> bool:
+def is_ready(step: Step) -> bool:
     """Tell whether all members of a gang can be placed now.
 
     :param step: of the gang.
-    :returns: whether none of them has a run that isn't settled.
+    :returns: whether no member has an unsettled run.
     """
     return not any(task.run_by_number for task in step.tasks)
 
 
-def find_seats(
+def assign_members(
     step: Step,
     servers: list[Server],
     room_of: Callable[[Server], Resources],
-) -> list[Seat] | None:
-    """Find places for all members.
+) -> list[Assignment] | None:
+    """Assign a server to each member, on one rack if the step prefers that.
 
     :param step: of the gang.
-    :param servers: that take starts and have what the step asks for.
-    :param room_of: tells what is free for the gang on a server.
-    :returns: a place for each, ``None`` if they don't all fit.
+    :param servers: that accept starts and suit the step.
+    :param room_of: returns the resources of a server that the gang may use.
+    :returns: one assignment per member, ``None`` if they don't all fit.
     """
     if step.spec.one_rack:
         by_rack: dict[str, list[Server]] = {}
         for server in servers:
             by_rack.setdefault(server.entry.rack, []).append(server)
-        for group in by_rack.values():
-            seats = _seats_in(step, group, room_of)
-            if seats is not None:
-                return seats
-    return _seats_in(step, servers, room_of)
+        for rack_servers in by_rack.values():
+            assignments = _assign_to(step, rack_servers, room_of)
+            if assignments is not None:
+                return assignments
+    return _assign_to(step, servers, room_of)
 
 
 def next_run(step: Step) -> int:
-    """Choose the run number that all members share.
+    """Return the run number for the next placement of all members.
 
     :param step: of the gang.
-    :returns: a number above all that any of them had.
+    :returns: a number above all earlier ones of any member.
     """
     return 1 + max(task.last_run for task in step.tasks)
 
 
 def share_checkpoint(step: Step, checkpoint: str) -> None:
-    """Give all members the checkpoint that one of them has written.
+    """Store the checkpoint of one member for all members.
 
     :param step: of the gang.
-    :param checkpoint: newest one.
+    :param checkpoint: the newest one.
     """
     for task in step.tasks:
         task.checkpoint = checkpoint
 
 
 def stop_others(step: Step, run_number: int) -> None:
-    """Stop the members of a run that has lost one.
+    """Stop the remaining members of a run that has lost one.
 
     :param step: of the gang.
-    :param run_number: of the run.
+    :param run_number: shared by the members.
     """
     for task in step.tasks:
         run = task.run_by_number.get(run_number)
@@ -89,41 +88,41 @@
 
 
 def stop_broken(step: Step) -> None:
-    """Stop what is left of a gang that has lost a member.
+    """Stop the remaining members of a gang that has lost one.
 
-    All members are planned in one record. Where one has no run, its run was
-    settled, and the others wait for it in vain.
+    All members are planned in one record, so a member that isn't done and has
+    no run has lost it.
 
     :param step: of the gang.
     """
-    whole = all(task.done or task.run_by_number for task in step.tasks)
-    if whole:
+    complete = all(task.done or task.run_by_number for task in step.tasks)
+    if complete:
         return
     for task in step.tasks:
         for run in task.run_by_number.values():
             run.stopping = True
 
 
-def _seats_in(
+def _assign_to(
     step: Step,
     servers: list[Server],
     room_of: Callable[[Server], Resources],
-) -> list[Seat] | None:
+) -> list[Assignment] | None:
     needs = step.spec.takes
-    most = step.spec.most_per_server or step.spec.count
-    seats: list[Seat] = []
-    waiting = iter(step.tasks)
-    for server in sorted(servers, key=_room_order):
-        room, held = room_of(server), 0
-        while fits_resources(needs, room) and held < most:
-            task = next(waiting, None)
+    limit = step.spec.most_per_server or step.spec.count
+    assignments: list[Assignment] = []
+    unassigned = iter(step.tasks)
+    for server in sorted(servers, key=_most_cpu_first):
+        room, count = room_of(server), 0
+        while fits_resources(needs, room) and count < limit:
+            task = next(unassigned, None)
             if task is None:
-                return seats
-            seats.append(Seat(task, server))
+                return assignments
+            assignments.append(Assignment(task, server))
             room = subtract_resources(room, needs)
-            held += 1
-    return seats if next(waiting, None) is None else None
+            count += 1
+    return assignments if next(unassigned, None) is None else None
 
 
-def _room_order(server: Server) -> int:
+def _most_cpu_first(server: Server) -> int:
     return -server.room.processors_milli
--- a/waxwingford/scheduling/_holding.py
+++ b/waxwingford/scheduling/_holding.py
@@ -1,9 +1,8 @@
-"""Room kept free for lasting tasks that have waited too long.
+"""Reservations of resources for long-running tasks that are overdue.
 
-What becomes free on a busy server comes in small pieces, and a short task that
-needs no more takes each of them at once. A lasting task that needs several would
-wait for as long as there is short work. So one server is chosen for it, and
-nothing else is placed on what it needs there.
+On a busy server resources become free in small pieces, which short tasks take
+at once, so that a large long-running task would starve. For an overdue task one
+server is chosen, and nothing else is placed on the resources it needs there.
 """
 
 from collections.abc import Callable
@@ -18,133 +17,137 @@
 from waxwingford.scheduling._specs import StepSpec
 from waxwingford.scheduling._state import Step
 
-#: Tasks for which room is kept at a time, and steps for which a server is looked
-#: for in a round: the longest-waiting first. Room that is kept is idle meanwhile,
-#: and each look goes through all servers.
-MOST_HELD = 8
-MOST_SOUGHT = 16
-#: A step that no server can hold is not looked for again for this time, in ms: the
-#: others have their turn, and lasting tasks leave seldom.
-SEEK_AGAIN_MS = 400
-#: Tasks with a longer estimate are not waited for, in ms: with a task that waits
-#: for 2 s before, the one that room is kept for is at work within 6 s.
-SOON_MS = 4000
-_NOTHING = Resources(0, 0, 0)
+#: Reservations at a time; reserved resources are idle.
+MAX_RESERVATIONS = 8
+#: Searches for a server in one round; each goes through all servers.
+MAX_SEARCHES = 16
+#: Time before a search that found no server is repeated for a step, in ms.
+SEARCH_RETRY_MS = 400
+#: Estimated length up to which a running task is waited for, in ms.
+MAX_AWAITED_MS = 4000
+_NO_RESOURCES = Resources(0, 0, 0)
 
 
-class Holds:
-    """Room that is kept, worked out anew in each round."""
+class Reservations:
+    """Reserved resources by server, recomputed in each placement round."""
 
     def __init__(self) -> None:
-        """Keep nothing."""
-        self._held_by_server: dict[str, Resources] = {}
-        self._held = 0
-        self._sought = 0
+        """Start without reservations."""
+        self._reserved_by_server: dict[str, Resources] = {}
+        self._reservations = 0
+        self._searches = 0
         self._now_ms = 0
-        self._again_ms_by_step: dict[str, int] = {}
+        self._retry_ms_by_step: dict[str, int] = {}
 
     def begin(self, now_ms: int) -> None:
-        """Begin a round.
+        """Begin a placement round.
 
-        :param now_ms: steady time.
+        :param now_ms: monotonic time.
         """
-        self._held_by_server.clear()
-        self._held = 0
-        self._sought = 0
+        self._reserved_by_server.clear()
+        self._reservations = 0
+        self._searches = 0
         self._now_ms = now_ms
-        if self._again_ms_by_step:
-            self._again_ms_by_step = {
-                name: again_ms
-                for name, again_ms in self._again_ms_by_step.items()
-                if again_ms > now_ms
+        if self._retry_ms_by_step:
+            self._retry_ms_by_step = {
+                name: retry_ms
+                for name, retry_ms in self._retry_ms_by_step.items()
+                if retry_ms > now_ms
             }
 
-    def room(self, server: Server) -> Resources:
-        """Work out what is free for others.
+    def available(self, server: Server) -> Resources:
+        """Return the resources of a server that are neither used nor reserved.
 
-        :param server: where.
-        :returns: its room less what is kept there.
+        :param server: to inspect.
+        :returns: its free resources less its reservations.
         """
-        held = self._held_by_server.get(server.entry.server_id)
-        if held is None:
+        reserved = self._reserved_by_server.get(server.entry.server_id)
+        if reserved is None:
             return server.room
-        return subtract_resources(server.room, held)
+        return subtract_resources(server.room, reserved)
 
-    def seeks(self, step: Step) -> bool:
-        """Tell whether a server is looked for, for a task of a step.
+    def may_search(self, step: Step) -> bool:
+        """Tell whether ``reserve`` may be called for a task of a step.
 
-        :param step: of a task that found no room.
-        :returns: whether ``keep`` is worth the look through the servers.
+        :param step: of a task that doesn't fit on any server.
+        :returns: whether the limits of this round allow another search.
         """
-        if self._held >= MOST_HELD or self._sought >= MOST_SOUGHT:
+        if (
+            self._reservations >= MAX_RESERVATIONS
+            or self._searches >= MAX_SEARCHES
+        ):
             return False
-        return step.name not in self._again_ms_by_step
+        return step.name not in self._retry_ms_by_step
 
-    def keep(self, step: Step, servers: list[Server]) -> Server | None:
-        """Keep room for a task on the server that has it soonest.
+    def reserve(self, step: Step, servers: list[Server]) -> Server | None:
+        """Reserve resources for a task on the server that will fit it first.
 
-        That is the one that lacks least: nothing else is placed there, so it
-        lacks less with each short task that ends. Servers where fills, which may
-        be paced to nothing, or long tasks leave too little come second; where
-        lasting ones do, nothing is kept: it would be idle for good.
+        Chooses the server with the smallest deficit, which shrinks with each
+        short task that ends there. Servers that have to wait for best-effort or
+        long tasks come second, as these may take arbitrarily long. Resources of
+        long-running tasks are never waited for.
 
-        :param step: of the task that found no room.
-        :param servers: those that could take it.
-        :returns: where room is kept now, ``None`` if there is none to keep.
+        :param step: of a task that doesn't fit on any server.
+        :param servers: that are eligible for the task.
+        :returns: the server, ``None`` if no server will fit the task.
         """
-        self._sought += 1
+        self._searches += 1
         takes = step.spec.takes
-        able = self._able(takes, servers, _stays) or self._able(
-            takes, servers, _lasts
-        )
-        if not able:
-            self._again_ms_by_step[step.name] = self._now_ms + SEEK_AGAIN_MS
+        candidates = self._candidates(
+            takes, servers, _outlasts_wait
+        ) or self._candidates(takes, servers, _is_long_running)
+        if not candidates:
+            self._retry_ms_by_step[step.name] = self._now_ms + SEARCH_RETRY_MS
             return None
-        server = min(able, key=lambda one: _lack(takes, self.room(one)))
+        server = min(
+            candidates,
+            key=lambda candidate: _deficit(takes, self.available(candidate)),
+        )
         server_id = server.entry.server_id
-        held = self._held_by_server.get(server_id, _NOTHING)
-        self._held_by_server[server_id] = add_resources(held, takes)
-        self._held += 1
+        reserved = self._reserved_by_server.get(server_id, _NO_RESOURCES)
+        self._reserved_by_server[server_id] = add_resources(reserved, takes)
+        self._reservations += 1
         return server
 
-    def _able(
+    def _candidates(
         self,
         takes: Resources,
         servers: list[Server],
         stays: Callable[[StepSpec], bool],
     ) -> list[Server]:
-        """Find the servers with room once all has ended that doesn't stay.
+        """Find servers that will fit a task once other tasks have ended.
 
-        :param takes: what has to fit besides what is kept.
-        :param servers: from these.
-        :param stays: tells whose room doesn't become free.
-        :returns: those with enough.
+        :param takes: resources of the task.
+        :param servers: to choose from.
+        :param stays: tells whose resources are not waited for.
+        :returns: servers that will have enough resources.
         """
         return [
             server
             for server in servers
-            if fits_resources(takes, self._room_left(server, stays))
+            if fits_resources(takes, self._available_later(server, stays))
         ]
 
-    def _room_left(
+    def _available_later(
         self, server: Server, stays: Callable[[StepSpec], bool]
     ) -> Resources:
-        room = self.room(server)
+        resources = self.available(server)
         for step in server.step_by_run.values():
             if not stays(step.spec):
-                room = add_resources(room, step.spec.takes)
-        return room
+                resources = add_resources(resources, step.spec.takes)
+        return resources
 
 
-def _lasts(spec: StepSpec) -> bool:
+def _is_long_running(spec: StepSpec) -> bool:
     return spec.lasting
 
 
-def _stays(spec: StepSpec) -> bool:
-    return spec.lasting or spec.fills or spec.estimate_ms > SOON_MS
+def _outlasts_wait(spec: StepSpec) -> bool:
+    return spec.lasting or spec.fills or spec.estimate_ms > MAX_AWAITED_MS
 
 
-def _lack(takes: Resources, room: Resources) -> tuple[int, int, int]:
+def _deficit(takes: Resources, available: Resources) -> tuple[int, int, int]:
     return tuple(
-        max(0, taken - free) for taken, free in zip(takes, room, strict=True)
+        max(0, taken - free)
+        for taken, free in zip(takes, available, strict=True)
     )
--- a/waxwingford/scheduling/_isolation.py
+++ b/waxwingford/scheduling/_isolation.py
@@ -1,9 +1,8 @@
-"""Servers on which a suspect of a crash starts alone.
+"""Reserves servers so that crash suspects start alone.
 
-Tasks that were started together with one that crashes its server would be
-suspected with it again and again, and sound jobs would fail. So nothing else
-starts on a suspect's server from before its start until the server has outlived
-it, which takes some tenths of a second.
+If other tasks started beside a suspect that crashes its server, they would
+become suspects as well, and sound jobs would fail. So nothing else starts on a
+suspect's server until the server has outlived the suspect's start.
 """
 
 from collections.abc import Callable
@@ -16,30 +15,29 @@
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Step, Task
 
-#: Part of the servers that take starts, of which suspects have one for themselves
-#: at a time, but for one at least.
-MOST_RESERVED_SHARE = 0.25
+#: Share of the usable servers that is reserved at a time, at least one server.
+MAX_RESERVED_SHARE = 0.25
 
 
 class Isolation:
-    """Reserves servers for suspects."""
+    """Servers that are reserved for suspects."""
 
     def __init__(self, book: Book) -> None:
-        """Work on a book.
+        """Create the policy.
 
         :param book: of the shard.
         """
         self._book = book
         self._reserved = 0
-        self._most_reserved = 1
+        self._max_reserved = 1
 
     def begin(self, usable: list[Server]) -> None:
-        """Begin a round of placing; release what isn't needed any more.
+        """Begin a placement round and release servers no longer needed.
 
-        :param usable: servers that take starts.
+        :param usable: servers that accept starts.
         """
         self._reserved = 0
-        self._most_reserved = max(1, int(len(usable) * MOST_RESERVED_SHARE))
+        self._max_reserved = max(1, int(len(usable) * MAX_RESERVED_SHARE))
         for server in usable:
             if server.reserved_for is None:
                 continue
@@ -51,64 +49,70 @@
     def admitting(
         self, servers: list[Server], task: Task, step: Step
     ) -> list[Server]:
-        """Leave out the servers on which a task may not start now.
+        """Keep the servers on which a task may start now.
 
-        :param servers: with room for it.
-        :param task: which.
-        :param step: its step.
-        :returns: those on which nothing would start beside a suspect.
+        :param servers: with free resources for the task.
+        :param task: to place.
+        :param step: of the task.
+        :returns: servers on which no suspect would share its start.
         """
         cause = cause_of(task.key, step)
         if not is_suspect(task, step):
-            # It may have been one until now, and still have a server reserved.
-            open_to_it = (None, cause)
-            return [one for one in servers if one.reserved_for in open_to_it]
-        return [one for one in servers if self._takes_alone(one, cause)]
+            # A former suspect may still have a server reserved.
+            open_for = (None, cause)
+            return [
+                server for server in servers if server.reserved_for in open_for
+            ]
+        return [
+            server for server in servers if self._admits_suspect(server, cause)
+        ]
 
     def reserve(
         self,
         task: Task,
         step: Step,
-        able: list[Server],
+        candidates: list[Server],
         room_of: Callable[[Server], Resources],
     ) -> list[Server]:
-        """Reserve servers for a suspect that found none for itself.
+        """Reserve servers for a suspect that can't be placed yet.
 
-        :param task: which.
-        :param step: its step.
-        :param able: servers with room for it.
-        :param room_of: tells what is free for it on a server.
-        :returns: those that are reserved now.
+        :param task: the suspect.
+        :param step: of the task.
+        :param candidates: servers with free resources for it.
+        :param room_of: returns the resources of a server that it may use.
+        :returns: servers that are newly reserved.
         """
         cause = cause_of(task.key, step)
-        if any(server.reserved_for == cause for server in able):
+        if any(server.reserved_for == cause for server in candidates):
             return []
-        free = [server for server in able if server.reserved_for is None]
-        chosen = _choose(step, free, room_of)
+        unreserved = [
+            server for server in candidates if server.reserved_for is None
+        ]
+        chosen = _choose(step, unreserved, room_of)
         total = self._reserved + len(chosen)
-        if self._reserved and total > self._most_reserved:
+        if self._reserved and total > self._max_reserved:
             return []
         for server in chosen:
-            self.keep(server, task, step)
+            self.isolate(server, task, step)
         return chosen
 
-    def keep(self, server: Server, task: Task, step: Step) -> None:
-        """Keep everything else from the server of a suspect.
+    def isolate(self, server: Server, task: Task, step: Step) -> None:
+        """Reserve a server for a suspect.
 
-        :param server: on which it is to start.
-        :param task: which.
-        :param step: its step.
+        :param server: on which the suspect will start.
+        :param task: the suspect.
+        :param step: of the task.
         """
         if server.reserved_for is None:
             server.reserved_for = cause_of(task.key, step)
             self._reserved += 1
 
-    def _takes_alone(self, server: Server, cause: TaskKey) -> bool:
+    def _admits_suspect(self, server: Server, cause: TaskKey) -> bool:
         if server.reserved_for is None:
-            may_have_it = self._reserved < self._most_reserved
+            may_use = self._reserved < self._max_reserved
         else:
-            may_have_it = server.reserved_for == cause
-        return may_have_it and all(
+            may_use = server.reserved_for == cause
+        return may_use and all(
             cause_of(key.task, server.step_by_run[key]) == cause
             for key in server.fresh
         )
@@ -127,12 +131,17 @@
     servers: list[Server],
     room_of: Callable[[Server], Resources],
 ) -> list[Server]:
-    """Choose servers on which least is lost if the suspect crashes them."""
+    """Choose the servers with the fewest runs that a crash would lose."""
     if step.spec.gang:
-        seats = gangs.find_seats(step, servers, room_of) or []
-        return list({id(seat.server): seat.server for seat in seats}.values())
-    by_load = sorted(servers, key=_count_runs)
-    return by_load[:1]
+        assignments = gangs.assign_members(step, servers, room_of) or []
+        return list(
+            {
+                id(assignment.server): assignment.server
+                for assignment in assignments
+            }.values()
+        )
+    by_runs = sorted(servers, key=_count_runs)
+    return by_runs[:1]
 
 
 def _count_runs(server: Server) -> int:
--- a/waxwingford/scheduling/_moving.py
+++ b/waxwingford/scheduling/_moving.py
@@ -1,9 +1,8 @@
-"""Moves fills that are held back to servers that bear them.
+"""Migrates throttled best-effort tasks to servers with spare capacity.
 
-Which fills a server bears changes while they run: tasks that serve come and
-go, and a pair's harm is learned only by having it.  A fill that is halted then
-waits for as long as the others stay, though tasks that it doesn't harm serve
-on other servers.
+Serving tasks come and go and the interference of a pair of images is learned
+only by running it, so a task that was placed well may be throttled later while
+other servers could run it at full pace.
 """
 
 import itertools
@@ -14,32 +13,30 @@
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Run, RunPhase, Step
 
-#: A fill at this pace or below is held back, in percent.
-HELD_BACK_PERCENT = 30
-#: How long it must have been, in ms: a serving task's own load swings within
-#: seconds, and a halt often lasts only as long as a swing.
-HELD_BACK_MS = 1200
-#: Most progress that may be lost by a move, in percent, for a task that writes
-#: no checkpoint.
-MOST_LOST_PERCENT = 25
-#: Time between two rounds, in ms; each move changes what others would find.
-ROUND_EVERY_MS = 200
-#: Most steps for which a server is looked for in one round, each for one task,
-#: and time for which a step without a better server is not looked for again, in
-#: ms: with hundreds of fills held back and dozens of servers the search alone
-#: would take the processor.
-MOST_SEARCHES = 5
-SEARCH_AGAIN_MS = 800
+#: Pace up to which a run counts as throttled, in percent.
+THROTTLED_PERCENT = 30
+#: Time for which a run must have been throttled, in ms; long enough for the
+#: swings of a serving task's own load.
+MIN_THROTTLED_MS = 1200
+#: Progress that a task without checkpoints may lose by a migration, in percent.
+MAX_LOST_PERCENT = 25
+#: Time between two rounds, in ms.
+ROUND_INTERVAL_MS = 200
+#: Steps for which a server is searched in one round. Bounds the processor time
+#: when hundreds of runs are throttled.
+MAX_SEARCHES = 5
+#: Time before an unsuccessful search is repeated for a step, in ms.
+SEARCH_RETRY_MS = 800
 
 
 class Mover:
-    """Stops fills that would do better elsewhere; the placer starts them."""
+    """Stops runs that another server can run faster, for the placer to restart."""
 
     def __init__(self, book: Book, placer: Placer) -> None:
-        """Work on a book.
+        """Create a mover.
 
         :param book: of the shard.
-        :param placer: tells where a task would fit.
+        :param placer: finds servers for a task.
         """
         self._book = book
         self._placer = placer
@@ -47,32 +44,30 @@
         self._searched_by_step: dict[str, int] = {}
 
     def move(self, now_ms: int) -> None:
-        """Stop the fills that are held back and have a better place.
+        """Stop the throttled runs for which there is a better server.
 
-        :param now_ms: steady time.
+        :param now_ms: monotonic time.
         """
-        if now_ms - self._round_ms < ROUND_EVERY_MS:
+        if now_ms - self._round_ms < ROUND_INTERVAL_MS:
             return
         self._round_ms = now_ms
         self._searched_by_step = {
             name: searched_ms
             for name, searched_ms in self._searched_by_step.items()
-            if now_ms - searched_ms < SEARCH_AGAIN_MS
+            if now_ms - searched_ms < SEARCH_RETRY_MS
         }
         first_by_step: dict[str, tuple[Run, Step]] = {}
-        for pair in sorted(self._held_back(now_ms), key=_longest_first):
+        for pair in sorted(self._throttled(now_ms), key=_longest_first):
             first_by_step.setdefault(pair[1].name, pair)
-        for run, step in itertools.islice(
-            first_by_step.values(), MOST_SEARCHES
-        ):
+        for run, step in itertools.islice(first_by_step.values(), MAX_SEARCHES):
             if not self._move(run, step, now_ms):
                 self._searched_by_step[step.name] = now_ms
 
-    def _held_back(self, now_ms: int) -> list[tuple[Run, Step]]:
+    def _throttled(self, now_ms: int) -> list[tuple[Run, Step]]:
         return [
             pair
             for server in self._book.server_by_id.values()
-            for pair in _held_back_on(server, now_ms)
+            for pair in _throttled_on(server, now_ms)
             if pair[1].name not in self._searched_by_step
         ]
 
@@ -101,7 +96,7 @@
         return True
 
 
-def _held_back_on(server: Server, now_ms: int) -> list[tuple[Run, Step]]:
+def _throttled_on(server: Server, now_ms: int) -> list[tuple[Run, Step]]:
     if server.failing_ms is not None:
         return []
     return [
@@ -109,15 +104,15 @@
         for run, step in best_effort_runs(server)
         if _may_move(run, step)
         and run.pace is not None
-        and run.pace <= HELD_BACK_PERCENT
-        and now_ms - run.paced_ms >= HELD_BACK_MS
+        and run.pace <= THROTTLED_PERCENT
+        and now_ms - run.paced_ms >= MIN_THROTTLED_MS
     ]
 
 
 def _may_move(run: Run, step: Step) -> bool:
     if run.phase is not RunPhase.present or run.stopping or step.spec.gang:
         return False
-    return step.spec.saves or run.percent <= MOST_LOST_PERCENT
+    return step.spec.saves or run.percent <= MAX_LOST_PERCENT
 
 
 def _longest_first(pair: tuple[Run, Step]) -> int:
--- a/waxwingford/scheduling/_turns.py
+++ b/waxwingford/scheduling/_turns.py
@@ -1,4 +1,4 @@
-"""Whose turn it is: the order in which tasks that wait are placed."""
+"""Order in which pending tasks are placed."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -7,40 +7,37 @@
 from waxwingford.scheduling._specs import QueueTerms
 from waxwingford.scheduling._state import Job, Step, Task
 
-#: A job is worth nothing any more after so many times its objective, as the
-#: consortium counts it.
-WORTHLESS_FACTOR = 3
-#: A lasting task that has waited for so long, in ms, goes before everything else:
-#: it must be at work again within 6 s, and short tasks that keep it out end
-#: within some 4 s.
+#: Multiple of its objective after which a job's completion has no value.
+EXPIRED_FACTOR = 3
+#: Pending time after which a long-running task comes before all others, in ms.
 OVERDUE_MS = 2000
-#: Lasting tasks that hold this share of a service's cpu leave the rest to short ones
-#: first, but for those that have lost their server: each takes for the rest of the
-#: day what hundreds of short tasks need for a second each.
-MOST_LASTING_SHARE = 0.85
-#: Comes before every priority.
+#: Share of a service's CPU in use by long-running tasks from which on new ones
+#: don't become overdue, so that they can't take the rest from short tasks. Tasks
+#: that have run before are exempt.
+MAX_LONG_RUNNING_SHARE = 0.85
+#: Lower than every priority.
 _OVERDUE_RANK = -1
 
 
-class Waiting(NamedTuple):
-    """A task that waits, with what decides its turn.
+class PendingTask(NamedTuple):
+    """A task without a server, and its place in the order.
 
-    :ivar order: lower comes first.
+    :ivar rank: sort key; lower comes first.
     :ivar task: the task.
-    :ivar step: its step.
+    :ivar step: of the task.
     :ivar queue: terms of its queue.
-    :ivar overdue: whether it is a lasting task that has waited too long.
+    :ivar overdue: whether it is a long-running task pending for too long.
     """
 
-    order: tuple[int, int, int, int, int]
+    rank: tuple[int, int, int, int, int]
     task: Task
     step: Step
     queue: QueueTerms
     overdue: bool = False
 
 
-def work_left(steps: list[Step]) -> int:
-    """Estimate what is left of one repetition of a job.
+def remaining_work(steps: list[Step]) -> int:
+    """Estimate the remaining work of one repetition of a job.
 
     :param steps: of the repetition.
     :returns: thousandths of a core times milliseconds.
@@ -51,72 +48,78 @@
     )
 
 
-def waiting(
+def rank_task(
     task: Task,
     step: Step,
     queue: QueueTerms,
-    left: int,
+    work: int,
     now_ms: int,
-    yields: bool = False,
-) -> Waiting:
-    """Work out the turn of a task.
+    deferred: bool = False,
+) -> PendingTask:
+    """Compute the place of a task in the order.
 
-    Of the fills, those of jobs that can still be in time come first, and the
-    smaller jobs among them: when there is more work than room, to go by age
-    makes every job late. Short tasks go before lasting ones, which would leave
-    them no room; but there is always more short work, so a lasting task waits
-    for a bounded time only.
+    Within a priority, short tasks come before long-running ones, and
+    best-effort tasks last. Short and best-effort tasks are ordered by the
+    lateness class of their job, then by its remaining work: under overload,
+    ordering by age would make every job late. A long-running task that is
+    overdue comes before all others, so that short ones can't starve it.
 
     :param task: the task.
-    :param step: its step.
+    :param step: of the task.
     :param queue: terms of its queue.
-    :param left: work that is left of its repetition.
-    :param now_ms: steady time.
-    :param yields: whether it waits behind short tasks, however long.
-    :returns: the task with its turn.
+    :param work: remaining work of the repetition, see ``remaining_work``.
+    :param now_ms: monotonic time.
+    :param deferred: whether a long-running task can't become overdue.
+    :returns: the task with its rank.
     """
     job = step.job
-    lasts = step.spec.lasting
-    if lasts and not yields and now_ms - task.waiting_ms >= OVERDUE_MS:
-        order = _OVERDUE_RANK, 0, 0, task.waiting_ms, task.key.index
-        return Waiting(order, task, step, queue, overdue=True)
-    order = (
+    long_running = step.spec.lasting
+    if long_running and not deferred and now_ms - task.waiting_ms >= OVERDUE_MS:
+        rank = _OVERDUE_RANK, 0, 0, task.waiting_ms, task.key.index
+        return PendingTask(rank, task, step, queue, overdue=True)
+    rank = (
         queue.priority,
-        2 if step.spec.fills else int(lasts),
-        0 if lasts else _lateness(job, queue, now_ms),
-        job.known_ms if lasts else left,
+        2 if step.spec.fills else int(long_running),
+        0 if long_running else _lateness(job, queue, now_ms),
+        job.known_ms if long_running else work,
         task.key.index,
     )
-    return Waiting(order, task, step, queue)
+    return PendingTask(rank, task, step, queue)
 
 
-def in_turn(book: Book, now_ms: int, fills_too: bool) -> list[Waiting]:
-    """List the tasks that wait for a server, in the order of their turns.
+def ranked_tasks(
+    book: Book, now_ms: int, with_best_effort: bool
+) -> list[PendingTask]:
+    """List the pending tasks in the order in which they are placed.
 
     :param book: of the shard.
-    :param now_ms: steady time.
-    :param fills_too: whether fills have their turn in this round.
-    :returns: tasks with their turns.
+    :param now_ms: monotonic time.
+    :param with_best_effort: whether to include best-effort tasks.
+    :returns: tasks with their ranks.
     """
-    return sorted(_waiting(book, now_ms, fills_too), key=_order)
+    return sorted(_pending_tasks(book, now_ms, with_best_effort), key=_rank)
 
 
-def _waiting(book: Book, now_ms: int, fills_too: bool) -> Iterator[Waiting]:
-    # Thousands of tasks may wait, of some hundred steps.
-    first_by_step: dict[tuple[str, int, int], Waiting] = {}
+def _pending_tasks(
+    book: Book, now_ms: int, with_best_effort: bool
+) -> Iterator[PendingTask]:
+    # Thousands of tasks of some hundred steps may be pending, so the rank is
+    # computed once per step where its tasks differ by index only.
+    first_by_step: dict[tuple[str, int, int], PendingTask] = {}
     full = _FullServices(book)
     tasks = [
         task
         for task in book.ready_by_key.values()
-        if task.waits_until_ms <= now_ms and (fills_too or not task.fills)
+        if task.waits_until_ms <= now_ms
+        and (with_best_effort or not task.fills)
     ]
     for task in tasks:
         job_id, occurrence, index, _ = task.key
         first = first_by_step.get((job_id, occurrence, index))
         if first is not None:
-            yield _beside(first, task)
+            yield _rank_sibling(first, task)
             continue
-        first = _first(book, full, task, now_ms)
+        first = _rank_first(book, full, task, now_ms)
         if first is None:
             continue
         if not first.step.spec.lasting:
@@ -124,24 +127,24 @@
         yield first
 
 
-def _first(
+def _rank_first(
     book: Book, full: '_FullServices', task: Task, now_ms: int
-) -> Waiting | None:
+) -> PendingTask | None:
     job = book.job_by_id.get(task.key.job_id)
     if job is None or job.ended is not None:
         book.ready_by_key.pop(task.key, None)
         return None
     steps = job.steps_by_occurrence[task.key.occurrence]
-    left = work_left(steps)
+    work = remaining_work(steps)
     step = steps[task.key.step]
     queue = book.queue_of(job)
     new = step.spec.lasting and not task.last_run
-    yields = new and queue.service in full
-    return waiting(task, step, queue, left, now_ms, yields)
+    deferred = new and queue.service in full
+    return rank_task(task, step, queue, work, now_ms, deferred)
 
 
 class _FullServices:
-    """Services whose servers are full of lasting tasks, looked at when asked."""
+    """Services at their limit of long-running tasks, computed on demand."""
 
     def __init__(self, book: Book) -> None:
         self._book = book
@@ -160,28 +163,26 @@
             for server in self._book.server_by_id.values()
             if server.takes_part and server.entry.service == service
         ]
-        lasting_milli = sum(server.lasting_milli for server in servers)
-        all_milli = sum(
+        long_running_milli = sum(server.lasting_milli for server in servers)
+        capacity_milli = sum(
             server.entry.capacity.processors_milli for server in servers
         )
-        return lasting_milli > MOST_LASTING_SHARE * all_milli
+        return long_running_milli > MAX_LONG_RUNNING_SHARE * capacity_milli
 
 
-def _beside(first: Waiting, task: Task) -> Waiting:
-    """Work out the turn of another task of a step that doesn't last.
+def _rank_sibling(first: PendingTask, task: Task) -> PendingTask:
+    """Derive the rank of a task from another one of the same step.
 
-    All tasks of such a step have the same turn but for their index.
-
-    :param first: one of its tasks, with its turn.
-    :param task: the other one.
-    :returns: that task with its turn.
+    :param first: ranked task of a step that isn't long-running.
+    :param task: another task of the step.
+    :returns: that task with its rank.
     """
-    order = (*first.order[:-1], task.key.index)
-    return Waiting(order, task, first.step, first.queue)
+    rank = (*first.rank[:-1], task.key.index)
+    return PendingTask(rank, task, first.step, first.queue)
 
 
-def _order(turn: Waiting) -> tuple[int, ...]:
-    return turn.order
+def _rank(pending: PendingTask) -> tuple[int, ...]:
+    return pending.rank
 
 
 def _lateness(job: Job, queue: QueueTerms, now_ms: int) -> int:
@@ -189,4 +190,4 @@
     age_ms = now_ms - job.known_ms
     if age_ms <= objective_ms:
         return 0
-    return 1 if age_ms <= WORTHLESS_FACTOR * objective_ms else 2
+    return 1 if age_ms <= EXPIRED_FACTOR * objective_ms else 2
--- a/waxwingford/scheduling/_waits.py
+++ b/waxwingford/scheduling/_waits.py
@@ -1,8 +1,4 @@
-"""Why tasks wait: what kept each server from taking them.
-
-A job that was accepted and doesn't start shows no decision at all, so nobody
-could tell from logs whether servers are full, lack a label or are out of reach.
-"""
+"""Reports why tasks are pending: what kept each server from taking them."""
 
 import collections
 import itertools
@@ -12,78 +8,78 @@
 from waxwingford.scheduling._notes import NoteBook
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Step
-from waxwingford.scheduling._turns import Waiting
+from waxwingford.scheduling._turns import PendingTask
 
-#: A step that waits this long is noted, and all again after as long, in ms:
-#: placing takes some tens of ms where there is room.
-NOTE_EVERY_MS = 1000
-#: Most steps noted at a time, of those that last and of the others; of the rest
-#: only the count: when there is more work than room, all wait for the same
-#: reasons.
-MOST_NOTED = 6
+#: Pending time after which a step is reported, and interval between reports, in
+#: ms.
+REPORT_INTERVAL_MS = 1000
+#: Steps in one report, of long-running steps and of others each; the rest is
+#: only counted.
+MAX_REPORTED_STEPS = 6
 
 
-class WaitNotes:
-    """Notes steps that wait for servers."""
+class PendingReport:
+    """Logs the steps that are pending for long."""
 
     def __init__(self, notes: NoteBook) -> None:
-        """Write into a note book.
+        """Create a report.
 
-        :param notes: of the shard.
+        :param notes: receives the log events.
         """
         self._notes = notes
-        self._noted_ms = 0
+        self._reported_ms = 0
         self._placed_by_kind: collections.Counter[str] = collections.Counter()
 
-    def placed(self, step: Step) -> None:
-        """Count a task that found a server.
-
-        Where tasks wait although servers have become free, this tells what
-        went there instead.
+    def count_placed(self, step: Step) -> None:
+        """Count a placed task, to show what was placed instead of others.
 
         :param step: of the task.
         """
         self._placed_by_kind[_kind(step)] += 1
 
     def update(
-        self, unplaced: Iterable[Waiting], usable: list[Server], now_ms: int
+        self,
+        unplaced: Iterable[PendingTask],
+        usable: list[Server],
+        now_ms: int,
     ) -> None:
-        """Note the steps that have waited long enough, some of them.
+        """Log a selection of the steps that are pending for long.
 
-        Those that last are noted first, by how long they have waited: they are
-        owed a server however much else waits, and come late in the order of
-        turns.
+        Long-running steps come first, by pending time, as their place in the
+        placement order is late.
 
         :param unplaced: tasks that found no server in this round.
-        :param usable: servers that take starts.
-        :param now_ms: steady time.
+        :param usable: servers that accept starts.
+        :param now_ms: monotonic time.
         """
-        if now_ms - self._noted_ms < NOTE_EVERY_MS:
+        if now_ms - self._reported_ms < REPORT_INTERVAL_MS:
             return
-        self._noted_ms = now_ms
-        first_by_step: dict[str, Waiting] = {}
-        for turn in unplaced:
-            if now_ms - turn.task.waiting_ms >= NOTE_EVERY_MS:
-                first_by_step.setdefault(turn.step.name, turn)
-        turns = first_by_step.values()
-        lasting = sorted(filter(_lasts, turns), key=_longest_first)
-        others = itertools.filterfalse(_lasts, turns)
+        self._reported_ms = now_ms
+        first_by_step: dict[str, PendingTask] = {}
+        for pending in unplaced:
+            if now_ms - pending.task.waiting_ms >= REPORT_INTERVAL_MS:
+                first_by_step.setdefault(pending.step.name, pending)
+        firsts = first_by_step.values()
+        long_running = sorted(
+            filter(_is_long_running, firsts), key=_longest_first
+        )
+        others = itertools.filterfalse(_is_long_running, firsts)
         placed = dict(self._placed_by_kind)
         self._placed_by_kind.clear()
-        for turn in (
-            *lasting[:MOST_NOTED],
-            *itertools.islice(others, MOST_NOTED),
+        for pending in (
+            *long_running[:MAX_REPORTED_STEPS],
+            *itertools.islice(others, MAX_REPORTED_STEPS),
         ):
             self._notes.add(
                 'step.waits',
-                turn.step.name,
-                waited_ms=now_ms - turn.task.waiting_ms,
-                kind=_kind(turn.step),
-                gang=turn.step.spec.gang,
-                runs_before=turn.task.last_run,
+                pending.step.name,
+                waited_ms=now_ms - pending.task.waiting_ms,
+                kind=_kind(pending.step),
+                gang=pending.step.spec.gang,
+                runs_before=pending.task.last_run,
                 usable_servers=len(usable),
-                kept_out=_count_reasons(turn, usable),
-                most_room=_most_room(usable),
+                kept_out=_count_reasons(pending, usable),
+                most_room=_largest_free(usable),
                 placed_meanwhile=placed,
                 steps_that_wait=len(first_by_step),
             )
@@ -95,19 +91,19 @@
     return 'lasting' if step.spec.lasting else 'short'
 
 
-def _lasts(turn: Waiting) -> bool:
-    return turn.step.spec.lasting
+def _is_long_running(pending: PendingTask) -> bool:
+    return pending.step.spec.lasting
 
 
-def _longest_first(turn: Waiting) -> int:
-    return turn.task.waiting_ms
+def _longest_first(pending: PendingTask) -> int:
+    return pending.task.waiting_ms
 
 
-def _most_room(usable: list[Server]) -> tuple[int, int]:
-    """Find the server with most processors free.
+def _largest_free(usable: list[Server]) -> tuple[int, int]:
+    """Find the server with the most free CPU.
 
-    :param usable: servers that take starts.
-    :returns: thousandths of a core and MB that it has free.
+    :param usable: servers that accept starts.
+    :returns: its free thousandths of a core and MB of memory.
     """
     rooms = (server.room for server in usable)
     return max(
@@ -116,14 +112,18 @@
     )
 
 
-def _count_reasons(turn: Waiting, usable: list[Server]) -> dict[str, int]:
-    return dict(collections.Counter(_reason(turn, server) for server in usable))
+def _count_reasons(
+    pending: PendingTask, usable: list[Server]
+) -> dict[str, int]:
+    return dict(
+        collections.Counter(_reason(pending, server) for server in usable)
+    )
 
 
-def _reason(turn: Waiting, server: Server) -> str:
-    spec = turn.step.spec
+def _reason(pending: PendingTask, server: Server) -> str:
+    spec = pending.step.spec
     needs, room = spec.needs, server.room
-    if server.entry.service != turn.queue.service:
+    if server.entry.service != pending.queue.service:
         return 'service'
     if spec.label and spec.label not in server.entry.labels:
         return 'label'
--- a/waxwingford/scheduling/_withholding.py
+++ b/waxwingford/scheduling/_withholding.py
@@ -1,8 +1,8 @@
-"""Servers whose leases an owner has stopped extending.
+"""Withholds lease extensions from unreachable servers.
 
-A successor has to wait until all leases on a server that it can't reach are
-over. Unless it learns that the former owner had not extended them for long, it
-waits for as long as for any other server, after each change of owner anew.
+A successor waits until all leases on an unreachable server have expired. A
+heartbeat that names the servers whose leases are no longer extended shortens
+that wait.
 """
 
 import math
@@ -11,27 +11,27 @@
 from waxwingford.scheduling._book import Book
 from waxwingford.scheduling._servers import Server
 
-#: A server that has answered before is told of as silent after this, in ms: a
-#: connection that was reset is there again within 200 ms, and a server that is
-#: told of gets no starts until the next heartbeat but one.
+#: Time without an answer after which a server counts as silent, in ms. Long
+#: enough for a connection that was reset to be opened again, as a silent server
+#: gets no starts for up to two heartbeats.
 SILENT_MS = 600
 
 
 class Withholding:
-    """Chooses the servers whose leases are not extended."""
+    """Selects the servers whose leases are not extended."""
 
     def __init__(self, book: Book) -> None:
-        """Work on a book.
+        """Create the policy.
 
         :param book: of the shard.
         """
         self._book = book
 
     def name_silent(self, now_ms: int) -> dict[str, int]:
-        """Name the silent servers for a heartbeat, and stop extending their leases.
+        """Stop extending the leases of silent servers, and list them.
 
-        :param now_ms: steady time.
-        :returns: how long something may still run there, in ms, by server.
+        :param now_ms: monotonic time.
+        :returns: remaining lease by server, in ms, for the next heartbeat.
         """
         left_by_server = {
             server_id: math.ceil(max(0, server.lease_left_ms(now_ms)))
@@ -42,16 +42,16 @@
         return left_by_server
 
     def stored(self, silent: Iterable[str]) -> None:
-        """Extend leases again, but for those of some servers.
+        """Extend leases again, except those of the listed servers.
 
-        :param silent: servers that the newest stored heartbeat names.
+        :param silent: servers that the latest stored heartbeat names.
         """
         self._book.withheld = set(silent)
 
 
 def _is_silent(server: Server, now_ms: int) -> bool:
     if server.clock_ahead_ms is None:
-        # Never reached, so only former owners have given leases there.
+        # Never reached: only previous owners have granted leases there.
         return True
     since_ms = server.failing_ms
     return since_ms is not None and now_ms - since_ms >= SILENT_MS
