--- a/waxwingford/scheduling/_admission.py
+++ b/waxwingford/scheduling/_admission.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from waxwingford.scheduling._book import runs_of
+from waxwingford.scheduling._colocated_runs import full_pace_share
 from waxwingford.scheduling._harm import HarmModel
-from waxwingford.scheduling._occupants import full_pace_share
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Job, Step
 
--- a/waxwingford/scheduling/_harm.py
+++ b/waxwingford/scheduling/_harm.py
@@ -13,18 +13,18 @@
 
 import msgspec
 
-from waxwingford.scheduling._effects import (
+from waxwingford.scheduling._coefficients import (
     InterferenceCoefficient,
     InterferenceTerm,
 )
-from waxwingford.scheduling._loads import HeadroomFilter
-from waxwingford.scheduling._occupants import (
+from waxwingford.scheduling._colocated_runs import (
     best_effort_runs,
     full_pace_share,
     serving_runs,
     serving_steps,
     share_by_image,
 )
+from waxwingford.scheduling._loads import HeadroomFilter
 from waxwingford.scheduling._samples import Observation, Sample, take_sample
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Run, Step
--- a/waxwingford/scheduling/_moving.py
+++ b/waxwingford/scheduling/_moving.py
@@ -8,7 +8,7 @@
 import itertools
 
 from waxwingford.scheduling._book import Book
-from waxwingford.scheduling._occupants import best_effort_runs
+from waxwingford.scheduling._colocated_runs import best_effort_runs
 from waxwingford.scheduling._placing import Placer
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Run, RunPhase, Step
--- a/waxwingford/scheduling/_pacing.py
+++ b/waxwingford/scheduling/_pacing.py
@@ -7,14 +7,14 @@
 """
 
 from waxwingford.scheduling._book import Book
-from waxwingford.scheduling._harm import HarmModel
-from waxwingford.scheduling._loads import HeadroomFilter
-from waxwingford.scheduling._occupants import (
+from waxwingford.scheduling._colocated_runs import (
     best_effort_runs,
     full_pace_share,
     serving_runs,
     serving_steps,
 )
+from waxwingford.scheduling._harm import HarmModel
+from waxwingford.scheduling._loads import HeadroomFilter
 from waxwingford.scheduling._orders import Pace
 from waxwingford.scheduling._runners import OrderOutcome, OrderTaken
 from waxwingford.scheduling._servers import Server
--- a/waxwingford/scheduling/_placing.py
+++ b/waxwingford/scheduling/_placing.py
@@ -10,6 +10,7 @@
 from waxwingford.scheduling._harm import HarmModel
 from waxwingford.scheduling._holding import Reservations
 from waxwingford.scheduling._isolation import Isolation
+from waxwingford.scheduling._pending_report import PendingReport
 from waxwingford.scheduling._runners import RunKey
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Job, Run, RunPhase, Step, Task
@@ -19,7 +20,6 @@
     ranked_tasks,
     remaining_work,
 )
-from waxwingford.scheduling._waits import PendingReport
 
 #: Costs of a server, in units of its whole CPU.
 #: The server isn't on the rack of the task's data.
