--- a/waxwingford/scheduling/_admission.py
+++ b/waxwingford/scheduling/_admission.py
@@ -25,7 +25,7 @@
 #: Share of a service's CPU in use by tasks that aren't best-effort from which on
 #: ``ANY_SERVER_AFTER_MS`` doesn't apply.
 CROWDED_SHARE = 0.6
-#: Servers that are evaluated for one task at most; further ones are rotated in.
+#: Servers considered for one task at most; of more, each task gets the next.
 MAX_CANDIDATES = 24
 
 
--- a/waxwingford/scheduling/_harm.py
+++ b/waxwingford/scheduling/_harm.py
@@ -164,6 +164,7 @@
         """Load the interference coefficients of a previous owner.
 
         :param raw: as written by ``encode``.
+        :raises ValueError: if it can't be decoded.
         """
         self._coefficient_by_pair = {
             (serving, best_effort): InterferenceCoefficient(mean, variance)
--- a/waxwingford/scheduling/_placing.py
+++ b/waxwingford/scheduling/_placing.py
@@ -24,7 +24,7 @@
 #: Costs of a server, in units of its whole CPU.
 #: The server isn't on the rack of the task's data.
 REMOTE_DATA_COST = 0.5
-#: The task has failed or stalled there.
+#: The task has failed, stalled or been throttled there.
 AVOIDED_COST = 4.0
 #: Per unit of the server's penalty for failed runs.
 PENALTY_COST = 0.5
