--- a/waxwingford/scheduling/_colocated_runs.py
+++ b/waxwingford/scheduling/_colocated_runs.py
@@ -1,4 +1,8 @@
-"""Serving and best-effort runs that share a backend server."""
+"""Serving and best-effort runs that share a backend server.
+
+Serving steps have a tail latency target (``StepSpec.target_ms``); best-effort
+steps (``StepSpec.fills``) use only CPU left idle by others.
+"""
 
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Run, RunPhase, Step
--- a/waxwingford/scheduling/_holding.py
+++ b/waxwingford/scheduling/_holding.py
@@ -1,4 +1,4 @@
-"""Reservations of resources for long-running tasks that are overdue.
+"""Reservations of resources for overdue long-running tasks (``lasting``).
 
 On a busy server resources become free in small pieces, which short tasks take
 at once, so that a large long-running task would starve. For an overdue task one
--- a/waxwingford/scheduling/tests/large_fleet_steps.py
+++ b/waxwingford/scheduling/tests/large_fleet_steps.py
@@ -138,6 +138,8 @@
 @then('the urgent tasks are planned, and no long-running one')
 def only_urgent_planned(context):
     new = context.bench.planned[context.planned :]
-    lasting = [run for run in new if context.bench.step_of(run.key).lasting]
+    long_running = [
+        run for run in new if context.bench.step_of(run.key).lasting
+    ]
     assert len(new) == context.task_count, len(new)
-    assert not lasting, lasting
+    assert not long_running, long_running
--- a/waxwingford/scheduling/tests/tickets.feature
+++ b/waxwingford/scheduling/tests/tickets.feature
@@ -8,7 +8,7 @@
     And the service issues tickets of 3000 ms for 1 server
     And the starts are sent 2500 ms later
     Then no start is sent
-    And the service is asked again
+    And another ticket request is pending
     When the service issues tickets of 3000 ms for 1 server
     And the starts are sent 50 ms later
     Then 1 start is taken
@@ -34,7 +34,7 @@
     And the starts are sent 50 ms later
     And the run ends 2250 ms later
     Then 1 run was planned in all
-    And the service is asked again
+    And another ticket request is pending
     When the service issues tickets of 3000 ms for 1 server
     Then 2 runs were planned in all
 
@@ -90,7 +90,7 @@
     And the service issues tickets of 3000 ms for 1 server
     And the starts are sent 50 ms later
     Then 1 start is taken
-    And the service is asked again
+    And another ticket request is pending
     When the service issues tickets of 3000 ms for 1 server
     Then 2 runs were planned in all
 
--- a/waxwingford/scheduling/tests/tickets_steps.py
+++ b/waxwingford/scheduling/tests/tickets_steps.py
@@ -191,8 +191,8 @@
     assert not bench.taken and not bench.refused, bench.refused
 
 
-@then('the service is asked again')
-def asked_again(context):
+@then('another ticket request is pending')
+def request_pending(context):
     advice = context.bench.advice
     request = advice.next_question()
     assert request is not None
