--- /dev/null
+++ b/waxwingford/scheduling/_colocated_runs.py
@@ -0,0 +1,82 @@
+"""Serving and best-effort runs that share a backend server.
+
+Serving steps have a tail latency target (``StepSpec.target_ms``); best-effort
+steps (``StepSpec.fills``) use only CPU left idle by others.
+"""
+
+from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._state import Run, RunPhase, Step
+
+#: Share of its requested CPU that a best-effort task is assumed to use at full
+#: pace.
+EXPECTED_USE_SHARE = 0.9
+
+
+def serving_runs(server: Server) -> list[tuple[Run, Step]]:
+    """List the runs that have a tail latency target.
+
+    :param server: to list.
+    :returns: runs with their steps.
+    """
+    return [
+        (server.run_by_key[key], step)
+        for key, step in server.step_by_run.items()
+        if step.spec.target_ms
+    ]
+
+
+def serving_steps(server: Server) -> list[Step]:
+    """List the steps whose tasks have a tail latency target.
+
+    :param server: to list.
+    :returns: each step once.
+    """
+    return list(dict.fromkeys(step for _, step in serving_runs(server)))
+
+
+def best_effort_runs(server: Server) -> list[tuple[Run, Step]]:
+    """List the runs that use only CPU left idle by other runs.
+
+    :param server: to list.
+    :returns: runs with their steps.
+    """
+    return [
+        (server.run_by_key[key], step)
+        for key, step in server.step_by_run.items()
+        if step.spec.fills
+    ]
+
+
+def full_pace_share(server: Server, step: Step) -> float:
+    """Estimate the CPU that a best-effort task uses at full pace.
+
+    :param server: on which the task runs.
+    :param step: of the task.
+    :returns: share of the server's CPU, above 0.
+    """
+    requested = max(1, step.spec.needs.processors_milli)
+    return EXPECTED_USE_SHARE * requested / cpu_capacity_milli(server)
+
+
+def cpu_capacity_milli(server: Server) -> int:
+    """Return the CPU capacity of a server.
+
+    :param server: to inspect.
+    :returns: thousandths of a core, at least 1.
+    """
+    return max(1, server.entry.capacity.processors_milli)
+
+
+def share_by_image(server: Server) -> dict[str, float]:
+    """Sum the CPU use of the best-effort runs of each image.
+
+    :param server: to inspect.
+    :returns: shares of the server's CPU, as reported by the latest poll.
+    """
+    shares: dict[str, float] = {}
+    capacity = cpu_capacity_milli(server)
+    for run, step in best_effort_runs(server):
+        if run.phase is RunPhase.present:
+            image = step.spec.image
+            shares[image] = shares.get(image, 0) + run.figure / capacity
+    return shares
