--- a/waxwingford/scheduling/__init__.py
+++ b/waxwingford/scheduling/__init__.py
@@ -1,9 +1,9 @@
 """Scheduling decisions of a shard, free of I/O."""
 
 from waxwingford.scheduling._engine import Engine
-from waxwingford.scheduling._inheritance import InheritedLeases
 from waxwingford.scheduling._notes import Note
 from waxwingford.scheduling._orders import Batch, Order, Pace, Start, Stop
+from waxwingford.scheduling._recovery import InheritedLeases
 from waxwingford.scheduling._rows import (
     ENDED_PREFIX,
     decode_end,
--- a/waxwingford/scheduling/_engine.py
+++ b/waxwingford/scheduling/_engine.py
@@ -17,12 +17,12 @@
 from waxwingford.scheduling._book import Book
 from waxwingford.scheduling._crashes import mark_outlived
 from waxwingford.scheduling._harm import HarmModel
-from waxwingford.scheduling._inheritance import InheritedLeases, StateRecovery
 from waxwingford.scheduling._moving import Mover
-from waxwingford.scheduling._order_making import OrderFactory
+from waxwingford.scheduling._order_factory import OrderFactory
 from waxwingford.scheduling._orders import Batch, Start
 from waxwingford.scheduling._pacing import FULL_PERCENT, Pacer
 from waxwingford.scheduling._placing import Placer
+from waxwingford.scheduling._recovery import InheritedLeases, StateRecovery
 from waxwingford.scheduling._rows import HARM_KEY, OBSOLETE_HARM_KEY
 from waxwingford.scheduling._runners import (
     LookOutcome,
