--- a/waxwingford/scheduling/_book.py
+++ b/waxwingford/scheduling/_book.py
@@ -74,9 +74,10 @@
 
     @property
     def dirty(self) -> bool:
-        """Whether changes have to be stored.
+        """Whether a batch has to be stored.
 
-        :returns: whether the next batch is not empty.
+        :returns: whether rows of jobs, starts or acknowledgements are pending;
+            ``harm_row`` alone waits for the next of these.
         """
         return bool(
             self._dirty_step_by_name
@@ -191,10 +192,10 @@
         :param batch: batch that was stored.
         :returns: starts to send now.
         """
-        for seen in batch.ends:
-            server = self.server_by_id.get(seen.server_id)
+        for end in batch.ends:
+            server = self.server_by_id.get(end.server_id)
             if server is not None:
-                server.seen_end = max(server.seen_end, seen.number)
+                server.seen_end = max(server.seen_end, end.number)
         for job, phase in batch.shown:
             job.started = True
             if job.shown in {JobPhase.queued, JobPhase.running}:
--- a/waxwingford/scheduling/_crashes.py
+++ b/waxwingford/scheduling/_crashes.py
@@ -20,7 +20,7 @@
 SILENCE_EVIDENCE = 1
 #: Share of silent servers above which the smaller evidence is added.
 MAX_SILENT_SHARE = 0.125
-#: Evidence from which on a task is a suspect and starts alone.
+#: Evidence at which a task becomes a suspect and starts alone.
 SUSPECT_EVIDENCE = 2
 #: Evidence at which the job fails: if another incarnation proves that the server
 #: crashed and there is no other suspect on it; and otherwise, because a silent server
--- a/waxwingford/scheduling/_engine.py
+++ b/waxwingford/scheduling/_engine.py
@@ -299,7 +299,6 @@
 
 
 def _stalled_runs(server: Server) -> Iterator[tuple[Run, Step]]:
-
     for key, run in server.run_by_key.items():
         # The cheapest and most selective checks come first.
         stalled_ms = server.looked_ms - run.moved_ms
--- a/waxwingford/scheduling/_recovery.py
+++ b/waxwingford/scheduling/_recovery.py
@@ -95,10 +95,10 @@
     def _apply_row(
         self, key: str, raw: bytes, now_ms: int, wall_ms: int
     ) -> None:
-        name = parse_step_key(key)
-        job = self._book.job_by_id.get(name.job_id)
+        step_key = parse_step_key(key)
+        job = self._book.job_by_id.get(step_key.job_id)
         if job is not None:
-            apply_step_row(job, name, raw, now_ms, wall_ms)
+            apply_step_row(job, step_key, raw, now_ms, wall_ms)
             if job.ended is None:
                 job.shown = JobPhase.running
 
--- a/waxwingford/scheduling/_rows.py
+++ b/waxwingford/scheduling/_rows.py
@@ -132,21 +132,23 @@
 
 
 def apply_step_row(
-    job: Job, name: StepKey, raw: bytes, now_ms: int, wall_ms: int
+    job: Job, step_key: StepKey, raw: bytes, now_ms: int, wall_ms: int
 ) -> None:
     """Apply the row of a step to the state of its job.
 
     :param job: job that the step belongs to.
-    :param name: key of the row.
+    :param step_key: key of the row.
     :param raw: encoded row.
     :param now_ms: current monotonic time in ms, used as start of restored runs.
     :param wall_ms: current Unix time, in ms.
     :raises ValueError: if the row is malformed or doesn't match the job.
     """
     rows = _rows_decoder.decode(raw)
-    if name.index >= len(job.spec.steps):
-        raise ValueError(f'step index {name.index} is out of range for the job')
-    step = job.begin(name.occurrence)[name.index]
+    if step_key.index >= len(job.spec.steps):
+        raise ValueError(
+            f'step index {step_key.index} is out of range for the job'
+        )
+    step = job.begin(step_key.occurrence)[step_key.index]
     if any(row.index >= len(step.tasks) for row in rows):
         raise ValueError('task index is out of range for the step')
     for row in rows:
--- a/waxwingford/scheduling/_settle.py
+++ b/waxwingford/scheduling/_settle.py
@@ -346,9 +346,9 @@
         for other in task.run_by_number.values():
             other.stopping = True
         if not step.left:
-            self._complete_step(step)
+            self._finish_occurrence(step)
 
-    def _complete_step(self, step: Step) -> None:
+    def _finish_occurrence(self, step: Step) -> None:
         job = step.job
         steps = job.steps_by_occurrence[step.occurrence]
         if any(other.left for other in steps):
--- a/waxwingford/scheduling/tests/engine_bench.py
+++ b/waxwingford/scheduling/tests/engine_bench.py
@@ -42,11 +42,12 @@
         self.planned = []
         self.orders = []
         self.ends = collections.defaultdict(list)
+        # Tail latency in ms beside "calm" alone, and the factor added by "wild".
         self.figure_by_image = {}
         self.pace_by_image = {}
-        self.still = False
-        self.strangers = []
-        self.paces = []
+        self.stalled = False
+        self.unknown_runs = []
+        self.pace_orders = []
         for _ in range(count):
             self.add(cores)
 
@@ -116,7 +117,7 @@
         self.now_ms += 50
         self.engine.decide(self.now_ms, self.wall_ms)
         batch = self.engine.take_batch()
-        keep(self.rows, batch.payload_by_key)
+        store_rows(self.rows, batch.payload_by_key)
         for start in self.engine.stored(batch):
             self.planned.append(start.run)
             server = self.engine.book.server_by_id[start.server_id]
@@ -128,13 +129,13 @@
         self.orders += self.engine.book.take_orders()
         for order in self.orders:
             if isinstance(order, Pace):
-                self.paces.append(order)
+                self.pace_orders.append(order)
                 step = self.step_of(order.key)
                 self.pace_by_image[step.image] = order.percent
-                self.lowest = min(
+                self.lowest_percent = min(
                     self.lowest_by_image.get(step.image, 100), order.percent
                 )
-                self.lowest_by_image[step.image] = self.lowest
+                self.lowest_by_image[step.image] = self.lowest_percent
         self.orders = [one for one in self.orders if not isinstance(one, Pace)]
 
     lowest_by_image: dict = {}
@@ -155,7 +156,7 @@
             ]
             looked = Looked(
                 self.now_ms,
-                tuple(running + self.strangers),
+                tuple(running + self.unknown_runs),
                 tuple(self.ends[server_id]),
             )
             self.engine.looked(server, sent_ms, self.now_ms, looked)
@@ -163,21 +164,21 @@
     def report(self, key, run):
         step = self.step_of(key)
         if step.target_ms:
-            return RunningReport(key, '', 100, self.tail())
+            return RunningReport(key, '', 100, self.tail_latency())
         if step.fills:
             pace = self.pace_by_image.get(step.image, 100)
             used = step.needs.processors_milli * pace / 100
             return RunningReport(key, '', self.percent(), used)
-        percent = self.still_percent if self.still else self.percent()
+        percent = self.stalled_percent if self.stalled else self.percent()
         return RunningReport(key, '', percent, 1)
 
     def percent(self):
         return 100 if self.lasting else (self.now_ms // 50) % 100
 
     lasting = False
-    still_percent = 40
+    stalled_percent = 40
 
-    def tail(self):
+    def tail_latency(self):
         wild = self.pace_by_image.get('wild', 100) / 100
         return self.figure_by_image['calm'] * (
             1 + (self.figure_by_image['wild'] - 1) * wild
@@ -220,7 +221,7 @@
     return engine
 
 
-def keep(rows, payload_by_key):
+def store_rows(rows, payload_by_key):
     for key, payload in payload_by_key.items():
         rows.pop(key, None)
         if payload is not None:
--- a/waxwingford/scheduling/tests/engine_steps.py
+++ b/waxwingford/scheduling/tests/engine_steps.py
@@ -236,14 +236,14 @@
 
 @when('it makes no progress for {span_s:d} s')
 def make_no_progress(context, span_s):
-    context.bench.still = True
+    context.bench.stalled = True
     context.bench.pass_ms(span_s * 1000)
 
 
 @when('the server lists an unknown run')
 def list_unknown_run(context):
     key = RunKey(TaskKey('00000000000000bb', 0, 0, 0), 1)
-    context.bench.strangers = [RunningReport(key, '', 5, 1)]
+    context.bench.unknown_runs = [RunningReport(key, '', 5, 1)]
     context.bench.look()
 
 
@@ -344,7 +344,7 @@
 def halt_orders(bench, image):
     return [
         order
-        for order in bench.paces
+        for order in bench.pace_orders
         if bench.step_of(order.key).image == image and order.percent == 0
     ]
 
@@ -359,4 +359,6 @@
 
 @then('"{image}" was ordered to slow down twice')
 def halted_twice(context, image):
-    assert len(halt_orders(context.bench, image)) == 2, context.bench.paces
+    assert len(halt_orders(context.bench, image)) == 2, (
+        context.bench.pace_orders
+    )
--- a/waxwingford/scheduling/tests/succession_steps.py
+++ b/waxwingford/scheduling/tests/succession_steps.py
@@ -6,9 +6,9 @@
 from waxwingford.scheduling._rows import encode_step_row
 from waxwingford.scheduling.tests.engine_bench import (
     JOB,
-    keep,
     new_engine,
     step,
+    store_rows,
 )
 
 MS_IN_S = 1000
@@ -59,7 +59,7 @@
 @when('it makes no progress until a stop is ordered, for {span_s:d} s at most')
 def no_progress_until_stop(context, span_s):
     bench = context.bench
-    bench.still = True
+    bench.stalled = True
     until_ms = bench.now_ms + span_s * 1000
     while bench.now_ms < until_ms and not bench.stops():
         bench.pass_ms(1)
@@ -74,8 +74,8 @@
     for _ in range(span_s):
         bench.now_ms += 950
         bench.decide()
-    bench.still = True
-    bench.still_percent = 0
+    bench.stalled = True
+    bench.stalled_percent = 0
     bench.pass_ms(still_s * 1000)
 
 
@@ -108,7 +108,7 @@
 def store_then_change_owner(context):
     # Stores the pending rows without another decision.
     bench = context.bench
-    keep(bench.rows, bench.engine.take_batch().payload_by_key)
+    store_rows(bench.rows, bench.engine.take_batch().payload_by_key)
     change_owner(context)
 
 
