--- a/waxwingford/scheduling/tests/engine.feature
+++ b/waxwingford/scheduling/tests/engine.feature
@@ -252,7 +252,7 @@
     # task runs twice.
     Given an engine with 1 servers of 8 cores
     When a job of 1 task is submitted after 25 s without a poll
-    Then its lease is over after 5 s at most, by a clock that is 2 percent slow
+    Then its lease expires after 5 s at most, by a clock that is 2 percent slow
 
   Scenario: a speed limit is ordered again if the order got no answer
     # Guards against a fill that harms a serving task after an order to slow it was lost.
--- a/waxwingford/scheduling/tests/engine_steps.py
+++ b/waxwingford/scheduling/tests/engine_steps.py
@@ -60,7 +60,7 @@
 
 
 @then(
-    'its lease is over after {span_s:d} s at most,'
+    'its lease expires after {span_s:d} s at most,'
     ' by a clock that is {percent:d} percent slow'
 )
 def lease_within(context, span_s, percent):
