--- a/waxwingford/scheduling/_crashes.py
+++ b/waxwingford/scheduling/_crashes.py
@@ -1,11 +1,9 @@
-"""Tasks that crash the servers that start them.
-
-A server that crashes takes all of its runs along, and no server lists how they
-ended. Which of them made it crash shows only by when they began: a task that
-crashes its server does so at once. All that began just before are suspects, and a
-suspect starts alone (see ``Isolation``): when the next server crashes as well, no
-other task can have been the cause, and its job has failed. A server that lives on
-clears it.
+"""Detection of tasks that crash their servers.
+
+A task is assumed to crash its server right after its start, so the runs that began
+shortly before a crash are suspected. A suspect starts alone on its next server (see
+``Isolation``). If that server crashes too, the job of the suspect fails; if the
+server stays up, the suspect is cleared.
 """
 
 from waxwingford.scheduling._book import Book
@@ -13,31 +11,30 @@
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import JobPhase, Run, RunPhase, Step, Task
 
-#: A server has outlived a start when it answers so long after it, by its clock, in
-#: ms. It bounds how long a suspect keeps others from its server.
+#: Time by the server's clock after which a server has outlived a start, in ms. A
+#: suspect occupies its server alone for this time.
 OUTLIVED_MS = 300
-#: Evidence against a task when a server was lost just after it had started it, and
-#: when many servers were silent at that time: then the way to them may have been cut,
-#: or the owner could not extend their leases.
+#: Evidence added when a server is lost right after it started the task; less if many
+#: servers are silent, as in a partition or if the owner couldn't extend their leases.
 CRASH_EVIDENCE = 2
 SILENCE_EVIDENCE = 1
-#: Silent servers are many when they are a larger share of all than this.
-MOST_SILENT_SHARE = 0.125
-#: Evidence from which on a task is a suspect, and starts alone.
+#: Share of silent servers above which the smaller evidence is added.
+MAX_SILENT_SHARE = 0.125
+#: Evidence at which a task becomes a suspect and starts alone.
 SUSPECT_EVIDENCE = 2
-#: Evidence with which a task is given up: when the last server is known to have
-#: crashed, as another incarnation has answered, and nothing else can have been the
-#: cause; and otherwise. A silent server may have been cut off, and what an owner knew
-#: when it died need not all be stored.
-SURE_EVIDENCE = 4
-UNSURE_EVIDENCE = 8
+#: Evidence at which the job fails: if another incarnation proves that the server
+#: crashed and there is no other suspect on it; and otherwise, because a silent server
+#: may only be unreachable, and the latest knowledge of a previous owner may be lost.
+CONFIRMED_FAIL_EVIDENCE = 4
+UNCONFIRMED_FAIL_EVIDENCE = 8
 
 
 def find_suspects(server: Server) -> list[Run]:
-    """List the runs that may have made a server crash.
+    """List the runs that may have crashed a server.
 
-    :param server: that was lost.
-    :returns: those that it isn't known to have outlived, and that may have begun.
+    :param server: lost server.
+    :returns: runs that may have begun and that the server isn't known to have
+        outlived.
     """
     return [
         run
@@ -47,20 +44,24 @@
 
 
 def add_evidence(book: Book, server: Server, suspects: list[Run]) -> None:
-    """Weigh the loss of a server against each task that may have caused it.
+    """Add evidence to the tasks that may have crashed a server.
 
-    A job fails with the first of its tasks for which that is enough.
+    A job fails as soon as the evidence against one of its tasks suffices.
 
-    :param book: of the shard.
-    :param server: that was lost.
-    :param suspects: runs that may have made it crash.
+    :param book: state of the shard.
+    :param server: lost server.
+    :param suspects: runs that may have crashed it.
     """
     if not suspects:
         return
-    alone = len(_causes(book, suspects)) == 1
-    enough = SURE_EVIDENCE if server.gone and alone else UNSURE_EVIDENCE
-    down = server.gone or not server.listed or _few_are_silent(book)
-    evidence = CRASH_EVIDENCE if down else SILENCE_EVIDENCE
+    single_cause = len(_possible_causes(book, suspects)) == 1
+    fail_evidence = (
+        CONFIRMED_FAIL_EVIDENCE
+        if server.gone and single_cause
+        else UNCONFIRMED_FAIL_EVIDENCE
+    )
+    server_failed = server.gone or not server.listed or _few_are_silent(book)
+    evidence = CRASH_EVIDENCE if server_failed else SILENCE_EVIDENCE
     for run in suspects:
         found = book.find(run.key)
         if found is None:
@@ -77,16 +78,16 @@
             suspects=len(suspects),
             replaced=server.gone,
         )
-        if task.evidence >= enough:
+        if task.evidence >= fail_evidence:
             book.notes.add('task.given_up', task.key, evidence=task.evidence)
             book.finish(step.job, JobPhase.failed)
 
 
 def clear_outlived(book: Book, server: Server) -> None:
-    """Clear the tasks whose start a server has outlived.
+    """Clear the suspicion of tasks whose start a server has outlived.
 
-    :param book: of the shard.
-    :param server: that has just answered.
+    :param book: state of the shard.
+    :param server: server that has just answered.
     """
     for key in list(server.fresh):
         run = server.run_by_key[key]
@@ -98,14 +99,14 @@
         found = book.find(key)
         if found is not None:
             task, step = found
-            book.outlived_by_name[step.name] = step
+            book.outlived_step_by_name[step.name] = step
             if task.evidence:
                 book.notes.add('task.cleared', key.task, evidence=task.evidence)
                 task.evidence = 0
                 book.mark(step)
 
 
-def _causes(book: Book, suspects: list[Run]) -> set[TaskKey]:
+def _possible_causes(book: Book, suspects: list[Run]) -> set[TaskKey]:
     found_by_key = {run.key: book.find(run.key) for run in suspects}
     return {
         cause_of(key.task, found[1])
@@ -117,36 +118,36 @@
 def _few_are_silent(book: Book) -> bool:
     servers = book.server_by_id.values()
     silent = sum(server.failing_ms is not None for server in servers)
-    return silent <= max(1, len(servers) * MOST_SILENT_SHARE)
+    return silent <= max(1, len(servers) * MAX_SILENT_SHARE)
 
 
 def _was_outlived(server: Server, run: Run) -> bool:
-    """Tell by when its connections broke whether a server has outlived a run.
+    """Whether the server lost its connections only after outliving the run.
 
-    Its last answer may be a second older, and all that began in between would be
-    suspected.
+    Its last answer may be much older, and runs that began since then would be
+    suspected without need.
     """
-    if server.broke_ms is None or run.phase is not RunPhase.present:
+    if server.connection_lost_ms is None or run.phase is not RunPhase.present:
         return False
-    return server.broke_ms - run.since_ms >= OUTLIVED_MS
+    return server.connection_lost_ms - run.since_ms >= OUTLIVED_MS
 
 
 def mark_outlived(book: Book) -> None:
-    """Mark the steps to be stored that have starts which servers have outlived.
+    """Mark the steps with newly outlived starts to be stored.
 
-    :param book: of the shard.
+    :param book: state of the shard.
     """
-    for step in book.outlived_by_name.values():
+    for step in book.outlived_step_by_name.values():
         book.mark(step)
-    book.outlived_by_name.clear()
+    book.outlived_step_by_name.clear()
 
 
 def is_suspect(task: Task, step: Step) -> bool:
-    """Tell whether a task is suspected to crash its servers.
+    """Whether a task is suspected of crashing its servers.
 
-    :param task: which.
-    :param step: its step.
-    :returns: whether it is, or another member of its gang.
+    :param task: task to check.
+    :param step: step of the task.
+    :returns: whether the task or another member of its gang is suspected.
     """
     if step.spec.gang:
         return any(one.evidence >= SUSPECT_EVIDENCE for one in step.tasks)
@@ -154,10 +155,10 @@
 
 
 def cause_of(key: TaskKey, step: Step) -> TaskKey:
-    """Name what starts as one; the members of a gang do.
+    """Key under which a task is suspected; members of a gang share one.
 
-    :param key: of the task.
-    :param step: its step.
-    :returns: the task, or the first one of its gang.
+    :param key: key of the task.
+    :param step: step of the task.
+    :returns: key of the task, or of the first task of its gang.
     """
     return step.tasks[0].key if step.spec.gang else key
--- a/waxwingford/scheduling/_engine.py
+++ b/waxwingford/scheduling/_engine.py
@@ -1,8 +1,7 @@
-"""The scheduler of a shard: events in, records and orders out.
+"""Scheduler of a shard: turns events into records and orders.
 
-Pure: it reads no clock, opens no connection and is the same in the daemon, in
-virtual time and in randomised tests. The caller stores each batch before it
-sends the starts in it.
+It performs no I/O and reads no clock, so that the daemon and simulations run the
+same code. The caller stores each batch before it sends the starts in it.
 """
 
 import math
@@ -18,13 +17,13 @@
 from waxwingford.scheduling._book import Book
 from waxwingford.scheduling._crashes import mark_outlived
 from waxwingford.scheduling._harm import HarmModel
-from waxwingford.scheduling._inheritance import Inheritance, InheritedLeases
 from waxwingford.scheduling._moving import Mover
-from waxwingford.scheduling._order_making import OrderMaker
+from waxwingford.scheduling._order_factory import OrderFactory
 from waxwingford.scheduling._orders import Batch, Start
 from waxwingford.scheduling._pacing import FULL_PERCENT, Pacer
 from waxwingford.scheduling._placing import Placer
-from waxwingford.scheduling._rows import FORMER_HARM_KEY, HARM_KEY
+from waxwingford.scheduling._recovery import InheritedLeases, StateRecovery
+from waxwingford.scheduling._rows import HARM_KEY, OBSOLETE_HARM_KEY
 from waxwingford.scheduling._runners import (
     LookOutcome,
     OrderOutcome,
@@ -37,53 +36,50 @@
 from waxwingford.scheduling._stops import Stopper
 from waxwingford.scheduling._withholding import Withholding
 
-#: A run whose progress stands still this long is given up, in ms. Progress is
-#: listed in percent, and the shortest tasks take some hundred ms.
-STUCK_MS = 2500
-#: The same for a task that fills: it may be starved for a while.
-STUCK_FILL_MS = 6000
-#: The same for a lasting task that is not at work, in ms.
-STUCK_LASTING_MS = 4000
-#: Time between two writings of what is known of harm, in ms: a successor that
-#: learns it anew lets each pair do its harm once more.
-STORE_HARM_EVERY_MS = 2000
-#: Time between two rounds over all servers and their runs, in ms: what they
-#: find (lapsed leases, runs that stand still, stops to send) is not urgent,
-#: and a decision is made with each answer.
-TEND_EVERY_MS = 50
-#: Time between two markings of starts that servers have outlived, in ms. Most are
-#: stored with other changes of their step; without any, a successor would suspect
-#: all that was started last on a server that crashes when the owner does.
-MARK_OUTLIVED_EVERY_MS = 200
-#: Progress of a lasting task that is at work.
-AT_WORK_PERCENT = 100
+#: A run is stopped after this time without progress, in ms.
+STALLED_RUN_TIMEOUT_MS = 2500
+#: The same for a fill, in ms, which may be starved of CPU for a while.
+STALLED_FILL_TIMEOUT_MS = 6000
+#: The same for a lasting task that isn't ready, in ms.
+STALLED_LASTING_TIMEOUT_MS = 4000
+#: Interval between updates of the stored interference of fills, in ms. A new
+#: owner has to learn again what isn't stored.
+STORE_HARM_INTERVAL_MS = 2000
+#: Interval between checks of all servers for expired leases, stalled runs and
+#: stops to send, in ms. Placement runs with every decision.
+MAINTENANCE_INTERVAL_MS = 50
+#: Interval between stores of outlived starts, in ms. Without them, a new owner
+#: would suspect the latest starts on a server that crashes along with the owner.
+MARK_OUTLIVED_INTERVAL_MS = 200
+#: Progress of a lasting task that is ready, in percent.
+READY_PERCENT = 100
 _NOTHING = Resources(0, 0, 0)
 
 
 class Engine:
-    """Decides for one shard under one fencing token.
+    """Makes the decisions of one owner of a shard.
 
     :ivar book: state of the shard.
-    :ivar orders: makes orders.
-    :ivar settler: takes the answers to starts and stops.
-    :ivar inheritance: what the rows of a former owner say.
-    :ivar pacer: chooses the pace of fills.
+    :ivar orders: creates orders.
+    :ivar settler: applies the answers of servers.
+    :ivar recovery: restores the rows of previous owners.
+    :ivar pacer: sets the speed limits of fills.
     :ivar withholding: chooses servers whose leases are not extended.
     """
 
     def __init__(
         self, token: int, lease_ms: int, inherited: InheritedLeases
     ) -> None:
-        """Start empty.
+        """Create an engine without jobs or servers.
 
         :param token: fencing token of this owner.
-        :param lease_ms: length of the leases given to servers.
-        :param inherited: bounds of the leases that former owners gave.
+        :param lease_ms: length of the leases granted to servers, in ms.
+        :param inherited: latest ends of the leases granted by previous owners.
         """
         self.book = Book()
-        self.orders = OrderMaker(self.book, token, lease_ms)
-        self.inheritance = Inheritance(self.book)
-        self._inherited = inherited
+        self.orders = OrderFactory(self.book, token, lease_ms)
+        self.recovery = StateRecovery(self.book)
+        self._inherited_leases = inherited
         self.settler = Settler(self.book)
         self._stopper = Stopper(self.book)
         self.withholding = Withholding(self.book)
@@ -92,33 +88,33 @@
         self.pacer = Pacer(self.book, self._harm)
         self._mover = Mover(self.book, self._placer)
         self._cancelled: set[str] = set()
-        self._tended_ms = 0
+        self._maintained_ms = 0
         self._harm_stored_ms = 0
-        self._marked_ms = 0
-        self._stirred: dict[str, Job] = {}
-        self._timed_by_id: dict[str, Job] = {}
+        self._outlived_marked_ms = 0
+        self._jobs_to_release: dict[str, Job] = {}
+        self._timed_job_by_id: dict[str, Job] = {}
 
     def submit(self, spec: JobSpec, now_ms: int) -> bool:
-        """Take a stored job in.
+        """Add a stored job; known jobs are ignored.
 
-        :param spec: as submitted.
-        :param now_ms: steady time.
-        :returns: whether it is new.
+        :param spec: specification of the job as submitted.
+        :param now_ms: current monotonic time, in ms.
+        :returns: whether the job is new.
         """
         if not self.book.submit(spec, now_ms):
             return False
         job = self.book.job_by_id[spec.job_id]
-        self._stirred[spec.job_id] = job
+        self._jobs_to_release[spec.job_id] = job
         if spec.times:
-            self._timed_by_id[spec.job_id] = job
+            self._timed_job_by_id[spec.job_id] = job
         if spec.job_id in self._cancelled:
             self.cancel(spec.job_id)
         return True
 
     def cancel(self, job_id: str) -> None:
-        """Apply a stored cancelling.
+        """Apply a stored cancellation.
 
-        :param job_id: which job; it may become known later.
+        :param job_id: identifier of the job, which may be submitted later.
         """
         job = self.book.job_by_id.get(job_id)
         if job is None:
@@ -129,41 +125,41 @@
         self.book.finish(job, JobPhase.cancelled)
 
     def configure(self, terms: Terms) -> None:
-        """Put a configuration in force, unless a newer one is.
+        """Apply settings of the queues unless newer ones are in force.
 
-        :param terms: the configuration.
+        :param terms: settings of all queues.
         """
         if terms.version >= self.book.terms.version:
             self.book.terms = terms
 
     def restore(self, rows: dict[str, bytes]) -> None:
-        """Read the rows of a former owner, before any job is taken in.
+        """Read the rows of previous owners, before any job is submitted.
 
         :param rows: newest rows by key.
         """
-        rows.pop(FORMER_HARM_KEY, None)
+        rows.pop(OBSOLETE_HARM_KEY, None)
         harm = rows.pop(HARM_KEY, None)
         if harm is not None:
             try:
                 self._harm.restore(harm)
             except ValueError as error:
                 self.book.notes.add_unreadable(HARM_KEY, error)
-        self.inheritance.restore(rows)
+        self.recovery.restore(rows)
 
     def inherit(self, now_ms: int, wall_ms: int) -> None:
-        """Take the rows over, once all jobs are known.
+        """Apply the restored rows, once all jobs are submitted.
 
-        :param now_ms: steady time.
-        :param wall_ms: Unix time.
+        :param now_ms: current monotonic time, in ms.
+        :param wall_ms: current Unix time, in ms.
         """
-        self.inheritance.apply(now_ms, wall_ms)
-        self._stirred.update(self.book.job_by_id)
+        self.recovery.apply(now_ms, wall_ms)
+        self._jobs_to_release.update(self.book.job_by_id)
 
     def register(self, entries: Iterable[ServerEntry], now_ms: int) -> None:
-        """Take the newest registrations of backend servers.
+        """Apply the newest registrations of backend servers.
 
-        :param entries: all that are registered.
-        :param now_ms: steady time.
+        :param entries: all current registrations.
+        :param now_ms: current monotonic time, in ms.
         """
         entry_by_id = {entry.server_id: entry for entry in entries}
         for server_id, entry in entry_by_id.items():
@@ -174,26 +170,26 @@
                 server.register(entry)
         for server_id, server in self.book.server_by_id.items():
             server.listed = server_id in entry_by_id
-        for server_id in list(self.inheritance.orphans_by_server):
+        for server_id in list(self.recovery.orphans_by_server):
             self._add_unlisted(server_id, now_ms)
         self.pacer.count()
 
     def looked(
         self, server: Server, sent_ms: int, now_ms: int, outcome: LookOutcome
     ) -> None:
-        """Apply the answer to a look.
+        """Apply the outcome of a poll.
 
-        :param server: which answered.
-        :param sent_ms: when the look was sent, steady time.
-        :param now_ms: steady time.
-        :param outcome: what came back.
+        :param server: polled server.
+        :param sent_ms: monotonic time in ms at which the poll was sent.
+        :param now_ms: current monotonic time, in ms.
+        :param outcome: outcome of the poll.
         """
         self.settler.looked(server, sent_ms, now_ms, outcome)
         if server.looked_ms != sent_ms:
             return
         self._harm.learn(server, now_ms)
         if self.pacer.watches(server):
-            if now_ms - self._harm_stored_ms >= STORE_HARM_EVERY_MS:
+            if now_ms - self._harm_stored_ms >= STORE_HARM_INTERVAL_MS:
                 self._harm_stored_ms = now_ms
                 self.book.harm_row = self._harm.encode()
             self.pacer.react(server, now_ms)
@@ -201,69 +197,71 @@
     def start_answered(
         self, server: Server, run: Run, now_ms: int, outcome: OrderOutcome
     ) -> None:
-        """Apply the answer to a start.
+        """Apply the outcome of a start order.
 
-        A fill starts at full pace; what the tasks beside it can't bear is
-        slowed at once, not only after the next look.
+        A fill starts at full speed; if it is known to harm the tasks on its
+        server, it is slowed at once instead of after the next poll.
 
-        :param server: which answered.
-        :param run: what was to start.
-        :param now_ms: steady time.
-        :param outcome: what came back.
+        :param server: server that the order was sent to.
+        :param run: run to start.
+        :param now_ms: current monotonic time, in ms.
+        :param outcome: outcome of the order.
         """
         self.settler.start_answered(server, run, now_ms, outcome)
         if isinstance(outcome, OrderTaken) and self.pacer.watches(server):
             self.pacer.react(server, now_ms)
 
     def decide(self, now_ms: int, wall_ms: int, place: bool = True) -> None:
-        """Settle, release, place and order whatever can be now.
+        """Check servers and runs, release due steps and place tasks.
 
-        :param now_ms: steady time.
-        :param wall_ms: Unix time, for jobs that are due at a time.
+        :param now_ms: current monotonic time, in ms.
+        :param wall_ms: current Unix time in ms, for timed jobs.
         :param place: whether tasks may be placed now.
         """
-        self.book.wall_ahead_ms = wall_ms - now_ms
-        if now_ms - self._tended_ms >= TEND_EVERY_MS:
-            self._tended_ms = now_ms
+        self.book.wall_offset_ms = wall_ms - now_ms
+        if now_ms - self._maintained_ms >= MAINTENANCE_INTERVAL_MS:
+            self._maintained_ms = now_ms
             for server in list(self.book.server_by_id.values()):
-                self._tend(server, now_ms)
+                self._maintain(server, now_ms)
             self._mover.move(now_ms)
             spare_last_servers(self.book, now_ms)
-            if now_ms - self._marked_ms >= MARK_OUTLIVED_EVERY_MS:
-                self._marked_ms = now_ms
+            if now_ms - self._outlived_marked_ms >= MARK_OUTLIVED_INTERVAL_MS:
+                self._outlived_marked_ms = now_ms
                 mark_outlived(self.book)
-        due = {**self._stirred, **self._timed_by_id}
-        self._stirred = {}
-        for job in due.values():
+        to_release = {**self._jobs_to_release, **self._timed_job_by_id}
+        self._jobs_to_release = {}
+        for job in to_release.values():
             self._placer.release(job, now_ms, wall_ms)
         if place:
             self._placer.place(now_ms)
 
     def take_batch(self) -> Batch:
-        """Take what has to be stored.
+        """Remove and return everything that has to be stored.
 
-        :returns: rows, and what may be done once they are stored.
+        :returns: rows and the actions that depend on them.
         """
         batch = self.book.take_batch()
-        batch.payload_by_key.update(self.book.forget_ended())
+        batch.payload_by_key.update(self.book.remove_ended_jobs())
         return batch
 
     def stored(self, batch: Batch) -> list[Start]:
-        """Note that a batch is stored.
+        """Apply the actions of a stored batch.
 
-        :param batch: which.
+        :param batch: batch that was stored.
         :returns: starts to send now.
         """
         for job, _ in batch.shown:
-            self._stirred[job.spec.job_id] = job
+            self._jobs_to_release[job.spec.job_id] = job
         return self.book.stored(batch)
 
     def _add(self, entry: ServerEntry, now_ms: int) -> None:
         server = Server(entry)
         self.book.server_by_id[entry.server_id] = server
-        if entry.server_id in self.inheritance.orphans_by_server:
-            server.inherited_until_ms = self._inherited.until(entry.server_id)
-            self.inheritance.adopt(server)
+        if entry.server_id in self.recovery.orphans_by_server:
+            server.inherited_lease_until_ms = self._inherited_leases.until(
+                entry.server_id
+            )
+            self.recovery.adopt(server)
 
     def _add_unlisted(self, server_id: str, now_ms: int) -> None:
         entry = ServerEntry(
@@ -272,12 +270,12 @@
         self._add(entry, now_ms)
         self.book.server_by_id[server_id].listed = False
 
-    def _tend(self, server: Server, now_ms: int) -> None:
+    def _maintain(self, server: Server, now_ms: int) -> None:
         fade_blame(server, now_ms)
         unreachable = server.failing_ms is not None or not server.entry.endpoint
         if server.gone or unreachable:
-            self.settler.drop_lost(server, now_ms)
-        for run, step in _stuck_runs(server):
+            self.settler.settle_expired(server, now_ms)
+        for run, step in _stalled_runs(server):
             run.stopping = True
             self.book.notes.add(
                 'run.stuck',
@@ -293,43 +291,42 @@
             if not step.spec.lasting:
                 blame_server(server, BLAME_STUCK, now_ms)
         if server.entry.draining and server.listed:
-            _move_away(server)
-        self.settler.drop_unsent(server, now_ms)
+            _stop_movable_runs(server)
+        self.settler.settle_unsent(server, now_ms)
         self._stopper.order_due(server, now_ms)
         if not server.listed and not server.run_by_key:
             self.book.server_by_id.pop(server.entry.server_id, None)
 
 
-def _stuck_runs(server: Server) -> Iterator[tuple[Run, Step]]:
-    """List the runs whose progress stands still.
-
-    :param server: where.
-    :returns: runs with their steps.
-    """
+def _stalled_runs(server: Server) -> Iterator[tuple[Run, Step]]:
     for key, run in server.run_by_key.items():
-        # First what rules most out: this is asked of all runs, many times a
-        # second.
-        still_ms = server.looked_ms - run.moved_ms
-        if still_ms <= STUCK_MS or run.phase is not RunPhase.present:
+        # The cheapest and most selective checks come first.
+        stalled_ms = server.looked_ms - run.moved_ms
+        if (
+            stalled_ms <= STALLED_RUN_TIMEOUT_MS
+            or run.phase is not RunPhase.present
+        ):
             continue
         step = server.step_by_run[key]
-        waits = run.stopping or run.pace != FULL_PERCENT
-        if not waits and still_ms > _patience_ms(run, step):
+        exempt = run.stopping or run.pace != FULL_PERCENT
+        if not exempt and stalled_ms > _stall_timeout_ms(run, step):
             yield run, step
 
 
-def _patience_ms(run: Run, step: Step) -> float:
+def _stall_timeout_ms(run: Run, step: Step) -> float:
     if step.spec.lasting:
-        at_work = run.percent >= AT_WORK_PERCENT
-        return math.inf if at_work else STUCK_LASTING_MS
-    return STUCK_FILL_MS if step.spec.fills else STUCK_MS
+        ready = run.percent >= READY_PERCENT
+        return math.inf if ready else STALLED_LASTING_TIMEOUT_MS
+    return (
+        STALLED_FILL_TIMEOUT_MS if step.spec.fills else STALLED_RUN_TIMEOUT_MS
+    )
 
 
-def _move_away(server: Server) -> None:
-    """Stop what can go on elsewhere before a draining server leaves.
+def _stop_movable_runs(server: Server) -> None:
+    """Stop lasting runs and runs with checkpoints on a draining server.
 
-    Left alone, it would end when the server exits, which shows only when the
-    lease is over: seconds in which a lasting task is away.
+    Otherwise they would be restarted elsewhere only after the server has exited
+    and its lease has expired, several seconds later.
     """
     for key, run in server.run_by_key.items():
         spec = server.step_by_run[key].spec
--- a/waxwingford/scheduling/tests/succession_steps.py
+++ b/waxwingford/scheduling/tests/succession_steps.py
@@ -1,34 +1,34 @@
-"""Steps for an engine that goes on from the rows of another one."""
+"""Steps for recovery of a new owner from the rows of its predecessor."""
 
 from behave import then, when
 
 from waxwingford.scheduling import Denial, EndKind, EndReport, OrderDenied
-from waxwingford.scheduling._rows import encode_step
+from waxwingford.scheduling._rows import encode_step_row
 from waxwingford.scheduling.tests.engine_bench import (
     JOB,
-    keep,
     new_engine,
     step,
+    store_rows,
 )
 
 MS_IN_S = 1000
 
 
 @when('the owner changes to one whose clock is {behind_s:d} s behind')
-def change_behind(context, behind_s):
-    context.bench.wall_ahead_ms -= behind_s * MS_IN_S
-    owner_changes(context)
+def owner_clock_behind(context, behind_s):
+    context.bench.wall_offset_ms -= behind_s * MS_IN_S
+    change_owner(context)
 
 
 @when('the owner changes to one whose clock is {ahead_s:d} s ahead')
-def change_ahead(context, ahead_s):
-    # Ahead of the time by which the row was written.
-    context.bench.wall_ahead_ms += 2 * ahead_s * MS_IN_S
-    owner_changes(context)
+def owner_clock_ahead(context, ahead_s):
+    # Twice, as an earlier step has set the clock back by as much.
+    context.bench.wall_offset_ms += 2 * ahead_s * MS_IN_S
+    change_owner(context)
 
 
-@when('its run is stopped, with no server left to take it')
-def stopped_without_server(context):
+@when('its run is stopped while no server accepts starts')
+def stop_without_server(context):
     bench = context.bench
     bench.drain(context.run.server_id)
     bench.end(context.run, EndKind.stopped)
@@ -44,7 +44,7 @@
 
 
 @when('the owner changes')
-def owner_changes(context):
+def change_owner(context):
     bench = context.bench
     former = bench.engine
     engine = new_engine(former.orders.token + 1, bench.now_ms)
@@ -56,77 +56,74 @@
     bench.register()
 
 
-@when(
-    'its progress stands still until a stop is ordered,'
-    ' for {span_s:d} s at most'
-)
-def still_until_stop(context, span_s):
+@when('it makes no progress until a stop is ordered, for {span_s:d} s at most')
+def no_progress_until_stop(context, span_s):
     bench = context.bench
-    bench.still = True
+    bench.stalled = True
     until_ms = bench.now_ms + span_s * 1000
     while bench.now_ms < until_ms and not bench.stops():
         bench.pass_ms(1)
 
 
 @when(
-    '{span_s:d} s pass before it reaches the server,'
+    '{span_s:d} s pass before the owner reaches the server,'
     ' which lists 0 percent for {still_s:d} s'
 )
-def reached_late(context, span_s, still_s):
+def reach_server_late(context, span_s, still_s):
     bench = context.bench
     for _ in range(span_s):
         bench.now_ms += 950
         bench.decide()
-    bench.still = True
-    bench.still_percent = 0
+    bench.stalled = True
+    bench.stalled_percent = 0
     bench.pass_ms(still_s * 1000)
 
 
-@when('what was planned last ends as done')
-def last_done(context):
+@when('the last planned run ends as done')
+def end_last_run(context):
     context.bench.end(context.bench.planned[-1], EndKind.done)
 
 
-@when('what was planned first ends as done')
-def first_done(context):
+@when('the first planned run ends as done')
+def end_first_run(context):
     context.bench.end(context.bench.planned[0], EndKind.done)
 
 
 @when('a job of two steps is submitted')
-def two_steps(context):
+def submit_two_steps(context):
     context.bench.submit(step(), step(after=(0,)))
     context.bench.look()
 
 
-@when('what was planned last ends as done, and the owner changes at once')
-def done_and_changes(context):
+@when('the last planned run ends as done, and the owner changes at once')
+def end_last_run_then_change_owner(context):
     bench = context.bench
     run = bench.planned[-1]
     end = EndReport(1, run.key, EndKind.done, '')
     bench.ends[run.server_id].append(end)
     bench.look()
-    store_and_change(context)
+    store_then_change_owner(context)
 
 
-def store_and_change(context):
-    # Stored without another decision.
+def store_then_change_owner(context):
+    # Stores the pending rows without another decision.
     bench = context.bench
-    keep(bench.rows, bench.engine.take_batch().payload_by_key)
-    owner_changes(context)
+    store_rows(bench.rows, bench.engine.take_batch().payload_by_key)
+    change_owner(context)
 
 
 @when('one member is refused by its server, and the owner changes at once')
-def refused_and_changes(context):
+def refuse_member_then_change_owner(context):
     bench = context.bench
     run = bench.planned[0]
     server = bench.engine.book.server_by_id[run.server_id]
     refusal = OrderDenied(Denial.no_room)
     bench.engine.settler.start_answered(server, run, bench.now_ms, refusal)
-    store_and_change(context)
+    store_then_change_owner(context)
 
 
-@when('the former owner stores that its task is done, but not its end')
-def done_without_end(context):
+@when('the previous owner stores that its task is done, but not its end')
+def store_task_done_only(context):
     bench = context.bench
     context.planned_before = len(bench.planned)
     job = bench.engine.book.job_by_id[JOB]
@@ -136,10 +133,10 @@
     bench.ends[server_id].append(end)
     task.done = True
     task.run_by_number.clear()
-    row = encode_step(job.steps_by_occurrence[0][0], 0)
+    row = encode_step_row(job.steps_by_occurrence[0][0], 0)
     bench.rows[f'{JOB}.0.0'] = row
 
 
-@then('nothing more was planned')
-def nothing_more(context):
+@then('nothing else was planned')
+def nothing_more_planned(context):
     assert len(context.bench.planned) == context.planned_before
