--- a/waxwingford/shard/_commits.py
+++ b/waxwingford/shard/_commits.py
@@ -1,4 +1,4 @@
-"""Stores what an engine decides, batch by batch, then acts on it."""
+"""Stores decisions of the engine in batches, then carries them out."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -8,68 +8,68 @@
 from waxwingford.shard._journal import Deposed, EpochWriter
 from waxwingford.shard._log_port import KeyedRecord
 
-#: Bytes of rows in one append: half of what the platform takes.
-MOST_APPEND_BYTES = 1_000_000
+#: Most bytes of rows in one append, half of the platform's limit.
+MAX_APPEND_BYTES = 1_000_000
 
 
 class Committer:
-    """One append at a time; what comes meanwhile goes into the next."""
+    """Stores one batch at a time; later decisions go into the next batch."""
 
     def __init__(
         self, engine: Engine, writer: EpochWriter, fleet: Fleet
     ) -> None:
-        """Prepare.
+        """Create a committer without pending work.
 
-        :param engine: decides.
-        :param writer: of the journal, under the owner's epoch.
-        :param fleet: acts.
+        :param engine: engine whose decisions are stored.
+        :param writer: writer of the journal under the owner's epoch.
+        :param fleet: carries out stored decisions.
         """
         self._engine = engine
         self._writer = writer
         self._fleet = fleet
-        self._wanted = asyncio.Event()
+        self._requested = asyncio.Event()
 
     def wake(self) -> None:
-        """Store soon, if there is something to store."""
+        """Request a batch if the engine has decisions to store."""
         if self._engine.book.dirty:
-            self._wanted.set()
+            self._requested.set()
 
-    async def run(self, stir: Callable[[], None]) -> None:
+    async def run(self, request_decision: Callable[[], None]) -> None:
         """Store batches until the owner is deposed.
 
-        :param stir: called after each batch.
+        :param request_decision: called after each stored batch.
         """
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
+            await self._requested.wait()
+            self._requested.clear()
             batch = self._engine.take_batch()
             rows = tuple(
                 KeyedRecord(key, raw)
                 for key, raw in batch.payload_by_key.items()
             )
-            for part in _parts(rows):
+            for part in _split(rows):
                 if isinstance(await self._writer.append(part), Deposed):
                     return
             self._fleet.act_on(batch, self._engine.stored(batch))
-            stir()
+            request_decision()
 
 
-def _parts(
+def _split(
     rows: tuple[KeyedRecord, ...],
 ) -> Iterator[tuple[KeyedRecord, ...]]:
-    """Split rows into appends that the store takes.
+    """Split the rows of a batch by the size limit of an append.
 
-    :param rows: of one batch; acted on only when all are stored.
+    :param rows: rows of one batch, which is carried out once all are stored.
     :returns: rows of each append.
     """
     part: list[KeyedRecord] = []
-    held_bytes = 0
+    part_bytes = 0
     for row in rows:
         row_bytes = len(row.key) + len(row.payload or b'')
-        if part and held_bytes + row_bytes > MOST_APPEND_BYTES:
+        if part and part_bytes + row_bytes > MAX_APPEND_BYTES:
             yield tuple(part)
-            part, held_bytes = [], 0
+            part, part_bytes = [], 0
         part.append(row)
-        held_bytes += row_bytes
+        part_bytes += row_bytes
     if part:
         yield tuple(part)
--- a/waxwingford/shard/_log_port.py
+++ b/waxwingford/shard/_log_port.py
@@ -1,8 +1,7 @@
-"""What a shared log promises: topics, fenced appends, newest record by key.
+"""Port to the shared log: topics, fenced appends, newest record of each key.
 
-An append whose answer is lost may have been carried out, or may be carried
-out seconds later; only a repeat under the same sequence number, or a read,
-settles it.
+An append that got no answer may have been applied, or may be applied seconds
+later. Only a retry with the same sequence number, or a read, resolves it.
 """
 
 import dataclasses
@@ -10,10 +9,10 @@
 
 
 class KeyedRecord(NamedTuple):
-    """A record of a topic that keeps the newest record of each key.
+    """A record to append to a topic that is compacted by key.
 
-    :ivar key: what the record is about.
-    :ivar payload: content; ``None`` drops the key.
+    :ivar key: key of which the topic keeps the newest record.
+    :ivar payload: content; ``None`` is a tombstone that deletes the key.
     """
 
     key: str
@@ -21,11 +20,11 @@
 
 
 class StoredRecord(NamedTuple):
-    """A record as it was read.
+    """A record as read from a topic.
 
-    :ivar offset: place in the topic.
-    :ivar key: what the record is about.
-    :ivar payload: content; ``None`` if the key was dropped.
+    :ivar offset: position in the topic.
+    :ivar key: key of the record.
+    :ivar payload: content; ``None`` if the key was deleted.
     """
 
     offset: int
@@ -34,12 +33,13 @@
 
 
 class Fence(NamedTuple):
-    """Conditions under which an append counts.
+    """Conditions under which the store accepts an append.
 
-    :ivar epoch: a lower one than the topic has seen is refused.
-    :ivar sequence: number of this append under the epoch; a repeat of it is
-        answered as the first time and appends nothing.
-    :ivar at_offset: where the topic must end, ``None`` for anywhere.
+    :ivar epoch: epoch of the writer; refused if the topic has seen a higher
+        one.
+    :ivar sequence: number of this append within the epoch; a retry with the
+        same number gets the first answer again and appends nothing.
+    :ivar at_offset: offset at which the topic must end, ``None`` for any.
     """
 
     epoch: int
@@ -51,7 +51,7 @@
 class Appended:
     """The records are stored.
 
-    :ivar end: offset after the last of them.
+    :ivar end: offset after the last appended record.
     """
 
     end: int
@@ -59,14 +59,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppendFenced:
-    """Not appended: a higher epoch has been seen."""
+    """Not appended: the topic has seen a higher epoch."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppendOutOfOrder:
-    """Not appended now: the sequence number is not the next one.
+    """Not appended: the sequence number is not the next one.
 
-    :ivar expected: the next one.
+    :ivar expected: the sequence number that the store expects next.
     """
 
     expected: int
@@ -74,9 +74,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppendElsewhere:
-    """Not appended: the topic does not end at the wanted offset.
+    """Not appended: the topic does not end at the required offset.
 
-    :ivar end: where it ends.
+    :ivar end: offset at which the topic ends.
     """
 
     end: int
@@ -84,9 +84,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreRefused:
-    """Nothing was done.
+    """The store refused the call and changed nothing.
 
-    :ivar reason: as the store gave it.
+    :ivar reason: error text of the store.
     """
 
     reason: str
@@ -94,9 +94,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreUnknown:
-    """No whole answer came: done, not done, or done later.
+    """The call got no complete answer and may have been or may be applied.
 
-    :ivar reason: what happened to the call.
+    :ivar reason: error that ended the call.
     """
 
     reason: str
@@ -104,11 +104,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordsRead:
-    """Records from the wanted offset on.
+    """Records from the requested offset on.
 
-    :ivar records: in offset order.
-    :ivar next_offset: where to read on.
-    :ivar end: where the topic ended.
+    :ivar records: the records in offset order.
+    :ivar next_offset: offset of the next read.
+    :ivar end: offset at which the topic ended.
     """
 
     records: tuple[StoredRecord, ...]
@@ -118,9 +118,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordsExpired:
-    """The wanted records are no longer kept.
+    """The requested records are past their retention.
 
-    :ivar first: oldest offset that is.
+    :ivar first: oldest offset that is retained.
     """
 
     first: int
@@ -128,11 +128,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NewestPage:
-    """Part of the newest records; several pages are no snapshot.
+    """A page of the newest records; several pages form no snapshot.
 
-    :ivar records: one for each key.
+    :ivar records: newest record of each key of the page, in key order.
     :ivar more: whether further keys follow.
-    :ivar end: where the topic ended when this page was read.
+    :ivar end: offset at which the topic ended when this page was read.
     """
 
     records: tuple[StoredRecord, ...]
@@ -155,7 +155,7 @@
 class SharedLog(Protocol):
     """Topics of keyed records, one partition each.
 
-    :ivar answering: whether the store has answered one of the newest calls.
+    :ivar answering: whether the store has answered one of the latest calls.
     """
 
     answering: bool
@@ -166,32 +166,32 @@
         records: tuple[KeyedRecord, ...],
         fence: Fence | None = None,
     ) -> AppendOutcome:
-        """Append all records or none.
+        """Append records atomically.
 
-        :param topic: where.
-        :param records: what.
-        :param fence: conditions, ``None`` for an append that always counts.
-        :returns: what is known of it.
+        :param topic: name of the topic.
+        :param records: records to append.
+        :param fence: conditions, ``None`` for an unconditional append.
+        :returns: the outcome, as far as it is known.
         """
         ...
 
     async def read(
         self, topic: str, from_offset: int, wait_ms: int
     ) -> ReadOutcome:
-        """Read records.
+        """Read records in offset order.
 
-        :param topic: where.
-        :param from_offset: first offset wanted.
-        :param wait_ms: how long the store may wait for a record.
+        :param topic: name of the topic.
+        :param from_offset: first offset to read.
+        :param wait_ms: long poll: time that the store may wait for a record.
         :returns: the records, or why there are none.
         """
         ...
 
     async def newest(self, topic: str, after_key: str) -> NewestOutcome:
-        """Read a page of the newest records by key.
+        """Read a page of the newest records in key order.
 
-        :param topic: where.
-        :param after_key: last key of the page before, empty for the first.
+        :param topic: name of the topic.
+        :param after_key: last key of the previous page, empty for the first.
         :returns: the page, or why there is none.
         """
         ...
--- a/waxwingford/shard/_mirror.py
+++ b/waxwingford/shard/_mirror.py
@@ -1,4 +1,4 @@
-"""Local copy of a topic that keeps the newest record of each key."""
+"""Local copy of a topic, compacted to the newest record of each key."""
 
 import dataclasses
 
@@ -15,9 +15,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CaughtUp:
-    """The copy is newer than before; how new tells ``Mirror.behind``.
+    """The copy has advanced; ``Mirror.behind`` tells whether to the end.
 
-    :ivar changed: records that were new, in offset order.
+    :ivar changed: records applied since the previous call.
     """
 
     changed: tuple[StoredRecord, ...]
@@ -28,51 +28,51 @@
 
 @dataclasses.dataclass(slots=True)
 class _Pages:
-    """Pages of newest records that were read so far.
+    """Pages of newest records read so far.
 
-    :ivar records: in them.
-    :ivar first_end: where the topic ended at the first of them.
-    :ivar after_key: last key in them.
-    :ivar whole: whether no key follows.
+    :ivar records: records of these pages.
+    :ivar first_end: offset at which the topic ended at the first page.
+    :ivar after_key: last key of these pages.
+    :ivar complete: whether no further key follows.
     """
 
     records: list[StoredRecord] = dataclasses.field(default_factory=list)
     first_end: int | None = None
     after_key: str = ''
-    whole: bool = False
+    complete: bool = False
 
     def add(self, page: NewestPage) -> None:
-        """Take in the next page.
+        """Add the next page.
 
-        :param page: after the key that was last.
+        :param page: the page after ``after_key``.
         """
         if self.first_end is None:
             self.first_end = page.end
         self.records.extend(page.records)
-        self.whole = not (page.more and page.records)
+        self.complete = not (page.more and page.records)
         if page.records:
             self.after_key = page.records[-1].key
 
 
 class Mirror:
-    """Reads a topic once by key, then follows it.
+    """Loads a topic page by page in key order, then follows it by offset.
 
     Pages of newest records are no snapshot: a key may change between two of
     them. So the topic is followed from where it ended at the first page, and
-    for each key the record with the higher offset wins. For the same reason
-    pages that were read are kept when the next one gets no answer.
+    for each key the record with the highest offset wins. This also allows a
+    load that failed at one page to resume there.
 
     :ivar payload_by_key: the copy.
-    :ivar next_offset: where the topic is read on.
-    :ivar page_count: pages that were read so far.
-    :ivar behind: whether the topic went on beyond what the last read returned.
+    :ivar next_offset: offset of the next read.
+    :ivar page_count: number of pages read so far.
+    :ivar behind: whether the topic extends beyond what the last read returned.
     """
 
     def __init__(self, log: SharedLog, topic: str) -> None:
-        """Follow a topic.
+        """Create an empty copy.
 
         :param log: the store.
-        :param topic: which.
+        :param topic: name of the topic.
         """
         self.payload_by_key: dict[str, bytes] = {}
         self.next_offset = 0
@@ -81,43 +81,43 @@
         self._log = log
         self._topic = topic
         self._offset_by_key: dict[str, int] = {}
-        self._restored = False
+        self._loaded = False
         self._pages = _Pages()
-        #: Records that no call has told yet.
-        self._untold: tuple[StoredRecord, ...] = ()
+        #: Records applied but not yet returned by a call.
+        self._undelivered: tuple[StoredRecord, ...] = ()
 
     async def catch_up(self, wait_ms: int = 0) -> CatchUp:
-        """Read what is new; everything, if nothing was read before.
+        """Load the topic on the first call, then read the records after it.
 
-        Of what is new one read returns a part at most, see ``behind``.
+        One call may return only part of the new records, see ``behind``.
 
-        :param wait_ms: how long the store may wait for a record.
-        :returns: what changed, or why nothing is known.
+        :param wait_ms: long poll: time that the store may wait for a record.
+        :returns: the changes, or why the store gave none.
         """
-        if not self._restored:
-            return await self._restore()
+        if not self._loaded:
+            return await self._load()
         outcome = await self._log.read(self._topic, self.next_offset, wait_ms)
         match outcome:
             case RecordsRead(records, next_offset, end):
                 self._apply(records)
                 self.next_offset = next_offset
                 self.behind = next_offset < end
-                return self._tell(records)
+                return self._deliver(records)
             case RecordsExpired():
-                # Left behind for longer than records are kept.
-                self._restored = False
-                return await self._restore()
+                # Fell behind by more than the retention of the topic.
+                self._loaded = False
+                return await self._load()
             case _:
                 return outcome
 
     async def reach_end(self) -> CatchUp:
-        """Read on to where the topic ends.
+        """Read until the end of the topic.
 
-        One read returns so many records at most. Who takes the first for all
-        denies what is stored behind them.
+        The store limits the number of records per read, so that a single read
+        may miss stored records.
 
-        :returns: all that changed, or why the end wasn't reached; what was read
-            until then stays in the copy.
+        :returns: all changes, or why the end was not reached; records read
+            before the failure stay in the copy.
         """
         changed: list[StoredRecord] = []
         while True:
@@ -131,56 +131,56 @@
     def offset_of(self, key: str) -> int:
         """Find the newest record of a key.
 
-        :param key: which.
-        :returns: its offset, -1 if there is none.
+        :param key: key of the record.
+        :returns: offset of the record, -1 if there is none.
         """
         return self._offset_by_key.get(key, -1)
 
     def follow_from(self, offset: int) -> None:
-        """Follow without reading what came before.
+        """Follow the topic without loading earlier records.
 
-        :param offset: first offset wanted.
+        :param offset: first offset to read.
         """
         self.next_offset = offset
-        self._restored = True
+        self._loaded = True
 
-    async def _restore(self) -> CatchUp:
-        kept = self._pages.first_end is not None
-        while not self._pages.whole:
+    async def _load(self) -> CatchUp:
+        resumed = self._pages.first_end is not None
+        while not self._pages.complete:
             pages = self._pages
             page = await self._log.newest(self._topic, pages.after_key)
             if not isinstance(page, NewestPage):
                 return page
             pages.add(page)
             self.page_count += 1
-        records = self._take_pages()
-        if kept:
-            # The first pages are older than this call: whoever asks now wants
-            # to know what has come since.
-            self._untold = records
+        records = self._apply_pages()
+        if resumed:
+            # The first pages were read before this call: read what has been
+            # appended since.
+            self._undelivered = records
             return await self.catch_up()
-        return self._tell(records)
+        return self._deliver(records)
 
-    def _take_pages(self) -> tuple[StoredRecord, ...]:
+    def _apply_pages(self) -> tuple[StoredRecord, ...]:
         records = self._pages.records
         end = self._pages.first_end or 0
         keys = {record.key for record in records}
-        dropped = tuple(
+        deleted = tuple(
             StoredRecord(end, key, None)
             for key in self.payload_by_key
             if key not in keys
         )
-        self._apply(dropped)
+        self._apply(deleted)
         self._apply(tuple(records))
         self.next_offset = end
-        self._restored = True
+        self._loaded = True
         self._pages = _Pages()
         self.behind = False
-        return (*dropped, *records)
+        return (*deleted, *records)
 
-    def _tell(self, records: tuple[StoredRecord, ...]) -> CaughtUp:
-        changed = (*self._untold, *records)
-        self._untold = ()
+    def _deliver(self, records: tuple[StoredRecord, ...]) -> CaughtUp:
+        changed = (*self._undelivered, *records)
+        self._undelivered = ()
         return CaughtUp(changed)
 
     def _apply(self, records: tuple[StoredRecord, ...]) -> None:
--- a/waxwingford/shard/_owner.py
+++ b/waxwingford/shard/_owner.py
@@ -40,7 +40,7 @@
     NotAnswered,
 )
 from waxwingford.shard._sweeper import Sweeper
-from waxwingford.shard._times import boot_ms, steady_ms
+from waxwingford.shard._times import boottime_ms, steady_ms
 
 #: Time between two decisions without an event, in seconds.
 TICK_S = 0.1
@@ -92,7 +92,7 @@
     directory: ServerDirectory
     advisor: Advisor
     observer: Observer
-    since_boot_ms: Callable[[], int] = boot_ms
+    since_boot_ms: Callable[[], int] = boottime_ms
 
 
 class Owner:
--- a/waxwingford/shard/_times.py
+++ b/waxwingford/shard/_times.py
@@ -10,18 +10,19 @@
 def steady_ms() -> int:
     """Read the event loop's clock.
 
-    :returns: milliseconds since an arbitrary start, suspension left out.
+    :returns: milliseconds since an arbitrary start; stops while the VM is
+        suspended.
     """
     return int(asyncio.get_running_loop().time() * MS_IN_S)
 
 
-def boot_ms() -> int:
-    """Read the clock that counts also while the VM is suspended.
+def boottime_ms() -> int:
+    """Read ``CLOCK_BOOTTIME``, which also advances while the VM is suspended.
 
-    A proof of ownership ages while the VM sleeps, and the event loop's clock
-    would not show it: the daemon would go on with leases that a successor
-    takes for lapsed.
+    The age of a proof of ownership is measured with it: by the event loop's
+    clock a daemon that resumes would extend leases that its successor takes
+    for expired.
 
-    :returns: milliseconds since the VM started.
+    :returns: milliseconds since the VM booted.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NS_IN_MS
