--- a/waxwingford/shard/tests/capacities.py
+++ b/waxwingford/shard/tests/capacities.py
@@ -1,51 +1,52 @@
-"""Capacity of a backend server in memory: it may shrink and grow while tasks run."""
+"""History of a simulated backend server's capacity."""
 
 import asyncio
 
-#: A capacity that has shrunk counts so long after, in seconds: until then an owner
-#: may not have read of it.
-KNOWN_AFTER_S = 4.5
+#: Longest time until an owner has read a changed capacity, in seconds.
+MAX_STALENESS_S = 4.5
 
 
 class CapacityHistory:
-    """What a server had when."""
+    """Capacity of a server over time."""
 
     def __init__(self, capacity):
-        #: Rows of the time from which on it had a capacity, and that capacity.
-        self._rows = [(0, capacity)]
+        #: Pairs of a start time and the capacity from then on.
+        self._changes = [(0, capacity)]
 
     @property
-    def newest(self):
-        return self._rows[-1][1]
+    def current(self):
+        return self._changes[-1][1]
 
     def change(self, capacity):
-        """Have another capacity from now on.
+        """Set the capacity from now on.
 
-        :param capacity: the new one.
+        :param capacity: new capacity.
         """
         now_s = asyncio.get_running_loop().time()
-        self._rows.append((now_s, capacity))
+        self._changes.append((now_s, capacity))
 
-    def most(self):
-        """Work out what may be in use, as far as owners must know by now.
+    def upper_bound(self):
+        """Find the largest capacity that an owner may still assume.
 
-        :returns: the most of each resource.
+        :returns: maximum of each resource.
         """
-        known_s = asyncio.get_running_loop().time() - KNOWN_AFTER_S
-        ends_s = [since_s for since_s, _ in self._rows[1:]]
+        stale_before_s = asyncio.get_running_loop().time() - MAX_STALENESS_S
+        ends_s = [since_s for since_s, _ in self._changes[1:]]
         recent = [
             capacity
-            for end_s, (_, capacity) in zip(ends_s, self._rows)
-            if end_s > known_s
+            for end_s, (_, capacity) in zip(ends_s, self._changes)
+            if end_s > stale_before_s
         ]
-        return tuple(map(max, zip(*recent, self.newest)))
+        return tuple(map(max, zip(*recent, self.current)))
 
 
 def exceeds(needs, limit):
-    """Tell whether tasks need more than there is.
+    """Check whether tasks need more resources than available.
 
-    :param needs: what each of them takes.
-    :param limit: what there is.
-    :returns: whether any resource doesn't suffice.
+    :param needs: resources of each task.
+    :param limit: available resources.
+    :returns: whether the sum of any resource exceeds the limit.
     """
-    return any(sum(column) > most for column, most in zip(zip(*needs), limit))
+    return any(
+        sum(column) > maximum for column, maximum in zip(zip(*needs), limit)
+    )
--- a/waxwingford/shard/tests/capacities_steps.py
+++ b/waxwingford/shard/tests/capacities_steps.py
@@ -1,4 +1,4 @@
-"""Steps for servers whose capacity changes."""
+"""Steps for changes of the capacity of servers."""
 
 import itertools
 
@@ -10,10 +10,10 @@
 from waxwingford.shard.tests.shard_steps import job_of
 
 
-@given('no server guards its capacity')
-def unguarded(context):
+@given('no server enforces its capacity')
+def disable_capacity_checks(context):
     for server in context.shard.servers.server_by_id.values():
-        server.guards = False
+        server.enforces_capacity = False
 
 
 @when('all servers shrink to {cores:d} cores')
@@ -29,16 +29,16 @@
     context.shard.call(change)
 
 
-@when('the next {count:d} appends to the journal are not done')
-def lose_appends(context, count):
+@when('the next {count:d} appends to the journal are dropped')
+def drop_appends(context, count):
     context.shard.store.losses_by_topic[JOURNAL_TOPIC] = list(
         itertools.repeat(None, count)
     )
 
 
 @when(
-    'the job is cancelled, and one of {count:d} tasks of {length_s:d} s'
-    ' submitted at once'
+    'the job is cancelled, and a job of {count:d} tasks of {length_s:d} s'
+    ' is submitted immediately'
 )
 def cancel_and_submit(context, count, length_s):
     outcome = context.shard.cancel(context.jobs[-1])
@@ -46,7 +46,7 @@
     job_of(context, count, length_s)
 
 
-@then('{count:d} tasks of the job run')
-def count_running(context, count):
+@then('{count:d} tasks of the job are running')
+def check_running_count(context, count):
     running = context.shard.running(context.jobs[-1])
     assert len(running) == count, running
--- a/waxwingford/shard/tests/crashes.feature
+++ b/waxwingford/shard/tests/crashes.feature
@@ -1,45 +1,46 @@
-Feature: tasks that crash each server that starts them, in a shard
+Feature: tasks that crash the servers they start on
 
   Scenario: a task crashes each server that starts it
-    # Guards against a task that is started again and again while servers crash under it.
+    # Guards against restarting a crashing task without limit.
     Given a shard with 3 daemons and 6 servers
-    When a job of 3 tasks is submitted, of which the first crashes each server
+    When a job of 3 tasks is submitted whose first task crashes each server
     And 30 s pass
     Then nothing was breached
     And the job is shown as failed by every daemon
-    And at most 2 servers have crashed under it
+    And the job has crashed at most 2 servers
 
-  Scenario: a task crashes servers while owners follow each other
-    # Guards against an owner that forgets the crashes that its predecessor has seen.
+  Scenario: a task crashes servers while the shard changes owners
+    # Guards against losing the count of crashes when the shard changes owners.
     Given a shard with 4 daemons and 6 servers
-    When a job of 3 tasks is submitted, of which the first crashes each server
-    And 40 s pass, in which the owner is killed after each crash
+    When a job of 3 tasks is submitted whose first task crashes each server
+    And 40 s pass while the owner is killed after each crash
     Then nothing was breached
     And the job is shown as failed by every daemon
-    And at most 3 servers have crashed under it
+    And the job has crashed at most 3 servers
 
-  Scenario: servers crash by themselves again and again
-    # Guards against giving up sound tasks that were lost with their servers.
+  Scenario: servers crash repeatedly on their own
+    # Guards against failing a healthy task that was lost with several servers.
     Given a shard with 3 daemons and 6 servers
     When a lasting job is submitted
-    And 8 times a server of the lasting job crashes by itself, 4 s apart
+    And servers of the lasting job crash 8 times on their own, 4 s apart
     And 12 s pass
     Then all 4 tasks of the job run
     And nothing was breached
-  Scenario: sound tasks run beside one that crashes servers
-    # Guards against sound jobs that are given up, or wait, for what another task does.
+
+  Scenario: healthy jobs run beside a task that crashes servers
+    # Guards against failing or delaying jobs for the crashes of another job's task.
     Given a shard with 3 daemons and 3 servers
-    When 12 jobs of 2 steps come over 6 s, and one whose first task crashes servers
+    When 12 jobs of 2 steps are submitted over 6 s, and one whose first task crashes servers
     And 30 s pass
     Then the job is shown as failed by every daemon
-    And all sound jobs are completed
-    And at most 2 servers have crashed under it
+    And all jobs without a crashing task are completed
+    And the job has crashed at most 2 servers
     And nothing was breached
 
-  Scenario Outline: many faults at once, crashing tasks and shrinking servers
-    # Guards against sound jobs that fail, crashing tasks that are never given up, and
-    # starts on servers that have become too small.
-    When a shard with crashing tasks and shrinking servers is played for 60 s under seed <seed>
+  Scenario Outline: random faults, crashing tasks and shrinking servers
+    # Guards against failing healthy jobs, restarting crashing tasks without limit, and
+    # starts beyond a reduced capacity.
+    When a shard with crashing tasks and shrinking servers is simulated for 60 s with seed <seed>
     Then all jobs are completed
     And all jobs with a crashing task have failed
     And nothing was breached
@@ -52,23 +53,23 @@
       | 4    |
       | 37   |
 
-  Scenario: a server that has outlived a suspect is looked at as seldom as others
-    # Guards against looks each tenth of a second for as long as nothing else is placed.
+  Scenario: a server that a suspected task did not crash is polled at the usual rate
+    # Guards against polling fast until another task is placed on the server.
     Given a shard with 3 daemons and 3 servers
     When a job of 1 tasks of 30 s is submitted
     And 0.1 s pass
-    And the server of the job crashes by itself
+    And the server of the job crashes on its own
     And 8 s pass
-    Then the server of the job is looked at at most 8 times in 5 s
+    Then the server of the job is polled at most 8 times in 5 s
 
-  Scenario Outline: a task of a job of another kind crashes its servers
-    # Guards against kinds of jobs whose lost runs are counted in no row.
+  Scenario Outline: a task crashes servers in jobs of every kind
+    # Guards against kinds of jobs whose crashes are not counted.
     Given a shard with 3 daemons and 6 servers
-    When a <kind> job is submitted, of which the first task crashes each server
+    When a <kind> job is submitted whose first task crashes each server
     And 40 s pass
     Then nothing was breached
     And the job is shown as failed by every daemon
-    And at most 2 servers have crashed under it
+    And the job has crashed at most 2 servers
 
     Examples:
       | kind     |
--- a/waxwingford/shard/tests/crashes_steps.py
+++ b/waxwingford/shard/tests/crashes_steps.py
@@ -1,4 +1,4 @@
-"""Steps for tasks that crash the servers of a shard."""
+"""Steps for tasks that crash their servers."""
 
 import functools
 
@@ -7,7 +7,7 @@
 from waxwingford.ports import Resources
 from waxwingford.scheduling import TaskKey
 from waxwingford.shard import Stored
-from waxwingford.shard.tests.crashing_tasks import crash_for_a_while
+from waxwingford.shard.tests.crashing_tasks import crash_and_restart
 from waxwingford.shard.tests.shard_steps import (
     CALM_S,
     act,
@@ -17,29 +17,29 @@
 )
 from waxwingford.shard.tests.virtual_shard import step
 
-LOOK_S = 0.05
-CRASHING_SHARE = 0.1
-SHRINKING_SHARE = 0.1
-SHRUNK_PART = 4
+CHECK_INTERVAL_S = 0.05
+CRASHING_JOB_PROBABILITY = 0.1
+SHRINK_PROBABILITY = 0.1
+SHRINK_FACTOR = 4
 
 
 def submit_crashing(shard, count, daemon=None, job=None, **kind):
     """Submit a job whose first task crashes servers.
 
-    :param shard: where.
-    :param count: tasks of the job.
-    :param daemon: through which one.
-    :param job: more of the job.
-    :param kind: more of its step.
-    :returns: its id, and the outcome.
+    :param shard: shard that runs the job.
+    :param count: number of tasks.
+    :param daemon: daemon that takes the job, by default the first one.
+    :param job: further fields of the job spec.
+    :param kind: further fields of the step spec.
+    :returns: id of the job, and the outcome of the submission.
     """
-    # Known before the task can start.
+    # Registered before the task can start.
     job_id = f'{shard.job_count + 1:016x}'
     shard.servers.crashing.tasks.add(TaskKey(job_id, 0, 0, 0))
     return shard.submit((step(count, **kind),), daemon, **(job or {}))
 
 
-def crashes_of(context):
+def crash_count(context):
     crashes = context.shard.servers.crashing.crashes
     return sum(
         count
@@ -49,60 +49,59 @@
 
 
 @when(
-    'a job of {count:d} tasks is submitted, of which the first crashes'
-    ' each server'
+    'a job of {count:d} tasks is submitted whose first task crashes each server'
 )
-def one_crashes(context, count):
+def submit_crashing_job(context, count):
     job_id, outcome = submit_crashing(context.shard, count)
     assert isinstance(outcome, Stored), outcome
     context.jobs.append(job_id)
 
 
-@when('a {kind} job is submitted, of which the first task crashes each server')
-def kind_crashes(context, kind):
+@when('a {kind} job is submitted whose first task crashes each server')
+def submit_crashing_job_of_kind(context, kind):
     step_by_kind = {
         'gang': {'gang': True},
         'lasting': {'lasting': True},
         'repeated': {},
         'filling': {'fills': True, 'saves': True, 'image': 'batch'},
     }
-    due = {'first_due_ms': 1, 'every_ms': 1, 'times': 3}
+    schedule = {'first_due_ms': 1, 'every_ms': 1, 'times': 3}
     job_id, outcome = submit_crashing(
         context.shard,
         3,
-        job=due if kind == 'repeated' else None,
+        job=schedule if kind == 'repeated' else None,
         **step_by_kind[kind],
     )
     assert isinstance(outcome, Stored), outcome
     context.jobs.append(job_id)
 
 
-@when('{span_s:d} s pass, in which the owner is killed after each crash')
-def kill_after_crashes(context, span_s):
+@when('{span_s:d} s pass while the owner is killed after each crash')
+def kill_owner_after_crashes(context, span_s):
     shard = context.shard
     until_s = shard.loop.time() + span_s
     seen = 0
     while shard.loop.time() < until_s:
-        shard.run(LOOK_S)
-        if crashes_of(context) > seen and shard.owners:
-            seen = crashes_of(context)
+        shard.run(CHECK_INTERVAL_S)
+        if crash_count(context) > seen and shard.owners:
+            seen = crash_count(context)
             daemon = shard.owners[0]
             kill_owner(context)
             shard.loop.call_later(2, daemon.start)
 
 
 @when(
-    '{count:d} jobs of 2 steps come over {span_s:d} s,'
+    '{count:d} jobs of 2 steps are submitted over {span_s:d} s,'
     ' and one whose first task crashes servers'
 )
-def among_sound(context, count, span_s):
+def submit_with_healthy_jobs(context, count, span_s):
     shard = context.shard
-    context.sound = []
+    context.healthy_jobs = []
     crashing = None
     for number in range(count):
         job_id, outcome = shard.submit((step(3), step(2, after=(0,))))
         assert isinstance(outcome, Stored), outcome
-        context.sound.append(job_id)
+        context.healthy_jobs.append(job_id)
         if number == count // 3:
             crashing, _ = submit_crashing(shard, 2)
         shard.run(span_s / count)
@@ -110,51 +109,51 @@
 
 
 @when(
-    '{times:d} times a server of the lasting job crashes by itself,'
+    'servers of the lasting job crash {times:d} times on their own,'
     ' {span_s:d} s apart'
 )
-def crash_in_turn(context, times, span_s):
+def crash_repeatedly(context, times, span_s):
     shard = context.shard
     for _ in range(times):
         shard.run(span_s)
-        crash_of_job(context)
+        crash_server_of_job(context)
 
 
 @when(
-    'a shard with crashing tasks and shrinking servers is played for {span_s:d} s'
-    ' under seed {seed:d}'
+    'a shard with crashing tasks and shrinking servers is simulated for'
+    ' {span_s:d} s with seed {seed:d}'
 )
-def play_crashing(context, span_s, seed):
+def simulate_crashing(context, span_s, seed):
     shard = begin_faults(context, seed)
     for server in list(shard.servers.server_by_id.values())[::2]:
-        server.guards = False
+        server.enforces_capacity = False
     context.crashing = []
     while shard.loop.time() < span_s:
-        if shard.random.random() < CRASHING_SHARE:
+        if shard.random.random() < CRASHING_JOB_PROBABILITY:
             daemon = shard.random.choice(shard.living())
             job_id, outcome = submit_crashing(shard, 3, daemon)
             if isinstance(outcome, Stored):
                 context.crashing.append(job_id)
-        if shard.random.random() < SHRINKING_SHARE:
-            shrink_for_a_while(shard)
+        if shard.random.random() < SHRINK_PROBABILITY:
+            shrink_temporarily(shard)
         act(context, shard)
         shard.run(shard.random.uniform(0.2, 1.5))
     calm(shard)
     shard.run(CALM_S)
 
 
-def shrink_for_a_while(shard):
+def shrink_temporarily(shard):
     server = shard.random.choice(list(shard.servers.server_by_id.values()))
     former = server.capacity
-    less = Resources(*(have // SHRUNK_PART for have in former))
-    shard.call(functools.partial(server.capacities.change, less))
+    reduced = Resources(*(have // SHRINK_FACTOR for have in former))
+    shard.call(functools.partial(server.capacities.change, reduced))
     shard.loop.call_later(
         shard.random.uniform(1, 8), server.capacities.change, former
     )
 
 
 @then('all jobs with a crashing task have failed')
-def crashing_failed(context):
+def crashing_jobs_failed(context):
     phases = {
         job_id: context.shard.phase(job_id) for job_id in context.crashing
     }
@@ -162,10 +161,10 @@
     assert set(phases.values()) == {'failed'}, phases
 
 
-@when('the server of the job crashes by itself')
-def crash_of_job(context):
+@when('the server of the job crashes on its own')
+def crash_server_of_job(context):
     server = server_of(context)
-    context.shard.call(functools.partial(crash_for_a_while, server))
+    context.shard.call(functools.partial(crash_and_restart, server))
 
 
 def server_of(context):
@@ -173,29 +172,27 @@
     return context.shard.servers.server_by_id[names[0]]
 
 
-@then(
-    'the server of the job is looked at at most {most:d} times in {span_s:d} s'
-)
-def looked_at(context, most, span_s):
+@then('the server of the job is polled at most {most:d} times in {span_s:d} s')
+def check_poll_count(context, most, span_s):
     server = server_of(context)
-    before = server.looks
+    before = server.poll_count
     context.shard.run(span_s)
-    assert 0 < server.looks - before <= most, server.looks - before
+    assert 0 < server.poll_count - before <= most, server.poll_count - before
 
 
-@then('at most {most:d} servers have crashed under it')
-def crashed_at_most(context, most):
-    assert 0 < crashes_of(context) <= most, (
+@then('the job has crashed at most {most:d} servers')
+def check_crash_count(context, most):
+    assert 0 < crash_count(context) <= most, (
         context.shard.servers.crashing.crashes
     )
 
 
-@then('all sound jobs are completed')
-def sound_completed(context):
+@then('all jobs without a crashing task are completed')
+def healthy_jobs_completed(context):
     phases = {
         job_id: context.shard.phase(job_id)
-        for job_id in context.sound
+        for job_id in context.healthy_jobs
         if context.shard.phase(job_id) != 'completed'
     }
-    assert context.sound
+    assert context.healthy_jobs
     assert not phases, phases
--- a/waxwingford/shard/tests/crashing_tasks.py
+++ b/waxwingford/shard/tests/crashing_tasks.py
@@ -1,71 +1,71 @@
-"""Tasks that crash each server that starts them, and how often they may."""
+"""Tasks that crash the servers they start on, and a limit on their starts."""
 
 import asyncio
 import collections
 
-#: A task that crashes its server does so this long after its start, and the server
-#: is there again as another incarnation so long after that, in seconds.
+#: Time from the start of a crashing task to the crash, and from the crash to the
+#: server's next incarnation, in seconds.
 CRASH_AFTER_S = 0.01
-BACK_AFTER_S = 3
-#: A task that has crashed so many servers may be started fewer times than this from
-#: then on.
-MOST_CRASHES = 3
-STARTS_AFTER_CRASHES = 3
+RESTART_AFTER_S = 3
+#: A task that has crashed ``CRASH_LIMIT`` servers has to be started fewer times
+#: than ``START_LIMIT_AFTER_CRASHES`` after that.
+CRASH_LIMIT = 3
+START_LIMIT_AFTER_CRASHES = 3
 
 
 class CrashingTasks:
-    """Crashes servers under some tasks, and checks that it comes to an end.
+    """Crashes the servers of some tasks, and checks that their starts end.
 
-    :ivar tasks: those that crash servers.
-    :ivar crashes: servers that crashed under each.
+    :ivar tasks: keys of the tasks that crash servers.
+    :ivar crashes: number of servers that each task has crashed.
     """
 
     def __init__(self, fleet):
         self.tasks = set()
         self.crashes = collections.Counter()
         self._fleet = fleet
-        self._starts_after = collections.Counter()
+        self._starts_after_limit = collections.Counter()
 
     def check_start(self, key):
-        """Note a breach if a task is started too often.
+        """Record a violation if a crashing task is started too often.
 
-        :param key: of the run that starts.
+        :param key: key of the run that starts.
         """
         crashes = self.crashes[key.task]
-        if crashes < MOST_CRASHES:
+        if crashes < CRASH_LIMIT:
             return
-        self._starts_after[key.task] += 1
-        if self._starts_after[key.task] >= STARTS_AFTER_CRASHES:
+        self._starts_after_limit[key.task] += 1
+        if self._starts_after_limit[key.task] >= START_LIMIT_AFTER_CRASHES:
             self._fleet.breaches.append(
-                f'{key}: starts again, and has crashed {crashes} servers'
+                f'{key}: started again after it crashed {crashes} servers'
             )
 
-    def started(self, server, key):
-        """Let a server crash soon if the run is of such a task.
+    def on_start(self, server, key):
+        """Schedule a crash of the server if the task is a crashing one.
 
-        :param server: that has started it.
-        :param key: of the run.
+        :param server: server that has started the run.
+        :param key: key of the run.
         """
         if key.task in self.tasks:
             loop = asyncio.get_running_loop()
-            loop.call_later(CRASH_AFTER_S, self._crash_under, server, key)
+            loop.call_later(CRASH_AFTER_S, self._crash_server, server, key)
 
-    def _crash_under(self, server, key):
+    def _crash_server(self, server, key):
         if server.up and key.task in server.run_by_task:
             self.crashes[key.task] += 1
-            crash_for_a_while(server)
+            crash_and_restart(server)
 
 
-def crash_for_a_while(server):
-    """Let a server crash and be back as another incarnation.
+def crash_and_restart(server):
+    """Crash a server and have it return as a new incarnation.
 
-    :param server: which.
+    :param server: server to crash.
     """
     server.vanish(connect_s=0)
-    asyncio.get_running_loop().call_later(BACK_AFTER_S, _come_back, server)
+    asyncio.get_running_loop().call_later(RESTART_AFTER_S, _restart, server)
 
 
-def _come_back(server):
+def _restart(server):
     server.replaced = True
     server.listed = False
-    server.fleet.add_one(server.capacity, server.ahead_ms)
+    server.fleet.add_server(server.capacity, server.clock_offset_ms)
--- a/waxwingford/shard/tests/drivers_steps.py
+++ b/waxwingford/shard/tests/drivers_steps.py
@@ -22,8 +22,8 @@
 ANSWER_S = 0.002
 
 
-class Keeper:
-    """A server that takes every order and keeps it."""
+class RecordingServer:
+    """Server that accepts and records all orders."""
 
     def __init__(self):
         self.starts = []
@@ -44,13 +44,13 @@
         return OrderTaken(0)
 
 
-class DriverBench:
-    """A driver, its server and a proof of ownership that may come."""
+class DriverFixture:
+    """Driver of one server, with control over the proof of ownership."""
 
     def __init__(self):
         self.loop = VirtualLoop()
         asyncio.set_event_loop(self.loop)
-        self.keeper = Keeper()
+        self.recorder = RecordingServer()
         self.engine = Engine(7, 5000, InheritedLeases(0, {}))
         self.engine.configure(Terms(1, {'queue': QUEUE}))
         entry = ServerEntry(
@@ -63,12 +63,12 @@
             draining=False,
         )
         self.engine.register([entry], 0)
-        self.loop.run_until_complete(self.begin())
+        self.loop.run_until_complete(self.start_driver())
 
-    async def begin(self):
+    async def start_driver(self):
         self.proof = asyncio.Event()
         ports = DriverPorts(
-            self.keeper, self.proof.is_set, self.proof.wait, int, bool, float
+            self.recorder, self.proof.is_set, self.proof.wait, int, bool, float
         )
         server = self.engine.book.server_by_id['s0']
         self.driver = ServerDriver(server, self.engine, ports)
@@ -86,38 +86,38 @@
         return int(self.loop.time() * 1000)
 
 
-@given('a driver of a server, and no proof of ownership')
-def a_driver(context):
-    context.driver_bench = DriverBench()
-    context.add_cleanup(end_loop, context.driver_bench.loop)
+@given('a driver without a proof of ownership')
+def driver_without_proof(context):
+    context.driver_fixture = DriverFixture()
+    context.add_cleanup(end_loop, context.driver_fixture.loop)
 
 
 @when('{count:d} starts and then a change of pace are ordered')
-def ordered(context, count):
-    bench = context.driver_bench
-    starts = bench.plan(count)
+def send_orders(context, count):
+    fixture = context.driver_fixture
+    starts = fixture.plan(count)
     assert len(starts) == count, starts
 
     async def order():
         for start in starts:
-            bench.driver.start(start.run)
-        bench.driver.pace(Pace('s0', starts[0].run.key, 50))
+            fixture.driver.start(start.run)
+        fixture.driver.pace(Pace('s0', starts[0].run.key, 50))
 
-    bench.loop.run_until_complete(order())
+    fixture.loop.run_until_complete(order())
 
 
 @when('{span_s:g} s pass at the driver')
-def at_driver(context, span_s):
-    context.driver_bench.loop.run_until_complete(asyncio.sleep(span_s))
+def advance_driver_time(context, span_s):
+    context.driver_fixture.loop.run_until_complete(asyncio.sleep(span_s))
 
 
-@when('the proof comes')
-def proof_comes(context):
-    context.driver_bench.proof.set()
+@when('ownership is proven')
+def prove_ownership(context):
+    context.driver_fixture.proof.set()
 
 
-@then('the server has got the change of pace and {count:d} starts')
-def has_got(context, count):
-    keeper = context.driver_bench.keeper
-    assert len(keeper.paces) == 1, keeper.paces
-    assert len(keeper.starts) == count, keeper.starts
+@then('the server has received the change of pace and {count:d} starts')
+def check_received_orders(context, count):
+    recorder = context.driver_fixture.recorder
+    assert len(recorder.paces) == 1, recorder.paces
+    assert len(recorder.starts) == count, recorder.starts
--- a/waxwingford/shard/tests/intake.feature
+++ b/waxwingford/shard/tests/intake.feature
@@ -1,30 +1,27 @@
-Feature: a submission is refused only when it surely isn't stored
+Feature: a submission is reported as not stored only if that is certain
 
-  Scenario: the first try has no answer and the others are refused
-    # Symptom: a job runs whose caller was told that it never would.
-    # Sequence: an append is done without an answer, the next ones are refused
-    # by the store, the daemon tells its caller "not accepted".
-    # Cause: taking the refusal of a repeat for the outcome of all tries.
+  Scenario: the first attempt gets no answer and the others are refused
+    # Guards against reporting the refusal of a retry when the first attempt may have
+    # stored the job.
     Given a store that answers "unknown, refused, refused, refused"
-    When a job is stored with 3 s left
+    When a job is stored with a timeout of 3 s
     Then the outcome is "MayBeStored"
 
-  Scenario: all tries are refused
+  Scenario: all attempts are refused
     Given a store that answers "refused, refused, refused"
-    When a job is stored with 3 s left
+    When a job is stored with a timeout of 3 s
     Then the outcome is "NotStored"
 
-  Scenario: the second try is acknowledged
+  Scenario: the second attempt is acknowledged
     Given a store that answers "unknown, appended"
-    When a job is stored with 3 s left
+    When a job is stored with a timeout of 3 s
     Then the outcome is "Stored"
 
-  Scenario: the store is known to be away
-    # Symptom: callers get no definite answer, and can't try again.
-    # Sequence: the store answers no daemon; each submission is tried.
-    # Cause: trying although the newest calls had no answer.
+  Scenario: the store is known to be unreachable
+    # Guards against an attempt that would leave the outcome unknown, so that the
+    # caller could not retry.
     Given a store that answers "appended"
-    And the store is known to be away
-    When a job is stored with 3 s left
+    And the store is known to be unreachable
+    When a job is stored with a timeout of 3 s
     Then the outcome is "NotStored"
-    And nothing was tried
+    And no append was attempted
--- a/waxwingford/shard/tests/intake_steps.py
+++ b/waxwingford/shard/tests/intake_steps.py
@@ -17,32 +17,32 @@
 
 
 class ScriptedStore:
-    """Gives answers in turn."""
+    """Store that returns given outcomes in order, then repeats the last."""
 
     def __init__(self, outcomes):
         self.answering = True
-        self.tries = 0
+        self.attempts = 0
         self.outcomes = outcomes
 
     async def append(self, topic, records, fence=None):
         await asyncio.sleep(0.004)
-        self.tries += 1
-        return self.outcomes[min(self.tries, len(self.outcomes)) - 1]
+        self.attempts += 1
+        return self.outcomes[min(self.attempts, len(self.outcomes)) - 1]
 
 
 @given('a store that answers "{words}"')
-def scripted(context, words):
+def scripted_store(context, words):
     outcomes = [OUTCOME_BY_WORD[word] for word in words.split(', ')]
     context.store = ScriptedStore(outcomes)
 
 
-@given('the store is known to be away')
-def away(context):
+@given('the store is known to be unreachable')
+def store_unreachable(context):
     context.store.answering = False
 
 
-@when('a job is stored with {left_s:g} s left')
-def store(context, left_s):
+@when('a job is stored with a timeout of {left_s:g} s')
+def store_job(context, left_s):
     loop = VirtualLoop()
     row = JobRow(encode_spec(JobSpec('00000000000000aa', 'queue', '', ())))
     context.outcome = loop.run_until_complete(
@@ -56,6 +56,6 @@
     assert type(context.outcome).__name__ == name, context.outcome
 
 
-@then('nothing was tried')
-def not_tried(context):
-    assert context.store.tries == 0
+@then('no append was attempted')
+def no_append_attempted(context):
+    assert context.store.attempts == 0
--- a/waxwingford/shard/tests/mixed_steps.py
+++ b/waxwingford/shard/tests/mixed_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a shard that runs jobs of all kinds while everything fails."""
+"""Steps for a shard that runs jobs of all kinds under injected faults."""
 
 from behave import then, when
 
@@ -19,20 +19,20 @@
     'a shard with jobs of all kinds is played for {span_s:d} s'
     ' under seed {seed:d}'
 )
-def play_mixed(context, span_s, seed):
+def simulate_mixed(context, span_s, seed):
     shard = begin_faults(context, seed)
     context.lasting = []
     context.cancelled = []
-    context.denied = []
+    context.denied_jobs = []
     shard.store.most_read = 20
     while shard.loop.time() < span_s:
-        act_mixed(context, shard)
+        take_random_action(context, shard)
         shard.run(shard.random.uniform(0.1, 1))
     calm(shard)
     shard.run(CALM_S)
 
 
-def act_mixed(context, shard):
+def take_random_action(context, shard):
     kind = shard.random.choices(
         ('repeated', 'gang', 'lasting', 'cancel', 'hang', 'ask', 'others'),
         (10, 10, 5, 5, 5, 10, 55),
@@ -41,8 +41,8 @@
     match kind:
         case 'repeated':
             steps = (step(3), step(2, after=(0,)))
-            due = {'first_due_ms': 1, 'every_ms': 1, 'times': 3}
-            submit(shard, daemon, context.jobs, steps, **due)
+            schedule = {'first_due_ms': 1, 'every_ms': 1, 'times': 3}
+            submit(shard, daemon, context.jobs, steps, **schedule)
         case 'gang':
             steps = (step(3, gang=True), step(1, after=(0,)))
             submit(shard, daemon, context.jobs, steps)
@@ -52,9 +52,9 @@
         case 'cancel' if context.lasting:
             cancel(context, daemon)
         case 'hang':
-            hang(shard)
+            hang_server(shard)
         case 'ask' if context.jobs:
-            ask(context, daemon)
+            query_phase(context, daemon)
         case _:
             act(context, shard)
 
@@ -71,11 +71,11 @@
     if isinstance(shard.cancel(job_id, daemon), Stored):
         context.cancelled.append(job_id)
     else:
-        # Its tasks may go on or not: nobody was told that it is cancelled.
-        shard.servers.cancelled_s_by_job.pop(job_id)
+        # The cancellation was not acknowledged, so its tasks may go on or not.
+        shard.servers.cancelled_at_s_by_job.pop(job_id)
 
 
-def hang(shard):
+def hang_server(shard):
     servers = list(shard.servers.server_by_id.values())
     server = shard.random.choice(servers)
     server.hangs = True
@@ -83,26 +83,26 @@
     shard.loop.call_later(span_s, setattr, server, 'hangs', False)
 
 
-def ask(context, daemon):
+def query_phase(context, daemon):
     job_id = context.shard.random.choice(context.jobs)
     answer = context.shard.phase(job_id, daemon)
     if isinstance(answer, JobNotKnown):
-        context.denied.append((daemon.daemon_id, job_id))
+        context.denied_jobs.append((daemon.daemon_id, job_id))
 
 
 @then('all lasting tasks run, but for those of cancelled jobs')
-def lasting_run(context):
+def check_lasting_tasks(context):
     counts = {
         job_id: len(context.shard.running(job_id))
         for job_id in context.lasting + context.cancelled
     }
-    wanted = dict.fromkeys(context.lasting, LASTING_TASKS)
-    wanted |= dict.fromkeys(context.cancelled, 0)
-    assert counts == wanted, (counts, wanted)
+    expected = dict.fromkeys(context.lasting, LASTING_TASKS)
+    expected |= dict.fromkeys(context.cancelled, 0)
+    assert counts == expected, (counts, expected)
     phases = {context.shard.phase(job_id) for job_id in context.cancelled}
     assert phases <= {'cancelled'}, phases
 
 
 @then('no job was denied')
-def none_denied(context):
-    assert not context.denied, context.denied
+def check_no_denied_jobs(context):
+    assert not context.denied_jobs, context.denied_jobs
--- a/waxwingford/shard/tests/overload_steps.py
+++ b/waxwingford/shard/tests/overload_steps.py
@@ -1,4 +1,4 @@
-"""Steps for owners whose processor is too slow for their shard."""
+"""Steps for owners with too little processor capacity for their shard."""
 
 import asyncio
 import itertools
@@ -20,13 +20,13 @@
 
 
 @given("each call to a server takes {work_ms:g} ms of the daemon's processor")
-def slow_processor(context, work_ms):
-    context.shard.servers.call_work_s = work_ms / MS_IN_S
+def set_call_cpu_time(context, work_ms):
+    context.shard.servers.call_cpu_s = work_ms / MS_IN_S
     context.first_owner = context.shard.owners[0]
 
 
 @given('a lasting task runs on each server')
-def lasting_everywhere(context):
+def run_lasting_task_everywhere(context):
     count = len(context.shard.servers.server_by_id)
     lasting = step(count, lasting=True, most_per_server=1)
     job_id, outcome = context.shard.submit((lasting,))
@@ -37,40 +37,41 @@
 
 
 @when(
-    'urgent jobs of {tasks:d} tasks come for {span_s:g} s, every {every_s:g} s'
+    'urgent jobs of {tasks:d} tasks are submitted for {span_s:g} s,'
+    ' one every {every_s:g} s'
 )
-def urgent_jobs(context, tasks, span_s, every_s):
+def submit_urgent_jobs(context, tasks, span_s, every_s):
     shard = context.shard
-    until_s = shard.loop.time() + span_s
-    while shard.loop.time() < until_s:
+    deadline_s = shard.loop.time() + span_s
+    while shard.loop.time() < deadline_s:
         shard.run_until(_submit_and_pause(shard, tasks, every_s))
 
 
 async def _submit_and_pause(shard, tasks, every_s):
-    # In the background: a caller doesn't wait for the one before.
+    # Runs in the background, as callers don't wait for each other.
     asyncio.ensure_future(_submit(shard, tasks))
     await asyncio.sleep(every_s)
 
 
 async def _submit(shard, tasks):
-    until_s = shard.loop.time() + 3
+    deadline_s = shard.loop.time() + 3
     spec = shard.new_spec((step(tasks, TASK_MS),))
-    await shard.daemons[-1].desk.submit(spec, until_s)
+    await shard.daemons[-1].desk.submit(spec, deadline_s)
 
 
-@then('no run has lapsed')
-def none_lapsed(context):
-    lapsed = [
+@then('no run has lost its lease')
+def check_no_expired_lease(context):
+    expired = [
         end
         for server in context.shard.servers.server_by_id.values()
         for end in server.ends
         if end.kind is EndKind.lapsed
     ]
-    assert not lapsed, len(lapsed)
+    assert not expired, len(expired)
 
 
-@then('the lines of the owner tell that it was strained, at most once a second')
-def told_strained(context):
+@then('the owner has logged "owner.strained", at most once per second')
+def check_overload_logged(context):
     lines = [json.loads(line) for line in context.shard.lines]
     seconds = [
         line['time'].split('.')[0]
@@ -85,8 +86,8 @@
     'a shard with a strong owner, {strong:d} more strong daemon and'
     ' {weak:d} weak ones'
 )
-def mixed_shard(context, strong, weak):
-    # The first daemon to start is the owner.
+def shard_with_strong_owner(context, strong, weak):
+    # The daemon that starts alone becomes the owner.
     cores = [
         STRONG_CORES,
         *itertools.repeat(WEAK_CORES, weak),
@@ -106,7 +107,7 @@
 
 
 @when('all strong daemons are killed')
-def kill_strong(context):
+def kill_strong_daemons(context):
     for one in context.shard.daemons:
         if one.cores == STRONG_CORES:
             context.shard.call(one.kill)
@@ -117,10 +118,10 @@
 
 
 @then('the other strong daemon owns the shard')
-def strong_owns(context):
+def check_strong_owner(context):
     assert owner_cores(context.shard) == [STRONG_CORES]
 
 
 @then('a weak daemon owns the shard')
-def weak_owns(context):
+def check_weak_owner(context):
     assert owner_cores(context.shard) == [WEAK_CORES]
--- a/waxwingford/shard/tests/servers_way.py
+++ b/waxwingford/shard/tests/servers_way.py
@@ -1,4 +1,4 @@
-"""Way of a daemon to backend servers in memory, with lost and late orders."""
+"""Client of simulated backend servers, with lost and delayed orders."""
 
 import asyncio
 
@@ -18,14 +18,14 @@
     VirtualServers,
 )
 
-#: Time that the advice service takes for a question and for each server in it,
-#: in seconds.
-ADVICE_S = 0.02
-ADVICE_EACH_S = 0.005
+#: Response time of the advice service: for a question, and more for each server in
+#: it, in seconds.
+ADVICE_BASE_S = 0.02
+ADVICE_PER_SERVER_S = 0.005
 
 
-class ServersWay:
-    """Way of one daemon to all backend servers."""
+class VirtualServerClient:
+    """Connections of one daemon to all backend servers."""
 
     def __init__(self, fleet: VirtualServers, daemon_id: str):
         self._fleet = fleet
@@ -58,18 +58,20 @@
         return OrderTaken(0)
 
     async def look(self, address, order):
-        if self._fleet.call_work_s:
-            longest_s = order.wait_ms / MS_IN_S + TIMEOUT_S
-            return await self._busy(self._look(address, order), longest_s)
+        if self._fleet.call_cpu_s:
+            timeout_s = order.wait_ms / MS_IN_S + TIMEOUT_S
+            return await self._call_with_cpu_time(
+                self._look(address, order), timeout_s
+            )
         return await self._look(address, order)
 
     async def _look(self, address, order):
         server = self._fleet.server_by_id[address.server_id]
-        server.looks += 1
-        failure = await self._reach(server)
+        server.poll_count += 1
+        failure = await self._connect(server)
         if failure is not None:
             return failure
-        known = len(server.ends)
+        end_count = len(server.ends)
         answer = server.look(order)
         if order.wait_ms and isinstance(answer, Looked) and not answer.ended:
             try:
@@ -77,47 +79,49 @@
                     server.changed.wait(), order.wait_ms / MS_IN_S
                 )
             except TimeoutError:
-                known = len(server.ends)
-            if not await self._reaches(server):
+                end_count = len(server.ends)
+            if not await self._is_reachable(server):
                 return OrderUnknown('cut')
-            if known != len(server.ends) or server.run_by_task:
+            if end_count != len(server.ends) or server.run_by_task:
                 answer = server.look(order)
         return answer
 
     async def advise(self, step_name, server_ids):
-        await asyncio.sleep(ADVICE_S + ADVICE_EACH_S * len(server_ids))
+        await asyncio.sleep(
+            ADVICE_BASE_S + ADVICE_PER_SERVER_S * len(server_ids)
+        )
         tickets = {
-            server_id: self._fleet.give_ticket(server_id, step_name)
+            server_id: self._fleet.issue_ticket(server_id, step_name)
             for server_id in server_ids
         }
         return Advised(tickets, self._fleet.ticket_ms)
 
-    async def _busy(self, work, timeout_s):
-        """Make a call on a processor that each call keeps for a while.
+    async def _call_with_cpu_time(self, call, timeout_s):
+        """Make a call that takes processor time of the daemon.
 
-        :returns: its outcome; unknown if the answer was read too late.
+        :returns: outcome of the call, unknown if the answer was read too late.
         """
         loop = asyncio.get_running_loop()
         sent_s = loop.time()
-        # Nothing else runs on the daemon's processor meanwhile.
-        loop.stall(self._fleet.call_work_s)
-        outcome = await work
-        # As a client does that reads head and body as they come.
+        # Blocks the event loop of the daemon.
+        loop.stall(self._fleet.call_cpu_s)
+        outcome = await call
+        # Yields as a client that awaits the head and the body of a response.
         await asyncio.sleep(0)
-        loop.stall(self._fleet.call_work_s)
+        loop.stall(self._fleet.call_cpu_s)
         if loop.time() - sent_s > timeout_s:
             return OrderUnknown('read too late')
         return outcome
 
-    async def _order(self, address, act, *details):
-        if self._fleet.call_work_s:
-            work = self._carry_out(address, act, *details)
-            return await self._busy(work, TIMEOUT_S)
-        return await self._carry_out(address, act, *details)
+    async def _order(self, address, order_method, *order_args):
+        if self._fleet.call_cpu_s:
+            call = self._carry_out(address, order_method, *order_args)
+            return await self._call_with_cpu_time(call, TIMEOUT_S)
+        return await self._carry_out(address, order_method, *order_args)
 
-    async def _carry_out(self, address, act, *details):
+    async def _carry_out(self, address, order_method, *order_args):
         server = self._fleet.server_by_id[address.server_id]
-        failure = await self._reach(server)
+        failure = await self._connect(server)
         if failure is not None:
             return failure
         if not server.up:
@@ -125,47 +129,47 @@
         if self._fleet.random.random() < self._fleet.late_share:
             delay_s = self._fleet.random.uniform(2, 12)
             asyncio.get_running_loop().call_later(
-                delay_s, _late, server, act, details
+                delay_s, _apply_late, server, order_method, order_args
             )
             await asyncio.sleep(TIMEOUT_S)
             return OrderUnknown('late')
         await asyncio.sleep(self._fleet.order_s)
-        return act(server, *details)
+        return order_method(server, *order_args)
 
-    async def _reach(self, server):
-        """Open a connection.
+    async def _connect(self, server):
+        """Connect to a server.
 
-        :returns: what a call ends with that can't be made, ``None`` if it can.
+        :returns: outcome of the call if it fails here, otherwise ``None``.
         """
-        if server.replaced and await self._reaches_successor(server):
+        if server.replaced and await self._is_successor_reachable(server):
             return ServerReplaced()
         if server.connect_s is not None:
-            return await _not_sent(server)
-        if not await self._reaches(server):
+            return await _fail_to_connect(server)
+        if not await self._is_reachable(server):
             return OrderUnknown('cut')
         return None
 
-    async def _reaches_successor(self, server):
+    async def _is_successor_reachable(self, server):
         await asyncio.sleep(ANSWER_S)
-        return not self._is_cut(server)
+        return not self._is_partitioned(server)
 
-    def _is_cut(self, server):
+    def _is_partitioned(self, server):
         return (self._daemon_id, server.server_id) in self._fleet.cut
 
-    async def _reaches(self, server):
+    async def _is_reachable(self, server):
         await asyncio.sleep(ANSWER_S)
-        cut = self._is_cut(server)
+        cut = self._is_partitioned(server)
         if cut or not server.up:
             await asyncio.sleep(TIMEOUT_S)
             return False
         return True
 
 
-async def _not_sent(server):
+async def _fail_to_connect(server):
     await asyncio.sleep(server.connect_s)
     return OrderNotSent('no connection')
 
 
-def _late(server, act, details):
+def _apply_late(server, order_method, order_args):
     if server.up:
-        act(server, *details)
+        order_method(server, *order_args)
--- a/waxwingford/shard/tests/virtual_servers.py
+++ b/waxwingford/shard/tests/virtual_servers.py
@@ -1,6 +1,6 @@
-"""Backend servers in memory that promise what the platform's do, with faults.
+"""Simulated backend servers with fault injection and checks of invariants.
 
-They check what must always hold, from what they are told alone.
+The checks use only the requests that the servers receive and the stored records.
 """
 
 import asyncio
@@ -29,8 +29,8 @@
 
 ANSWER_S = 0.002
 TIMEOUT_S = 0.6
-LONGEST_LEASE_MS = 6000
-STOP_S = 0.3
+MAX_LEASE_MS = 6000
+STOP_DURATION_S = 0.3
 MS_IN_S = 1000
 
 
@@ -41,22 +41,22 @@
 @dataclasses.dataclass(eq=False)
 class _Run:
     key: object
-    began_s: float
+    started_s: float
     length_s: float
     percent_at_start: float = 0
     timer: asyncio.TimerHandle | None = None
 
 
 class VirtualServer:
-    """One incarnation of a backend server."""
+    """Incarnation of a backend server."""
 
-    def __init__(self, fleet, server_id, capacity, ahead_ms):
+    def __init__(self, fleet, server_id, capacity, clock_offset_ms):
         self.fleet = fleet
         self.server_id = server_id
         self.capacities = CapacityHistory(capacity)
-        #: Whether it refuses what doesn't fit.
-        self.guards = True
-        self.ahead_ms = ahead_ms
+        #: Whether starts that exceed the capacity are refused.
+        self.enforces_capacity = True
+        self.clock_offset_ms = clock_offset_ms
         self.up = True
         self.listed = True
         self.draining = False
@@ -67,24 +67,24 @@
         self.last_run_by_task = {}
         self.changed = asyncio.Event()
         self.seen_end = 0
-        #: Ends up to this number can't be taken note of any more: the lease has
-        #: lapsed since they were listed, and that stands for good.
-        self.void_to = 0
-        #: How long a caller tries in vain to open a connection, in seconds;
-        #: ``None`` if there are connections.
+        #: End reports up to this number can no longer be acknowledged, as the lease
+        #: has expired since they were listed.
+        self.void_end_number = 0
+        #: Time until a connection attempt fails, in seconds; ``None`` if connections
+        #: succeed.
         self.connect_s = None
-        #: Starts to come that won't be sent.
+        #: Number of starts from now on that fail before they are sent.
         self.starts_unsent = 0
         self.fails = False
         self.hangs = False
-        #: Looks that daemons have sent.
-        self.looks = 0
-        #: Whether another incarnation answers at its address.
+        #: Number of polls received.
+        self.poll_count = 0
+        #: Whether another incarnation answers at the same address.
         self.replaced = False
 
     @property
     def capacity(self):
-        return self.capacities.newest
+        return self.capacities.current
 
     @property
     def entry(self):
@@ -100,21 +100,21 @@
 
     def clock_ms(self):
         loop_s = asyncio.get_running_loop().time()
-        return int(loop_s * MS_IN_S) + self.ahead_ms
+        return int(loop_s * MS_IN_S) + self.clock_offset_ms
 
-    def lapse(self):
+    def check_lease(self):
         if self.clock_ms() >= self.lease_until_ms:
-            self.void_to = len(self.ends)
+            self.void_end_number = len(self.ends)
             for run in list(self.run_by_task.values()):
                 self.end(run, EndKind.lapsed)
 
     def extend(self, until_ms):
         now_ms = self.clock_ms()
-        until_ms = min(until_ms, now_ms + LONGEST_LEASE_MS)
+        until_ms = min(until_ms, now_ms + MAX_LEASE_MS)
         self.lease_until_ms = max(self.lease_until_ms, until_ms)
         loop = asyncio.get_running_loop()
         left_s = (self.lease_until_ms - now_ms) / MS_IN_S
-        loop.call_later(max(0, left_s) + 0.001, self.lapse)
+        loop.call_later(max(0, left_s) + 0.001, self.check_lease)
 
     def end(self, run, kind):
         if self.run_by_task.get(run.key.task) is not run or not self.up:
@@ -124,7 +124,7 @@
             run.timer.cancel()
         self.ends.append(EndReport(len(self.ends) + 1, run.key, kind, ''))
         if kind is EndKind.done:
-            self.fleet.note_done(run.key.task)
+            self.fleet.mark_done(run.key.task)
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -141,20 +141,22 @@
         self.run_by_task = {}
 
     def start(self, order):
-        self.lapse()
+        self.check_lease()
         if order.fencing_token < self.fence:
             return OrderDenied(Denial.fenced)
         self.fence = order.fencing_token
         task, number = order.run
-        present = self.run_by_task.get(task)
-        if present is not None and present.key.run == number:
+        current_run = self.run_by_task.get(task)
+        if current_run is not None and current_run.key.run == number:
             return OrderTaken(self.clock_ms())
         if number <= self.last_run_by_task.get(task, 0):
             return OrderDenied(Denial.superseded)
         if order.lease_until_ms <= self.clock_ms():
             return OrderDenied(Denial.too_late)
         self.extend(order.lease_until_ms)
-        if self.guards and exceeds(self.needs_with(task), self.capacity):
+        if self.enforces_capacity and exceeds(
+            self.needs_with(task), self.capacity
+        ):
             return OrderDenied(Denial.no_room)
         if not self.fleet.has_ticket(self, order):
             return OrderDenied(Denial.no_ticket)
@@ -162,10 +164,10 @@
         return OrderTaken(self.clock_ms())
 
     def needs_with(self, task):
-        """List what runs here takes, also what is being stopped, and one task more.
+        """List the resources of all runs, including stopping ones, and of a task.
 
-        :param task: which.
-        :returns: the needs of each.
+        :param task: additional task.
+        :returns: resources of each run and of the task.
         """
         keys = (*self.run_by_task, task)
         return [self.fleet.step(key).takes for key in keys]
@@ -177,7 +179,7 @@
         run = _Run(key, now_s, step.estimate_ms / MS_IN_S)
         self.run_by_task[key.task] = run
         self.last_run_by_task[key.task] = key.run
-        self.fleet.crashing.started(self, key)
+        self.fleet.crashing.on_start(self, key)
         if not step.lasting and not self.hangs:
             kind = EndKind.failed if self.fails else EndKind.done
             run.timer = asyncio.get_running_loop().call_later(
@@ -185,7 +187,7 @@
             )
 
     def stop(self, key, token):
-        self.lapse()
+        self.check_lease()
         if token < self.fence:
             return OrderDenied(Denial.fenced)
         self.fence = token
@@ -194,18 +196,18 @@
         run = self.run_by_task.get(key.task)
         if run is not None and run.key.run <= key.run:
             asyncio.get_running_loop().call_later(
-                STOP_S, self.end, run, EndKind.stopped
+                STOP_DURATION_S, self.end, run, EndKind.stopped
             )
         return OrderTaken(self.clock_ms())
 
     def look(self, order):
-        self.lapse()
+        self.check_lease()
         if order.fencing_token < self.fence:
             return OrderDenied(Denial.fenced)
         self.fence = order.fencing_token
         if order.lease_until_ms is not None:
             self.extend(order.lease_until_ms)
-        self.fleet.note_seen(self, order.seen_end)
+        self.fleet.acknowledge_ends(self, order.seen_end)
         self.seen_end = max(self.seen_end, order.seen_end)
         return Looked(
             self.clock_ms(),
@@ -216,48 +218,48 @@
     def report(self, run):
         if self.fleet.step(run.key.task).lasting:
             return RunningReport(run.key, '', 100, 1)
-        passed_s = asyncio.get_running_loop().time() - run.began_s
-        share = 0 if self.hangs else min(0.99, passed_s / run.length_s)
+        elapsed_s = asyncio.get_running_loop().time() - run.started_s
+        share = 0 if self.hangs else min(0.99, elapsed_s / run.length_s)
         return RunningReport(run.key, '', int(share * 100), 1)
 
 
 class VirtualServers:
-    """All backend servers, the ways of daemons to them, and the checks."""
+    """All backend servers, faults of their connections, and invariant checks."""
 
     def __init__(self, store, seed):
         self.store = store
         self.random = random.Random(seed)
         self.server_by_id = {}
-        #: Pairs of daemon and server that can't reach each other.
+        #: Pairs of ids of a daemon and a server that can't reach each other.
         self.cut = set()
-        #: Share of orders without an answer, carried out seconds later.
+        #: Share of orders that get no answer and take effect seconds later.
         self.late_share = 0
-        #: How long each order is on its way, in seconds.
+        #: Delay of each order, in seconds.
         self.order_s = 0
-        #: How long each call keeps the processor of its daemon, in seconds.
-        self.call_work_s = 0
+        #: Processor time of the daemon before and after each call, in seconds.
+        self.call_cpu_s = 0
         self.done = set()
-        self.noted_done = set()
+        self.acknowledged_done = set()
         self.breaches = []
         self.starts = collections.Counter()
         self.crashing = CrashingTasks(self)
-        self.cancelled_s_by_job = {}
-        #: Validity of tickets, in ms; 0 where none are needed.
+        self.cancelled_at_s_by_job = {}
+        #: Validity of tickets, in ms; 0 if starts need no ticket.
         self.ticket_ms = 0
-        #: End of each ticket by server, step and text, and starts without one.
+        #: Expiry of tickets by server, step and text, and starts without a ticket.
         self.until_s_by_ticket = {}
         self.without_ticket = []
         self.job_by_id = {}
 
-    def add(self, count, cores=8, ahead_ms=0):
+    def add(self, count, cores=8, clock_offset_ms=0):
         capacity = Resources(cores * 1000, cores * 4000, 0)
         for _ in range(count):
-            self.add_one(capacity, ahead_ms)
+            self.add_server(capacity, clock_offset_ms)
 
-    def add_one(self, capacity, ahead_ms):
+    def add_server(self, capacity, clock_offset_ms):
         server_id = f's{len(self.server_by_id)}'
         self.server_by_id[server_id] = VirtualServer(
-            self, server_id, capacity, ahead_ms
+            self, server_id, capacity, clock_offset_ms
         )
 
     def step(self, task):
@@ -270,11 +272,11 @@
                     self.job_by_id[job_id] = decode_spec(raw)
         return self.job_by_id[job_id]
 
-    def give_ticket(self, server_id, step_name):
+    def issue_ticket(self, server_id, step_name):
         now_s = asyncio.get_running_loop().time()
         text = f'{server_id} at {now_s}'
-        until_s = now_s + self.ticket_ms / MS_IN_S
-        self.until_s_by_ticket[server_id, step_name, text] = until_s
+        expiry_s = now_s + self.ticket_ms / MS_IN_S
+        self.until_s_by_ticket[server_id, step_name, text] = expiry_s
         return text
 
     def has_ticket(self, server, order):
@@ -283,8 +285,8 @@
         task = order.run.task
         step_name = f'{task.job_id}.{task.occurrence}.{task.step}'
         ticket = server.server_id, step_name, order.ticket
-        until_s = self.until_s_by_ticket.get(ticket, 0)
-        if asyncio.get_running_loop().time() <= until_s:
+        expiry_s = self.until_s_by_ticket.get(ticket, 0)
+        if asyncio.get_running_loop().time() <= expiry_s:
             return True
         self.without_ticket.append(order.run)
         return False
@@ -294,9 +296,9 @@
         self.starts[task] += 1
         stored = [row[0] for row in self.store.topic(JOURNAL_TOPIC).records]
         if step_key(task) not in stored:
-            self.breaches.append(f'{key}: started without a record')
-        if task.index in self.stored_done(task):
-            self.breaches.append(f'{key}: starts, and is stored as done')
+            self.breaches.append(f'{key}: started without a stored record')
+        if task.index in self.done_in_journal(task):
+            self.breaches.append(f'{key}: started although stored as done')
         elsewhere = [
             other.server_id
             for other in self.server_by_id.values()
@@ -304,33 +306,36 @@
         ]
         if elsewhere:
             self.breaches.append(
-                f'{key}: on {server.server_id}, also on {elsewhere}'
+                f'{key}: started on {server.server_id}, also runs on {elsewhere}'
+            )
+        if task in self.acknowledged_done:
+            self.breaches.append(
+                f'{key}: started although acknowledged as done'
             )
-        if task in self.noted_done:
-            self.breaches.append(f'{key}: starts, and is noted as done')
         for index in self.step(task).after:
-            earlier = self.job(task.job_id).steps[index]
+            predecessor = self.job(task.job_id).steps[index]
             keys = {
-                task._replace(step=index, index=n) for n in range(earlier.count)
+                task._replace(step=index, index=n)
+                for n in range(predecessor.count)
             }
             if not keys <= self.done:
                 self.breaches.append(
-                    f'{key}: starts before step {index} is done'
+                    f'{key}: started before step {index} was done'
                 )
         self.crashing.check_start(key)
-        if exceeds(server.needs_with(task), server.capacities.most()):
+        if exceeds(server.needs_with(task), server.capacities.upper_bound()):
             self.breaches.append(
-                f'{key}: brings {server.server_id} over its capacity'
+                f'{key}: exceeds the capacity of {server.server_id}'
             )
         now_s = asyncio.get_running_loop().time()
-        if now_s > self.cancelled_s_by_job.get(task.job_id, now_s) + 13:
-            self.breaches.append(f'{key}: starts long after its cancelling')
+        if now_s > self.cancelled_at_s_by_job.get(task.job_id, now_s) + 13:
+            self.breaches.append(f'{key}: started long after it was cancelled')
 
-    def stored_done(self, task):
-        """Read which tasks of a step the journal says are done.
+    def done_in_journal(self, task):
+        """Read which tasks of a step are done according to the journal.
 
-        :param task: of the step.
-        :returns: their indices.
+        :param task: any task of the step.
+        :returns: indices of the done tasks.
         """
         key = step_key(task)
         rows = [
@@ -342,19 +347,19 @@
             return set()
         return {row[0] for row in msgspec.msgpack.decode(rows[-1]) if row[3]}
 
-    def note_done(self, task):
-        """Note that a task is done; one end stands for a whole gang.
+    def mark_done(self, task):
+        """Mark a task as done, or all tasks of its step if they are a gang.
 
-        :param task: which.
+        :param task: task that has ended.
         """
         step = self.step(task)
         indices = range(step.count) if step.gang else (task.index,)
         self.done |= {task._replace(index=index) for index in indices}
 
-    def note_seen(self, server, number):
-        self.noted_done |= {
+    def acknowledge_ends(self, server, number):
+        self.acknowledged_done |= {
             end.run.task
             for end in server.ends
-            if server.void_to < end.number <= number
+            if server.void_end_number < end.number <= number
             and end.kind is EndKind.done
         }
--- a/waxwingford/shard/tests/virtual_shard.py
+++ b/waxwingford/shard/tests/virtual_shard.py
@@ -1,4 +1,4 @@
-"""Daemons of a shard in virtual time, on a store and servers in memory."""
+"""Daemons of a shard in virtual time, with a simulated store and servers."""
 
 import asyncio
 import datetime
@@ -21,7 +21,7 @@
     ShardMember,
 )
 from waxwingford.shard._times import steady_ms
-from waxwingford.shard.tests.servers_way import ServersWay
+from waxwingford.shard.tests.servers_way import VirtualServerClient
 from waxwingford.shard.tests.virtual_servers import VirtualServers
 from waxwingford.shard.tests.virtual_store import StoreWay, VirtualStore
 
@@ -31,8 +31,8 @@
 TERMS = Terms(1, {'queue': QUEUE})
 
 
-class LineKeeper(Observer):
-    """Keeps log lines as the daemon would write them."""
+class RecordingObserver(Observer):
+    """Records log lines in the format of the daemon."""
 
     def __init__(self, daemon_id, lines):
         super().__init__(Metrics())
@@ -56,14 +56,14 @@
         self._lines.append(msgspec.json.encode(line, enc_hook=str).decode())
 
 
-class VirtualLink:
-    """Way to the owner, whose endpoint is its daemon's name here."""
+class VirtualOwnerLink:
+    """Link to the owner, whose endpoint is its daemon id here."""
 
     def __init__(self, shard):
         self.shard = shard
 
     def close(self):
-        """Hold no connection."""
+        """Do nothing, as there is no connection."""
 
     def desk(self, endpoint):
         return next(
@@ -79,20 +79,20 @@
         return self.desk(endpoint).local_pending(queue)
 
     async def store(self, endpoint, row, left_s):
-        until_s = self.shard.loop.time() + left_s
-        return await self.desk(endpoint).store_directly(row, until_s)
+        deadline_s = self.shard.loop.time() + left_s
+        return await self.desk(endpoint).store_directly(row, deadline_s)
 
 
 class VirtualDaemon:
-    """One daemon; it may be killed and started again."""
+    """Daemon that may be killed and started again."""
 
     def __init__(self, shard, daemon_id, cores=1):
         self.shard = shard
         self.daemon_id = daemon_id
         self.cores = cores
         self.log = StoreWay(shard.store, daemon_id)
-        self.servers = ServersWay(shard.servers, daemon_id)
-        self.observer = LineKeeper(daemon_id, shard.lines)
+        self.servers = VirtualServerClient(shard.servers, daemon_id)
+        self.observer = RecordingObserver(daemon_id, shard.lines)
         self.start()
 
     def start(self):
@@ -105,7 +105,7 @@
             self.cores,
         )
         self.desk = ShardDesk(
-            self.log, self.member, VirtualLink(self.shard), self.observer
+            self.log, self.member, VirtualOwnerLink(self.shard), self.observer
         )
         self.member.configure(TERMS)
         self.task = asyncio.ensure_future(self.member.stand_by())
@@ -141,7 +141,7 @@
 
 
 class VirtualShard:
-    """Some daemons, one store, some servers, in virtual time."""
+    """Daemons, a store and backend servers in virtual time."""
 
     def __init__(self, seed=0, daemons=3, servers=4, cores=None):
         random.seed(seed)
@@ -150,12 +150,12 @@
         self.random = random.Random(seed)
         self.store = VirtualStore(seed)
         self.servers = VirtualServers(self.store, seed)
-        self.servers.add(servers, ahead_ms=seed % 1000)
+        self.servers.add(servers, clock_offset_ms=seed % 1000)
         self.job_count = 0
         self.lines = []
         self.daemons = []
-        even = itertools.repeat(1, daemons)
-        self.run_until(self._start(even if cores is None else cores))
+        equal_cores = itertools.repeat(1, daemons)
+        self.run_until(self._start(equal_cores if cores is None else cores))
 
     async def _start(self, cores_by_number):
         self.daemons = [
@@ -172,14 +172,14 @@
     def close(self):
         end_loop(self.loop)
 
-    def call(self, act):
-        """Call something inside the loop.
+    def call(self, callback):
+        """Run a callback in the event loop.
 
-        :param act: without arguments.
+        :param callback: function without arguments.
         """
 
         async def _call():
-            act()
+            callback()
 
         self.run_until(_call())
 
@@ -196,24 +196,24 @@
 
     def submit(self, steps, daemon=None, **more):
         spec = self.new_spec(steps, **more)
-        through = daemon or self.living()[0]
-        until_s = self.loop.time() + 3
-        outcome = self.run_until(through.desk.submit(spec, until_s))
+        entry_daemon = daemon or self.living()[0]
+        deadline_s = self.loop.time() + 3
+        outcome = self.run_until(entry_daemon.desk.submit(spec, deadline_s))
         return spec.job_id, outcome
 
     def cancel(self, job_id, daemon=None):
-        through = daemon or self.living()[0]
-        until_s = self.loop.time() + 3
-        outcome = self.run_until(through.desk.cancel(job_id, until_s))
-        self.servers.cancelled_s_by_job[job_id] = self.loop.time()
+        entry_daemon = daemon or self.living()[0]
+        deadline_s = self.loop.time() + 3
+        outcome = self.run_until(entry_daemon.desk.cancel(job_id, deadline_s))
+        self.servers.cancelled_at_s_by_job[job_id] = self.loop.time()
         return outcome
 
     def living(self):
         return [daemon for daemon in self.daemons if daemon.alive]
 
     def phase(self, job_id, daemon=None):
-        through = daemon or self.living()[0]
-        answer = self.run_until(through.desk.phase(job_id))
+        entry_daemon = daemon or self.living()[0]
+        answer = self.run_until(entry_daemon.desk.phase(job_id))
         return answer.phase.value if isinstance(answer, JobKnown) else answer
 
     def running(self, job_id):
@@ -226,9 +226,9 @@
 
 
 def step(count=2, length_ms=700, after=(), **more):
-    """Make a step of tasks of one core.
+    """Create a step whose tasks take one core each.
 
-    :returns: the step.
+    :returns: spec of the step.
     """
     needs = Resources(1000, 1000, 0)
     return StepSpec(count, needs, length_ms, after, **more)
