--- a/waxwingford/shard/_drivers.py
+++ b/waxwingford/shard/_drivers.py
@@ -22,8 +22,9 @@
 #: Polls within the length of a lease, at least: each poll extends the lease.
 MIN_POLLS_PER_LEASE = 4
 #: Bounds of the hold time where fill tasks share servers with serving tasks, in
-#: ms: loads change within seconds. Within these bounds it grows with the number
-#: of such servers, which limits the polls per second of all of them.
+#: ms, as loads change within seconds. The hold time grows with the number of such
+#: servers, to limit the polls per second of all of them. The upper bound is the
+#: window that a reported tail latency covers.
 COLOCATED_WAIT_MS = 250
 MAX_COLOCATED_WAIT_MS = 500
 COLOCATED_POLLS_PER_S = 65
@@ -35,8 +36,8 @@
 #: tasks and lasting tasks run.
 POLL_GAP_MS = 25
 BACKGROUND_GAP_MS = 120
-#: Event loop lag above the normal lag lengthens the gap between polls by this
-#: factor, up to a maximum in seconds that still allows two polls in a lease.
+#: The gap between polls is lengthened by this multiple of the event loop lag in
+#: excess of the normal lag, up to a maximum that allows two polls in a lease.
 NORMAL_LAG_S = 0.02
 LAG_BACKOFF_FACTOR = 12
 MAX_LAG_BACKOFF_S = 1.4
--- a/waxwingford/shard/tests/crashes_steps.py
+++ b/waxwingford/shard/tests/crashes_steps.py
@@ -79,9 +79,9 @@
 @when('{span_s:d} s pass while the owner is killed after each crash')
 def kill_owner_after_crashes(context, span_s):
     shard = context.shard
-    until_s = shard.loop.time() + span_s
+    end_s = shard.loop.time() + span_s
     seen = 0
-    while shard.loop.time() < until_s:
+    while shard.loop.time() < end_s:
         shard.run(CHECK_INTERVAL_S)
         if crash_count(context) > seen and shard.owners:
             seen = crash_count(context)
