--- a/waxwingford/platform/__init__.py
+++ b/waxwingford/platform/__init__.py
@@ -1,8 +1,7 @@
-"""Adapter to the users' platform: names, formats and calls.
+"""Adapter to the users' platform: names, formats and requests.
 
-It decides nothing: each name on the wire is decoded once into the product's
-types, and each of the product's orders becomes one call. Importing this
-package registers the adapter.
+Translates between the platform's wire format and the scheduler's types, one
+request for each order. Importing this package registers the adapter.
 """
 
 from waxwingford.platform._adapter import UsersPlatform
--- a/waxwingford/platform/_advice.py
+++ b/waxwingford/platform/_advice.py
@@ -1,21 +1,21 @@
-"""The platform's advice service."""
+"""Client of the platform's advice service."""
 
 from http import HTTPStatus
 
 import msgspec
 
-from waxwingford.platform._calls import Answer, Calls
+from waxwingford.platform._http_client import HttpClient, HttpResponse
 from waxwingford.shard import Advised, NotAdvised
 
-#: Time for an answer, in seconds: the service takes time for each server that
-#: is named, and answers one call after the other.
+#: Timeout of a request, in seconds: the service handles requests one at a time,
+#: in a time proportional to the number of servers in each.
 ADVICE_TIMEOUT_S = 3.0
-#: Validity of a ticket when the answer doesn't say, in ms.
+#: Validity of a ticket if the response does not specify one, in ms.
 DEFAULT_VALIDITY_MS = 1000
 
 
 class _Advice(msgspec.Struct, rename='kebab'):
-    # Rows of server and ticket.
+    # Pairs of server id and ticket.
     eligible: list[tuple[str, str]]
     validity_ms: int = DEFAULT_VALIDITY_MS
 
@@ -23,39 +23,40 @@
 _decoder = msgspec.json.Decoder(_Advice)
 
 
-class AdviceService:
-    """Way to the advice service."""
+class AdviceClient:
+    """Client of the advice service."""
 
-    def __init__(self, calls: Calls, address: str) -> None:
-        """Use connections.
+    def __init__(self, http_client: HttpClient, address: str) -> None:
+        """Create the client; no connection is opened yet.
 
-        :param calls: to make calls with.
-        :param address: of the service, empty if there is none.
+        :param http_client: sends the requests.
+        :param address: IP address and port of the service, empty if there is
+            none.
         """
-        self._calls = calls
+        self._http_client = http_client
         self._address = address
 
     async def advise(
         self, step_name: str, server_ids: tuple[str, ...]
     ) -> Advised | NotAdvised:
-        """Ask which servers may run a step.
+        """Request the servers that may run a step.
 
-        :param step_name: of the step.
-        :param server_ids: servers that might.
-        :returns: the answer.
+        :param step_name: name of the step.
+        :param server_ids: ids of the candidate servers.
+        :returns: tickets by server, or the reason why there are none.
         """
         if not self._address:
-            return NotAdvised('the settings name no advice service')
+            return NotAdvised('no advice service configured')
         content = {'step': step_name, 'workers': server_ids}
-        outcome = await self._calls.post_json(
+        outcome = await self._http_client.post_json(
             self._address, '/api/advise', content, {}, ADVICE_TIMEOUT_S
         )
-        if not isinstance(outcome, Answer):
+        if not isinstance(outcome, HttpResponse):
             return NotAdvised(outcome.reason)
         if outcome.status != HTTPStatus.OK:
             return NotAdvised(f'status {outcome.status}')
         try:
             advice = _decoder.decode(outcome.body)
         except msgspec.MsgspecError as error:
-            return NotAdvised(f'answer not understood: {error}')
+            return NotAdvised(f'response not decoded: {error}')
         return Advised(dict(advice.eligible), advice.validity_ms)
--- /dev/null
+++ b/waxwingford/platform/_client_api.py
@@ -0,0 +1,186 @@
+"""HTTP API for clients: submission, state, cancellation and count of jobs."""
+
+import asyncio
+import re
+from http import HTTPStatus
+
+import msgspec
+from aiohttp import web
+
+from waxwingford.platform._records import (
+    Configuration,
+    QueuePath,
+    decode_submission,
+)
+from waxwingford.scheduling import JobSpec
+from waxwingford.shard import (
+    CancelNotKnown,
+    IntakeOutcome,
+    JobKnown,
+    JobNotKnown,
+    MayBeStored,
+    NotAnswered,
+    NotStored,
+    ShardDesk,
+    Stored,
+)
+
+#: Timeout of a request without a deadline header, in ms.
+DEFAULT_DEADLINE_MS = 3000
+#: Part of the timeout reserved for the transfer of the response, in ms.
+RESPONSE_MARGIN_MS = 150
+#: Value of the ``Retry-After`` header of a rejected request, in seconds.
+RETRY_AFTER_S = '1'
+_MS_PER_S = 1000
+_JOB_ID = re.compile('[0-9a-f]{16}')
+_JSON_CONTENT_TYPE = 'application/json'
+
+
+class ClientApi:
+    """Translates between HTTP and the operations of the desk."""
+
+    def __init__(self, desk: ShardDesk) -> None:
+        """Create the API without a configuration.
+
+        :param desk: executes the requests.
+        """
+        self.configuration: Configuration | None = None
+        self.closing = False
+        self._desk = desk
+
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Handle one request.
+
+        :param request: request of a client.
+        :returns: the response, with status 503 until a configuration is set.
+        """
+        response = await self._dispatch(request)
+        if self.closing:
+            # Makes the client reconnect, and so reach another daemon.
+            response.force_close()
+        return response
+
+    async def _dispatch(self, request: web.BaseRequest) -> web.Response:
+        if self.configuration is None:
+            return _retry_later(HTTPStatus.SERVICE_UNAVAILABLE)
+        path = self._match_path(request)
+        if path is None:
+            return _empty_response(HTTPStatus.NOT_FOUND)
+        job_id = request.path[len(path.prefix) :]
+        if not job_id:
+            return await self._count_pending(path)
+        if not _JOB_ID.fullmatch(job_id):
+            return _empty_response(HTTPStatus.NOT_FOUND)
+        return await self._dispatch_job(request, path, job_id)
+
+    async def _dispatch_job(
+        self, request: web.BaseRequest, path: QueuePath, job_id: str
+    ) -> web.Response:
+        match request.method:
+            case 'POST':
+                return await self._submit(request, path, job_id)
+            case 'GET':
+                return await self._get_phase(job_id)
+            case 'DELETE':
+                return await self._cancel(request, path, job_id)
+            case _:
+                return _empty_response(HTTPStatus.METHOD_NOT_ALLOWED)
+
+    async def _submit(
+        self, request: web.BaseRequest, path: QueuePath, job_id: str
+    ) -> web.Response:
+        deadline_s = _deadline_s(request, path)
+        raw = await request.read()
+        if len(raw) > self.configuration.body_bytes:
+            return _empty_response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+        try:
+            submission = decode_submission(raw)
+        except msgspec.MsgspecError as error:
+            return web.Response(
+                status=HTTPStatus.BAD_REQUEST, text=f'{error}\n'
+            )
+        terms = self.configuration.terms.queue_by_name[path.queue]
+        spec = JobSpec(
+            job_id,
+            path.queue,
+            submission.spec,
+            submission.step_specs(),
+            submission.start_at_ms,
+            submission.interval_ms,
+            submission.repeat_count,
+            terms,
+        )
+        return _store_response(await self._desk.submit(spec, deadline_s))
+
+    async def _cancel(
+        self, request: web.BaseRequest, path: QueuePath, job_id: str
+    ) -> web.Response:
+        outcome = await self._desk.cancel(job_id, _deadline_s(request, path))
+        match outcome:
+            case CancelNotKnown():
+                return _empty_response(HTTPStatus.GONE)
+            case NotAnswered():
+                return _retry_later(HTTPStatus.SERVICE_UNAVAILABLE)
+            case _:
+                return _store_response(outcome)
+
+    async def _get_phase(self, job_id: str) -> web.Response:
+        match await self._desk.phase(job_id):
+            case JobKnown(phase):
+                return _json_response({'state': phase.value})
+            case JobNotKnown():
+                return _empty_response(HTTPStatus.GONE)
+            case _:
+                return _retry_later(HTTPStatus.SERVICE_UNAVAILABLE)
+
+    async def _count_pending(self, path: QueuePath) -> web.Response:
+        count = await self._desk.pending(path.queue)
+        return (
+            _retry_later(HTTPStatus.SERVICE_UNAVAILABLE)
+            if count is None
+            else _json_response({'pending': count})
+        )
+
+    def _match_path(self, request: web.BaseRequest) -> QueuePath | None:
+        host = request.headers.get('Host', '').partition(':')[0]
+        return next(
+            (
+                path
+                for path in self.configuration.paths
+                if path.host == host and request.path.startswith(path.prefix)
+            ),
+            None,
+        )
+
+
+def _deadline_s(request: web.BaseRequest, path: QueuePath) -> float:
+    requested = request.headers.get('X-Deadline-Ms', '')
+    limit_ms = int(requested) if requested.isdecimal() else DEFAULT_DEADLINE_MS
+    if path.timeout_ms:
+        limit_ms = min(limit_ms, path.timeout_ms)
+    remaining_ms = max(0, limit_ms - RESPONSE_MARGIN_MS)
+    return asyncio.get_running_loop().time() + remaining_ms / _MS_PER_S
+
+
+def _store_response(outcome: IntakeOutcome) -> web.Response:
+    match outcome:
+        case Stored():
+            return _json_response({})
+        case NotStored():
+            return _retry_later(HTTPStatus.SERVICE_UNAVAILABLE)
+        case MayBeStored():
+            return _empty_response(HTTPStatus.GATEWAY_TIMEOUT)
+
+
+def _json_response(content: object) -> web.Response:
+    return web.Response(
+        body=msgspec.json.encode(content), content_type=_JSON_CONTENT_TYPE
+    )
+
+
+def _empty_response(status: int) -> web.Response:
+    return web.Response(status=status)
+
+
+def _retry_later(status: int) -> web.Response:
+    return web.Response(status=status, headers={'Retry-After': RETRY_AFTER_S})
--- a/waxwingford/platform/_records.py
+++ b/waxwingford/platform/_records.py
@@ -1,4 +1,4 @@
-"""What operators and workers write to the store: configuration, registrations."""
+"""Formats of configurations, registrations and submissions."""
 
 import re
 from typing import Annotated, Literal
@@ -8,17 +8,17 @@
 from waxwingford.ports import Resources
 from waxwingford.scheduling import QueueTerms, ServerEntry, StepSpec, Terms
 
-_MOST_PORT = 65_535
-_MOST_AMOUNT = 1_000_000_000
-_Amount = Annotated[int, msgspec.Meta(ge=0, le=_MOST_AMOUNT)]
-# IP number and port.
+_MAX_PORT = 65_535
+_MAX_AMOUNT = 1_000_000_000
+_Amount = Annotated[int, msgspec.Meta(ge=0, le=_MAX_AMOUNT)]
+# IP address and port.
 _Endpoint = Annotated[str, msgspec.Meta(pattern=r'^[0-9.]+:[0-9]{1,5}$')]
-# Among a worker's labels the one of this form names its rack.
+# The first label of this form is the name of the worker's rack.
 _RACK = re.compile(r'r\d+(-\d+)*')
 
 
 class _Advice(msgspec.Struct):
-    """Only whether there is one counts: tickets say how long they are valid."""
+    """Present on routes whose steps need tickets of the advice service."""
 
 
 class _Route(msgspec.Struct, rename='kebab'):
@@ -45,13 +45,13 @@
 
 
 class _Capacity(msgspec.Struct, rename='kebab', frozen=True):
-    # Thousandths of a core.
+    # Millicores.
     cpu: _Amount = 0
     mem_mb: _Amount = 0
     gpu: _Amount = 0
 
 
-class _Beat(msgspec.Struct):
+class _Registration(msgspec.Struct):
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: _Endpoint
     zone: str
@@ -60,13 +60,13 @@
     labels: list[str] = []
 
 
-class EntryPath(msgspec.Struct, frozen=True):
-    """Where callers reach a queue.
+class QueuePath(msgspec.Struct, frozen=True):
+    """HTTP host and path prefix of a queue.
 
-    :ivar host: name in the request.
-    :ivar prefix: beginning of the path.
+    :ivar host: host name in the ``Host`` header.
+    :ivar prefix: path prefix, followed by the job id.
     :ivar queue: name of the queue.
-    :ivar timeout_ms: longest time for one request, 0 for none.
+    :ivar timeout_ms: maximum time for one request, 0 for no limit.
     """
 
     host: str
@@ -76,19 +76,19 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """A configuration, decoded.
+    """A decoded configuration.
 
-    :ivar terms: queues.
-    :ivar paths: where callers reach them, longest prefix first.
-    :ivar body_bytes: longest body of a request.
+    :ivar terms: version, and settings of each queue.
+    :ivar paths: paths of the queues, longest prefix first.
+    :ivar body_bytes: maximum size of a request body, in bytes.
     """
 
     terms: Terms
-    paths: tuple[EntryPath, ...]
+    paths: tuple[QueuePath, ...]
     body_bytes: int
 
 
-class _Task(msgspec.Struct, rename='kebab'):
+class _Step(msgspec.Struct, rename='kebab'):
     count: int = 0
     cpu: int = 0
     mem_mb: int = 0
@@ -102,7 +102,7 @@
     preferred_rack: str = ''
     anti_affinity: int = 0
     allow_concurrent: bool = False
-    # The tasks run until the job is cancelled.
+    # Tasks run until the job is cancelled.
     perpetual: bool = False
     image: str = ''
     target_ms: int = 0
@@ -113,38 +113,38 @@
 class Submission(msgspec.Struct, rename='kebab'):
     """Body of a submission.
 
-    :ivar spec: passed to the tasks unchanged.
-    :ivar steps: what to run.
-    :ivar start_at_ms: when it is first due, Unix time.
-    :ivar interval_ms: time between repetitions.
-    :ivar repeat_count: repetitions, 0 for none.
+    :ivar spec: opaque text that is passed to the tasks unchanged.
+    :ivar steps: steps of the job.
+    :ivar start_at_ms: earliest start, in ms of Unix time.
+    :ivar interval_ms: time between repetitions, in ms.
+    :ivar repeat_count: number of repetitions, 0 for none.
     """
 
     spec: str
-    steps: list[_Task]
+    steps: list[_Step]
     start_at_ms: int = 0
     interval_ms: int = 0
     repeat_count: int = 0
 
     def step_specs(self) -> tuple[StepSpec, ...]:
-        """Translate the steps.
+        """Convert the steps to the scheduler's types.
 
-        :returns: steps in the product's terms.
+        :returns: specifications of the steps, in order.
         """
         return tuple(map(_step_spec, self.steps))
 
 
 _config_decoder = msgspec.json.Decoder(_Config)
-_beat_decoder = msgspec.json.Decoder(_Beat)
+_registration_decoder = msgspec.json.Decoder(_Registration)
 _submission_decoder = msgspec.json.Decoder(Submission)
 
 
 def decode_configuration(raw: bytes) -> Configuration:
-    """Read the operator's configuration.
+    """Decode a configuration.
 
-    :param raw: as it lies in the store.
+    :param raw: JSON as stored by the operator.
     :returns: the configuration.
-    :raises msgspec.MsgspecError: if it can't be read.
+    :raises msgspec.MsgspecError: if it is no valid configuration.
     """
     config = _config_decoder.decode(raw)
     queue_by_name = {
@@ -161,7 +161,7 @@
     }
     paths = sorted(
         (
-            EntryPath(
+            QueuePath(
                 route.host, route.path_prefix, route.name, route.timeout_ms
             )
             for route in config.routes
@@ -176,56 +176,61 @@
 
 
 def decode_registration(server_id: str, raw: bytes) -> ServerEntry:
-    """Read a worker's report about itself.
+    """Decode a worker's registration.
 
-    :param server_id: its key.
-    :param raw: as it lies in the store.
+    :param server_id: id of the worker, the key of the record.
+    :param raw: JSON as stored by the worker.
     :returns: the registration.
-    :raises ValueError: if it can't be read, or names no server as it stands.
+    :raises ValueError: if it is no valid registration, or its port is out of
+        range.
     """
-    beat = _beat_decoder.decode(raw)
-    if not 0 < int(beat.address.rpartition(':')[2]) <= _MOST_PORT:
+    registration = _registration_decoder.decode(raw)
+    if not 0 < int(registration.address.rpartition(':')[2]) <= _MAX_PORT:
         raise ValueError(
-            f'{beat.address}: expected a port of 1 to {_MOST_PORT}'
+            f'{registration.address}: expected a port from 1 to {_MAX_PORT}'
         )
     return ServerEntry(
         server_id,
-        beat.address,
-        beat.service,
-        beat.zone,
-        frozenset(beat.labels),
-        Resources(beat.capacity.cpu, beat.capacity.mem_mb, beat.capacity.gpu),
-        beat.state == 'draining',
-        next(filter(_RACK.fullmatch, beat.labels), ''),
+        registration.address,
+        registration.service,
+        registration.zone,
+        frozenset(registration.labels),
+        Resources(
+            registration.capacity.cpu,
+            registration.capacity.mem_mb,
+            registration.capacity.gpu,
+        ),
+        registration.state == 'draining',
+        next(filter(_RACK.fullmatch, registration.labels), ''),
     )
 
 
 def decode_submission(raw: bytes) -> Submission:
-    """Read a submission.
+    """Decode a submission.
 
-    :param raw: body of the request.
+    :param raw: body of the request, JSON.
     :returns: the submission.
-    :raises msgspec.MsgspecError: if it can't be read.
+    :raises msgspec.MsgspecError: if it is no valid submission.
     """
     return _submission_decoder.decode(raw)
 
 
-def _step_spec(task: _Task) -> StepSpec:
+def _step_spec(step: _Step) -> StepSpec:
     return StepSpec(
-        task.count,
-        Resources(task.cpu, task.mem_mb, task.gpu),
-        task.estimate_ms,
-        task.depends_on,
-        task.saves_progress,
-        task.gang,
-        task.same_rack,
-        task.required_label,
-        task.preferred_rack,
-        task.anti_affinity,
-        task.allow_concurrent,
-        task.perpetual,
-        task.image,
-        task.target_ms,
-        task.fills,
-        task.max_unavailable,
+        step.count,
+        Resources(step.cpu, step.mem_mb, step.gpu),
+        step.estimate_ms,
+        step.depends_on,
+        step.saves_progress,
+        step.gang,
+        step.same_rack,
+        step.required_label,
+        step.preferred_rack,
+        step.anti_affinity,
+        step.allow_concurrent,
+        step.perpetual,
+        step.image,
+        step.target_ms,
+        step.fills,
+        step.max_unavailable,
     )
--- a/waxwingford/platform/_registrations.py
+++ b/waxwingford/platform/_registrations.py
@@ -1,4 +1,4 @@
-"""Registrations of workers in the platform's store, which others may write too."""
+"""Cache of decoded worker registrations, tolerant of invalid ones."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -11,59 +11,56 @@
 _log = logbook.Logger('platform')
 
 
-class _Read(NamedTuple):
-    # An entry as it lies in the store, the server that it names, if any, and how
-    # often it was written in a form that can't be read.
+class _CachedEntry(NamedTuple):
+    # A stored record, its decoded form or None if it is invalid, and the number
+    # of invalid records seen so far under this key.
     raw: bytes
     entry: ServerEntry | None
-    unread: int
+    failure_count: int
 
 
 class Registrations:
-    """Translates registrations; those that can't be read name no server."""
+    """Decodes registrations and caches the result; skips invalid ones."""
 
     def __init__(self) -> None:
-        """Know none."""
-        self._read_by_id: dict[str, _Read] = {}
+        """Create an empty cache."""
+        self._cached_by_id: dict[str, _CachedEntry] = {}
 
     def read(self, raw_by_id: Mapping[str, bytes]) -> tuple[ServerEntry, ...]:
-        """Translate all registrations.
+        """Decode all registrations.
 
-        :param raw_by_id: as they lie in the store, by server.
-        :returns: the servers that they name.
+        :param raw_by_id: undecoded registrations by server id.
+        :returns: the valid registrations.
         """
-        self._read_by_id = {
-            server_id: self._known(server_id, raw)
+        self._cached_by_id = {
+            server_id: self._decode_cached(server_id, raw)
             for server_id, raw in raw_by_id.items()
         }
         return tuple(
-            read.entry
-            for read in self._read_by_id.values()
-            if read.entry is not None
+            cached.entry
+            for cached in self._cached_by_id.values()
+            if cached.entry is not None
         )
 
-    def _known(self, server_id: str, raw: bytes) -> _Read:
-        known = self._read_by_id.get(server_id)
-        if known is not None and known.raw == raw:
-            return known
-        unread = 0 if known is None else known.unread
+    def _decode_cached(self, server_id: str, raw: bytes) -> _CachedEntry:
+        previous = self._cached_by_id.get(server_id)
+        if previous is not None and previous.raw == raw:
+            return previous
+        failure_count = 0 if previous is None else previous.failure_count
         try:
-            return _Read(raw, decode_registration(server_id, raw), unread)
+            return _CachedEntry(
+                raw, decode_registration(server_id, raw), failure_count
+            )
         except ValueError as error:
-            _tell(server_id, unread + 1, error)
-            return _Read(raw, None, unread + 1)
+            _log_invalid(server_id, failure_count + 1, error)
+            return _CachedEntry(raw, None, failure_count + 1)
 
 
-def _tell(server_id: str, times: int, error: ValueError) -> None:
-    """Log an entry that can't be read, the more seldom the more often it came.
-
-    :param server_id: whose it is.
-    :param times: how often it came.
-    :param error: what is wrong with it.
-    """
-    is_power_of_two = not times & (times - 1)
+def _log_invalid(server_id: str, count: int, error: ValueError) -> None:
+    # Only counts that are powers of two are logged, to bound the number of lines.
+    is_power_of_two = not count & (count - 1)
     if is_power_of_two:
         _log.warning(
             'registration not read',
-            extra={'server': server_id, 'times': times, 'reason': str(error)},
+            extra={'server': server_id, 'times': count, 'reason': str(error)},
         )
--- a/waxwingford/platform/_store.py
+++ b/waxwingford/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store, as a shared log of keyed topics."""
+"""Client of the platform's store, a shared log of keyed topics."""
 
 import base64
 import functools
@@ -9,7 +9,12 @@
 
 import msgspec
 
-from waxwingford.platform._calls import Answer, CallOutcome, Calls, NotSent
+from waxwingford.platform._http_client import (
+    HttpClient,
+    HttpResponse,
+    NotSent,
+    RequestOutcome,
+)
 from waxwingford.shard import (
     Appended,
     AppendElsewhere,
@@ -28,23 +33,22 @@
     StoreUnknown,
 )
 
-#: Time for an append, in seconds: an answer takes some ms, some hundred when
-#: the store is slow.
+#: Timeout of an append, in seconds: several times the latency of a slow store.
 APPEND_TIMEOUT_S = 1.2
-#: So many calls in a row without an answer mean that the store is away: one
-#: may be lost by itself.
-MOST_FAILURES = 2
-#: Time for a read beyond the time that the store may wait, in seconds.
+#: Consecutive failed requests after which the store counts as not responding:
+#: a single one may be lost by itself.
+MAX_FAILURES = 2
+#: Timeout of a read in addition to the long-poll time, in seconds.
 READ_TIMEOUT_S = 1.2
-#: Time for a page of newest records, in seconds: up to 1 MB, which a slow
-#: store shares out among all readers.
+#: Timeout of a page of newest records, in seconds: a page has up to 1 MB, and
+#: a slow store divides its bandwidth among all readers.
 PAGE_TIMEOUT_S = 3.0
-_MS_IN_S = 1000
-_APPEND_ANSWERS = frozenset(
+_MS_PER_S = 1000
+_APPEND_STATUSES = frozenset(
     (HTTPStatus.OK, HTTPStatus.CONFLICT, HTTPStatus.PRECONDITION_FAILED)
 )
-#: These promise that nothing was done, others don't.
-_REFUSALS = frozenset(
+#: Statuses which guarantee that the request had no effect.
+_REFUSAL_STATUSES = frozenset(
     (
         HTTPStatus.TOO_MANY_REQUESTS,
         HTTPStatus.SERVICE_UNAVAILABLE,
@@ -52,27 +56,27 @@
     )
 )
 Outcome = TypeVar('Outcome')
-_LENGTH = struct.Struct('>I')
-_HEAD = struct.Struct('>QQ')
-#: Topics whose name begins so keep the newest record of each key for good.
-_KEYED = 'keyed.'
-#: Every topic here has all its records in one partition.
-_PART = '0'
-#: One producer for all owners, so that their epochs fence each other.
+_RECORD_LENGTH = struct.Struct('>I')
+_HEADER = struct.Struct('>QQ')
+#: Prefix of compacted topics, which retain the newest record of each key.
+_TOPIC_PREFIX = 'keyed.'
+#: All topics have a single partition.
+_PARTITION = '0'
+#: Producer id shared by all owners, so that their epochs fence each other.
 _PRODUCER = 'owner'
 
 
 class _AppendBody(msgspec.Struct):
     end: int = 0
     reason: str = ''
-    # The next sequence number, under the name of the query's parameter.
+    # Next expected sequence number.
     seq: int = 0
 
 
 class _Item(msgspec.Struct):
     key: str
     offset: int
-    # Base64 of the content.
+    # Payload in base64.
     value: str = ''
 
 
@@ -83,7 +87,7 @@
 
 
 class _ExpiredBody(msgspec.Struct):
-    # Oldest offset that is kept.
+    # Oldest retained offset.
     first: int = 0
 
 
@@ -93,25 +97,26 @@
 
 
 class PlatformLog:
-    """Shared log in the platform's store."""
+    """Client of the shared log in the platform's store."""
 
-    def __init__(self, calls: Calls, address: str) -> None:
-        """Use the store.
+    def __init__(self, http_client: HttpClient, address: str) -> None:
+        """Create the client; no connection is opened yet.
 
-        :param calls: to make calls with.
-        :param address: of the store, IP number and port.
+        :param http_client: sends the requests.
+        :param address: IP address and port of the store.
         """
-        self._calls = calls
+        self._http_client = http_client
         self._address = address
         self._failures = 0
 
     @property
     def answering(self) -> bool:
-        """Tell whether the store has answered one of the newest calls.
+        """Check whether the store has answered one of the last requests.
 
-        :returns: whether fewer than two calls in a row have failed.
+        :returns: whether fewer than ``MAX_FAILURES`` consecutive requests have
+            failed.
         """
-        return self._failures < MOST_FAILURES
+        return self._failures < MAX_FAILURES
 
     async def append(
         self,
@@ -119,132 +124,133 @@
         records: tuple[KeyedRecord, ...],
         fence: Fence | None = None,
     ) -> AppendOutcome:
-        """Append all records or none.
+        """Append records atomically.
 
-        :param topic: where.
-        :param records: what.
-        :param fence: conditions, ``None`` for an append that always counts.
-        :returns: what is known of it.
+        :param topic: name of the topic.
+        :param records: records to append.
+        :param fence: conditions of the append, ``None`` for none.
+        :returns: whether the records were stored, were not, or may have been.
         """
-        query = {'topic': _KEYED + topic, 'part': _PART, **_conditions(fence)}
-        outcome = self._noted(
-            await self._calls.post(
+        query = {
+            'topic': _TOPIC_PREFIX + topic,
+            'part': _PARTITION,
+            **_fence_parameters(fence),
+        }
+        outcome = self._track_failures(
+            await self._http_client.post(
                 self._address,
                 '/api/log-append',
                 query,
-                b''.join(map(_encode, records)),
+                b''.join(map(_encode_record, records)),
                 APPEND_TIMEOUT_S,
             )
         )
-        if not isinstance(outcome, Answer):
-            return _lost(outcome)
-        if outcome.status not in _APPEND_ANSWERS:
-            return _refused(outcome)
-        return _understood(_appended, outcome)
+        if not isinstance(outcome, HttpResponse):
+            return _failure_outcome(outcome)
+        if outcome.status not in _APPEND_STATUSES:
+            return _status_outcome(outcome)
+        return _try_decode(_decode_append, outcome)
 
     async def read(
         self, topic: str, from_offset: int, wait_ms: int
     ) -> ReadOutcome:
         """Read records.
 
-        :param topic: where.
-        :param from_offset: first offset wanted.
-        :param wait_ms: how long the store may wait for a record.
-        :returns: the records, or why there are none.
+        :param topic: name of the topic.
+        :param from_offset: offset of the first record to read.
+        :param wait_ms: time for which the store may wait for a record, in ms.
+        :returns: the records, or the reason why there are none.
         """
         query = {
-            'topic': _KEYED + topic,
-            'part': _PART,
+            'topic': _TOPIC_PREFIX + topic,
+            'part': _PARTITION,
             'from': str(from_offset),
         }
         if wait_ms:
             query['wait-ms'] = str(wait_ms)
-        outcome = self._noted(
-            await self._calls.get(
+        outcome = self._track_failures(
+            await self._http_client.get(
                 self._address,
                 '/api/log-read',
                 query,
-                wait_ms / _MS_IN_S + READ_TIMEOUT_S,
+                wait_ms / _MS_PER_S + READ_TIMEOUT_S,
             )
         )
-        if not isinstance(outcome, Answer):
-            return _lost(outcome)
+        if not isinstance(outcome, HttpResponse):
+            return _failure_outcome(outcome)
         match outcome.status:
             case HTTPStatus.OK:
-                return _understood(
-                    functools.partial(_decode, from_offset), outcome
+                return _try_decode(
+                    functools.partial(_decode_records, from_offset), outcome
                 )
             case HTTPStatus.GONE:
-                return _understood(_expired, outcome)
+                return _try_decode(_decode_expired, outcome)
             case _:
-                return _refused(outcome)
+                return _status_outcome(outcome)
 
     async def newest(self, topic: str, after_key: str) -> NewestOutcome:
-        """Read a page of the newest records by key.
+        """Read a page of the newest records, ordered by key.
 
-        :param topic: where.
-        :param after_key: last key of the page before, empty for the first.
-        :returns: the page, or why there is none.
+        :param topic: name of the topic.
+        :param after_key: last key of the previous page, empty for the first.
+        :returns: the page, or the reason why there is none.
         """
-        query = {'topic': _KEYED + topic, 'part': _PART}
+        query = {'topic': _TOPIC_PREFIX + topic, 'part': _PARTITION}
         if after_key:
-            # Here the parameter says after which key the page begins.
+            # For this endpoint, the key after which the page begins.
             query['depends-on'] = after_key
-        outcome = self._noted(
-            await self._calls.get(
+        outcome = self._track_failures(
+            await self._http_client.get(
                 self._address, '/api/log-newest', query, PAGE_TIMEOUT_S
             )
         )
-        if not isinstance(outcome, Answer):
-            return _lost(outcome)
+        if not isinstance(outcome, HttpResponse):
+            return _failure_outcome(outcome)
         if outcome.status != HTTPStatus.OK:
-            return _refused(outcome)
-        return _understood(_page, outcome)
+            return _status_outcome(outcome)
+        return _try_decode(_decode_page, outcome)
 
-    def _noted(self, outcome: CallOutcome) -> CallOutcome:
-        refused = isinstance(outcome, Answer) and outcome.status in _REFUSALS
-        failed = refused or not isinstance(outcome, Answer)
+    def _track_failures(self, outcome: RequestOutcome) -> RequestOutcome:
+        refused = (
+            isinstance(outcome, HttpResponse)
+            and outcome.status in _REFUSAL_STATUSES
+        )
+        failed = refused or not isinstance(outcome, HttpResponse)
         self._failures = self._failures + 1 if failed else 0
         return outcome
 
 
-def _conditions(fence: Fence | None) -> dict[str, str]:
+def _fence_parameters(fence: Fence | None) -> dict[str, str]:
     if fence is None:
         return {}
-    conditions = {
+    query = {
         'producer': _PRODUCER,
         'epoch': str(fence.epoch),
         'seq': str(fence.sequence),
     }
     if fence.at_offset is not None:
-        conditions['at'] = str(fence.at_offset)
-    return conditions
+        query['at'] = str(fence.at_offset)
+    return query
 
 
-def _encode(record: KeyedRecord) -> bytes:
+def _encode_record(record: KeyedRecord) -> bytes:
     key = record.key.encode()
     body = bytes((len(key),)) + key + (record.payload or b'')
-    return _LENGTH.pack(len(body)) + body
+    return _RECORD_LENGTH.pack(len(body)) + body
 
 
-def _understood(
-    read: Callable[[Answer], Outcome], answer: Answer
+def _try_decode(
+    decoder: Callable[[HttpResponse], Outcome], response: HttpResponse
 ) -> Outcome | StoreUnknown:
-    """Read an answer; one that can't be read says nothing of the call.
-
-    :param read: translates an answer.
-    :param answer: as it came.
-    :returns: what it says.
-    """
     try:
-        return read(answer)
+        return decoder(response)
     except (msgspec.MsgspecError, struct.error, ValueError) as error:
-        return StoreUnknown(f'answer not understood: {error}')
+        return StoreUnknown(f'response not decoded: {error}')
 
 
-def _appended(answer: Answer) -> AppendOutcome:
-    body = _append_decoder.decode(answer.body)
-    match answer.status:
+def _decode_append(response: HttpResponse) -> AppendOutcome:
+    body = _append_decoder.decode(response.body)
+    match response.status:
         case HTTPStatus.OK:
             return Appended(body.end)
         case HTTPStatus.PRECONDITION_FAILED:
@@ -255,8 +261,8 @@
             return AppendFenced()
 
 
-def _page(answer: Answer) -> NewestPage:
-    body = _newest_decoder.decode(answer.body)
+def _decode_page(response: HttpResponse) -> NewestPage:
+    body = _newest_decoder.decode(response.body)
     records = tuple(
         StoredRecord(item.offset, item.key, base64.b64decode(item.value))
         for item in body.items
@@ -264,47 +270,48 @@
     return NewestPage(records, body.has_more, body.end)
 
 
-def _expired(answer: Answer) -> RecordsExpired:
-    return RecordsExpired(_expired_decoder.decode(answer.body).first)
+def _decode_expired(response: HttpResponse) -> RecordsExpired:
+    return RecordsExpired(_expired_decoder.decode(response.body).first)
 
 
-def _decode(from_offset: int, answer: Answer) -> RecordsRead:
-    raw = answer.body
-    end, _ = _HEAD.unpack_from(raw)
+def _decode_records(from_offset: int, response: HttpResponse) -> RecordsRead:
+    raw = response.body
+    end, _ = _HEADER.unpack_from(raw)
     records: list[StoredRecord] = []
-    place = _HEAD.size
-    while place < len(raw):
-        length = _LENGTH.unpack_from(raw, place)[0]
-        place += _LENGTH.size
-        body = raw[place : place + length]
-        place += length
-        records.append(_record(from_offset + len(records), body))
+    position = _HEADER.size
+    while position < len(raw):
+        length = _RECORD_LENGTH.unpack_from(raw, position)[0]
+        position += _RECORD_LENGTH.size
+        body = raw[position : position + length]
+        position += length
+        records.append(_decode_record(from_offset + len(records), body))
     return RecordsRead(tuple(records), from_offset + len(records), end)
 
 
-def _record(offset: int, body: bytes) -> StoredRecord:
-    """Take a record apart.
+def _decode_record(offset: int, body: bytes) -> StoredRecord:
+    """Decode a record: length of the key, key, payload.
 
-    Others write to some topics: one record without a key, or with one that isn't
-    text, must not keep those behind it from being read.
+    Some topics have other writers, so a malformed record must not prevent the
+    following ones from being read.
 
-    :param offset: its place in the topic.
-    :param body: length of the key, key, content.
-    :returns: the record; without a key, one that drops the empty key.
+    :param offset: offset of the record.
+    :param body: encoded record.
+    :returns: the record; if it is empty, one that deletes the empty key; bytes of
+        the key that are not UTF-8 are replaced.
     """
     key_end = 1 + body[0] if body else 0
     key = body[1:key_end].decode(errors='replace')
     return StoredRecord(offset, key, body[key_end:] or None)
 
 
-def _refused(answer: Answer) -> StoreRefused | StoreUnknown:
-    reason = f'status {answer.status}'
-    if answer.status in _REFUSALS:
+def _status_outcome(response: HttpResponse) -> StoreRefused | StoreUnknown:
+    reason = f'status {response.status}'
+    if response.status in _REFUSAL_STATUSES:
         return StoreRefused(reason)
     return StoreUnknown(reason)
 
 
-def _lost(outcome: CallOutcome) -> StoreRefused | StoreUnknown:
+def _failure_outcome(outcome: RequestOutcome) -> StoreRefused | StoreUnknown:
     if isinstance(outcome, NotSent):
         return StoreRefused(outcome.reason)
     return StoreUnknown(outcome.reason)
--- a/waxwingford/platform/_workers.py
+++ b/waxwingford/platform/_workers.py
@@ -1,10 +1,15 @@
-"""Orders to the platform's workers, which are backend servers here."""
+"""Client of the platform's workers, the backend servers of the scheduler."""
 
 from http import HTTPStatus
 
 import msgspec
 
-from waxwingford.platform._calls import Answer, Calls, NoAnswer, NotSent
+from waxwingford.platform._http_client import (
+    HttpClient,
+    HttpResponse,
+    NoResponse,
+    NotSent,
+)
 from waxwingford.scheduling import (
     Address,
     Denial,
@@ -25,12 +30,12 @@
     TaskKey,
 )
 
-#: Time for an order, in seconds: a server answers within some ms; what takes
-#: longer is looked for by what the server lists.
+#: Timeout of an order, in seconds: servers normally answer within milliseconds;
+#: the outcome of a lost order is found by polling the server.
 ORDER_TIMEOUT_S = 0.6
-#: Time for a look beyond the time that the server may wait, in seconds.
-LOOK_TIMEOUT_S = 0.8
-_MS_IN_S = 1000
+#: Timeout of a poll in addition to the long-poll time, in seconds.
+POLL_TIMEOUT_S = 0.8
+_MS_PER_S = 1000
 _DENIAL_BY_REASON = {
     'fence': Denial.fenced,
     'old': Denial.superseded,
@@ -50,7 +55,7 @@
     run: int
     checkpoint: str | None
     percent: float
-    # Of its last half second: the tail in ms, or the cpu in use.
+    # Over the last 0.5 s: tail latency in ms, or CPU in use.
     figure: float | None = None
 
 
@@ -62,32 +67,32 @@
     checkpoint: str | None = None
 
 
-class _LookBody(msgspec.Struct, rename='kebab'):
+class _PollBody(msgspec.Struct, rename='kebab'):
     clock_ms: int
     running: list[_RunningRow]
     ended_runs: list[_EndRow]
 
 
 _order_decoder = msgspec.json.Decoder(_OrderBody)
-_look_decoder = msgspec.json.Decoder(_LookBody)
+_poll_decoder = msgspec.json.Decoder(_PollBody)
 
 
 class PlatformWorkers:
-    """Way to all workers of the platform."""
+    """Client of all workers of the platform."""
 
-    def __init__(self, calls: Calls) -> None:
-        """Use connections.
+    def __init__(self, http_client: HttpClient) -> None:
+        """Create the client; no connection is opened yet.
 
-        :param calls: to make calls with.
+        :param http_client: sends the requests.
         """
-        self._calls = calls
+        self._http_client = http_client
 
     async def start(self, address: Address, order: StartOrder) -> OrderOutcome:
-        """Start a run, once.
+        """Send an order to start a run, without retries.
 
-        :param address: which server.
-        :param order: what to run.
-        :returns: what is known of it.
+        :param address: address and id of the server.
+        :param order: run to start, with its lease and fencing token.
+        :returns: whether the order was accepted, rejected or lost.
         """
         content = {
             'task': str(order.run.task),
@@ -100,35 +105,35 @@
             content['last-checkpoint'] = order.checkpoint
         if order.ticket:
             content['ticket'] = order.ticket
-        return await self._order(address, '/api/run-start', content)
+        return await self._send_order(address, '/api/run-start', content)
 
     async def stop(
         self, address: Address, run: RunKey, fencing_token: int
     ) -> OrderOutcome:
-        """Stop a run; one that is not there yet will be refused later.
+        """Stop a run; the server rejects a later start of the same run.
 
-        :param address: which server.
-        :param run: which run.
-        :param fencing_token: of the shard's owner.
-        :returns: what is known of it.
+        :param address: address and id of the server.
+        :param run: run to stop.
+        :param fencing_token: fencing token of the shard's owner.
+        :returns: whether the order was accepted, rejected or lost.
         """
         content = {
             'task': str(run.task),
             'run-id': run.run,
             'fence': fencing_token,
         }
-        return await self._order(address, '/api/run-stop', content)
+        return await self._send_order(address, '/api/run-stop', content)
 
     async def pace(
         self, address: Address, run: RunKey, percent: int, fencing_token: int
     ) -> OrderOutcome:
-        """Let a run work at a share of its speed.
+        """Limit the speed of a run.
 
-        :param address: which server.
-        :param run: which run.
-        :param percent: 0 to 100.
-        :param fencing_token: of the shard's owner.
-        :returns: what is known of it.
+        :param address: address and id of the server.
+        :param run: run to limit.
+        :param percent: share of its full speed, 0 to 100.
+        :param fencing_token: fencing token of the shard's owner.
+        :returns: whether the order was accepted, rejected or lost.
         """
         content = {
             'task': str(run.task),
@@ -136,36 +141,36 @@
             'percent': percent,
             'fence': fencing_token,
         }
-        return await self._order(address, '/api/pace', content)
+        return await self._send_order(address, '/api/pace', content)
 
     async def look(self, address: Address, order: LookOrder) -> LookOutcome:
-        """Extend the lease and see what runs.
+        """Extend the lease of a server and list its runs.
 
-        :param address: which server.
-        :param order: lease, forgotten ends, wait.
-        :returns: what the server lists.
+        :param address: address and id of the server.
+        :param order: lease, last acknowledged end, and long-poll time.
+        :returns: the running and ended runs, or the reason why there are none.
         """
         content = {'fence': order.fencing_token, 'ack-cursor': order.seen_end}
         if order.lease_until_ms is not None:
             content['deadline-ms'] = order.lease_until_ms
         if order.wait_ms:
             content['wait-ms'] = order.wait_ms
-        timeout_s = order.wait_ms / _MS_IN_S + LOOK_TIMEOUT_S
-        answer = await self._post(address, '/api/hold', content, timeout_s)
-        if not isinstance(answer, Answer):
-            return answer
+        timeout_s = order.wait_ms / _MS_PER_S + POLL_TIMEOUT_S
+        response = await self._post(address, '/api/hold', content, timeout_s)
+        if not isinstance(response, HttpResponse):
+            return response
         try:
-            return _looked(_look_decoder.decode(answer.body))
+            return _poll_result(_poll_decoder.decode(response.body))
         except (msgspec.MsgspecError, ValueError) as error:
-            return OrderUnknown(f'answer not understood: {error}')
+            return OrderUnknown(f'response not decoded: {error}')
 
-    async def _order(
+    async def _send_order(
         self, address: Address, path: str, content: dict[str, object]
     ) -> OrderOutcome:
-        answer = await self._post(address, path, content, ORDER_TIMEOUT_S)
-        if not isinstance(answer, Answer):
-            return answer
-        return _taken(answer)
+        response = await self._post(address, path, content, ORDER_TIMEOUT_S)
+        if not isinstance(response, HttpResponse):
+            return response
+        return _decode_order(response)
 
     async def _post(
         self,
@@ -173,84 +178,91 @@
         path: str,
         content: dict[str, object],
         timeout_s: float,
-    ) -> Answer | OrderDenied | ServerReplaced | OrderNotSent | OrderUnknown:
+    ) -> (
+        HttpResponse
+        | OrderDenied
+        | ServerReplaced
+        | OrderNotSent
+        | OrderUnknown
+    ):
         headers = {'X-Expect-Instance': address.server_id}
-        outcome = await self._calls.post_json(
+        outcome = await self._http_client.post_json(
             address.endpoint, path, content, headers, timeout_s
         )
         match outcome:
             case NotSent(reason):
                 return OrderNotSent(reason)
-            case NoAnswer(reason, broken):
+            case NoResponse(reason, broken):
                 return OrderUnknown(reason, broken)
-            case Answer():
-                return _by_status(outcome)
+            case HttpResponse():
+                return _check_status(outcome)
 
 
-def task_key(name: str) -> TaskKey:
-    """Read the name of a task.
+def parse_task_key(name: str) -> TaskKey:
+    """Parse the name of a task.
 
-    :param name: job, repetition, step and index, joined by dots.
+    :param name: job id, repetition, step and index, separated by dots.
     :returns: the key.
+    :raises ValueError: if the name has another form.
     """
     job_id, occurrence, step, index = name.split('.')
     return TaskKey(job_id, int(occurrence), int(step), int(index))
 
 
-def _by_status(
-    answer: Answer,
-) -> Answer | OrderDenied | ServerReplaced | OrderUnknown:
-    match answer.status:
+def _check_status(
+    response: HttpResponse,
+) -> HttpResponse | OrderDenied | ServerReplaced | OrderUnknown:
+    match response.status:
         case HTTPStatus.OK:
-            return answer
+            return response
         case HTTPStatus.MISDIRECTED_REQUEST:
             return ServerReplaced()
         case HTTPStatus.CONFLICT:
-            return _denied(answer)
+            return _decode_denial(response)
         case HTTPStatus.TOO_MANY_REQUESTS | HTTPStatus.SERVICE_UNAVAILABLE:
             return OrderDenied(Denial.unhealthy)
         case HTTPStatus.BAD_REQUEST:
             return OrderDenied(Denial.invalid)
         case _:
-            return OrderUnknown(f'status {answer.status}')
+            return OrderUnknown(f'status {response.status}')
 
 
-def _looked(body: _LookBody) -> Looked:
+def _poll_result(body: _PollBody) -> Looked:
     return Looked(
         body.clock_ms,
-        tuple(map(_running, body.running)),
-        tuple(map(_ended, body.ended_runs)),
+        tuple(map(_running_report, body.running)),
+        tuple(map(_end_report, body.ended_runs)),
     )
 
 
-def _taken(answer: Answer) -> OrderTaken | OrderUnknown:
+def _decode_order(response: HttpResponse) -> OrderTaken | OrderUnknown:
     try:
-        return OrderTaken(_order_decoder.decode(answer.body).clock_ms)
+        return OrderTaken(_order_decoder.decode(response.body).clock_ms)
     except msgspec.MsgspecError as error:
-        return OrderUnknown(f'answer not understood: {error}')
+        return OrderUnknown(f'response not decoded: {error}')
 
 
-def _denied(answer: Answer) -> OrderDenied | OrderUnknown:
+def _decode_denial(response: HttpResponse) -> OrderDenied | OrderUnknown:
     try:
-        reason = _order_decoder.decode(answer.body).reason
+        reason = _order_decoder.decode(response.body).reason
     except msgspec.MsgspecError as error:
-        return OrderUnknown(f'answer not understood: {error}')
+        return OrderUnknown(f'response not decoded: {error}')
     return OrderDenied(_DENIAL_BY_REASON.get(reason, Denial.invalid))
 
 
-def _running(row: _RunningRow) -> RunningReport:
+def _running_report(row: _RunningRow) -> RunningReport:
     return RunningReport(
-        RunKey(task_key(row.task), row.run),
+        RunKey(parse_task_key(row.task), row.run),
         row.checkpoint or '',
         row.percent,
         row.figure or 0,
     )
 
 
-def _ended(row: _EndRow) -> EndReport:
+def _end_report(row: _EndRow) -> EndReport:
     return EndReport(
         row.number,
-        RunKey(task_key(row.task), row.run),
+        RunKey(parse_task_key(row.task), row.run),
         EndKind(row.kind),
         row.checkpoint or '',
     )
--- a/waxwingford/platform/tests/adapter.feature
+++ b/waxwingford/platform/tests/adapter.feature
@@ -47,7 +47,7 @@
       | 421    | {}                               | ServerReplaced()                    |
       | 503    | {}                               | OrderDenied(denial=unhealthy)       |
       | 400    | {}                               | OrderDenied(denial=invalid)         |
-      | 200    | not JSON                         | OrderUnknown(reason='answer not understood) |
+      | 200    | not JSON                         | OrderUnknown(reason='response not decoded) |
 
   Scenario Outline: what is known of a start that has no answer
     # Symptom: a task stands still for 5 s and more though nothing can run.
--- a/waxwingford/platform/tests/adapter_steps.py
+++ b/waxwingford/platform/tests/adapter_steps.py
@@ -10,8 +10,8 @@
 from behave import given, then, when
 
 from waxwingford.platform import _store
-from waxwingford.platform._advice import AdviceService
-from waxwingford.platform._calls import Calls
+from waxwingford.platform._advice import AdviceClient
+from waxwingford.platform._http_client import HttpClient
 from waxwingford.platform._records import (
     decode_registration,
     decode_submission,
@@ -109,11 +109,11 @@
     site = web.TCPSite(runner, HOST, 0)
     await site.start()
     port = runner.addresses[0][1]
-    calls = Calls()
+    http_client = HttpClient()
     try:
-        return await work(calls, f'{HOST}:{port}')
+        return await work(http_client, f'{HOST}:{port}')
     finally:
-        await calls.close()
+        await http_client.close()
         await runner.cleanup()
 
 
@@ -141,18 +141,20 @@
 
 
 def on_store(context, act):
-    async def _work(calls, address):
-        return await act(_store.PlatformLog(calls, context.address or address))
+    async def _work(http_client, address):
+        return await act(
+            _store.PlatformLog(http_client, context.address or address)
+        )
 
     if context.address is None:
         return asyncio.run(serve(context.stand_in.answer, _work))
 
     async def _alone():
-        calls = Calls()
+        http_client = HttpClient()
         try:
-            return await _work(calls, context.address)
+            return await _work(http_client, context.address)
         finally:
-            await calls.close()
+            await http_client.close()
 
     return asyncio.run(_alone())
 
@@ -213,8 +215,8 @@
 
 
 def on_worker(context, act):
-    async def _work(calls, address):
-        return await act(PlatformWorkers(calls), Address('i-1', address))
+    async def _work(http_client, address):
+        return await act(PlatformWorkers(http_client), Address('i-1', address))
 
     return asyncio.run(serve(context.stand_in.answer, _work))
 
@@ -240,8 +242,8 @@
 
 @then('the advice is "{name}"')
 def advice(context, name):
-    async def _work(calls, address):
-        return await AdviceService(calls, address).advise('s', ('i-1',))
+    async def _work(http_client, address):
+        return await AdviceClient(http_client, address).advise('s', ('i-1',))
 
     found = asyncio.run(serve(context.stand_in.answer, _work))
     assert type(found).__name__ == name, found
--- a/waxwingford/platform/tests/clients_steps.py
+++ b/waxwingford/platform/tests/clients_steps.py
@@ -6,7 +6,7 @@
 from aiohttp import ClientSession
 from behave import given, then, when
 
-from waxwingford.platform._entry import Entry
+from waxwingford.platform._client_api import ClientApi
 from waxwingford.platform._records import (
     decode_configuration,
 )
@@ -36,20 +36,20 @@
 
 @given('an entry with one queue, whose desk knows nothing')
 def entry(context):
-    context.entry = Entry(EmptyDesk())
+    context.entry = ClientApi(EmptyDesk())
     raw = json.dumps(CONFIGURATION).encode()
     context.entry.configuration = decode_configuration(raw)
 
 
 @given('an entry without a configuration')
 def bare_entry(context):
-    context.entry = Entry(EmptyDesk())
+    context.entry = ClientApi(EmptyDesk())
 
 
 @when('a client sends {method} to {path} with "{body}"')
 @when('a client sends {method} to {path} with ""')
 def send(context, method, path, body=''):
-    async def _work(calls, address):
+    async def _work(http_client, address):
         async with ClientSession() as session:
             url = f'http://{address}{path}'
             async with session.request(method, url, data=body) as response:
--- a/waxwingford/platform/tests/foreign_steps.py
+++ b/waxwingford/platform/tests/foreign_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import settings, strategies
 
 from waxwingford.platform._adapter import UsersPlatform
-from waxwingford.platform._calls import Answer
+from waxwingford.platform._http_client import HttpResponse
 from waxwingford.platform._registrations import Registrations
 from waxwingford.platform._store import PlatformLog
 from waxwingford.platform._workers import PlatformWorkers
@@ -224,10 +224,10 @@
         self._body = body
 
     async def post_json(self, *_):
-        return Answer(200, self._body)
+        return HttpResponse(200, self._body)
 
     async def get(self, *_):
-        return Answer(200, self._body)
+        return HttpResponse(200, self._body)
 
 
 @then(
@@ -301,7 +301,7 @@
     async def follow():
         platform = UsersPlatform('127.0.0.1:1', '')
         platform.log = context.store
-        platform._entry = FixedEntry()
+        platform._client_api = FixedEntry()
         following = asyncio.create_task(
             platform.follow_terms(
                 lambda terms: context.versions.append(terms.version),
--- a/waxwingford/platform/tests/frail_worker_steps.py
+++ b/waxwingford/platform/tests/frail_worker_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then
 
-from waxwingford.platform._calls import Calls
+from waxwingford.platform._http_client import HttpClient
 from waxwingford.platform._workers import PlatformWorkers
 from waxwingford.platform.tests.adapter_steps import HOST, RUN, deserted
 from waxwingford.scheduling import (
@@ -111,8 +111,8 @@
 
 
 async def start_at_frail(worker, address):
-    calls = Calls()
-    way = PlatformWorkers(calls)
+    http_client = HttpClient()
+    way = PlatformWorkers(http_client)
     where = Address('i-1', address or await worker.serve())
     try:
         if worker.calls_left:
@@ -121,7 +121,7 @@
             await asyncio.sleep(0.05)
         return await way.start(where, StartOrder(RUN, 'payload', 100, 7))
     finally:
-        await calls.close()
+        await http_client.close()
 
 
 @then(
