--- a/waxwingford/scheduler/__init__.py
+++ b/waxwingford/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler daemon: assembly, life cycle, logs, readiness."""
+"""Scheduler daemon: assembly, life cycle, logging, readiness."""
--- a/waxwingford/scheduler/_daemon.py
+++ b/waxwingford/scheduler/_daemon.py
@@ -1,4 +1,4 @@
-"""Life of a scheduler daemon: start, readiness, planned stop."""
+"""Life cycle of the scheduler daemon: start, readiness, graceful stop."""
 
 import asyncio
 import signal
@@ -7,7 +7,7 @@
 
 from waxwingford.kernel import load_plugins
 from waxwingford.metrics import Metrics
-from waxwingford.scheduler._readiness import Readiness
+from waxwingford.scheduler._readiness import ReadinessServer
 from waxwingford.scheduling import Terms
 from waxwingford.settings import SchedulerSettings
 from waxwingford.shard import (
@@ -22,30 +22,31 @@
     serve_queries,
 )
 
-#: Leases are this share of the longest that servers grant, so that a lease that
-#: was sent is never cut by the server; and no longer than what a takeover and
-#: some looks take, in ms, as tasks of a dead server wait for its lease.
-LEASE_SHARE = 5 / 6
-MOST_LEASE_MS = 5000
-#: Time without any answer of the store after which callers had better go to
-#: another daemon, in seconds.
-STORE_LOST_S = 1.5
-#: Time after a stop is asked for in which requests still come in, in seconds:
-#: the balancer asks for readiness each second and acts on the second miss.
-STOP_LINGER_S = 2.6
-#: Share of the grace period that a planned stop may take.
-GRACE_SHARE = 0.75
+#: Duration of a lease as a fraction of the maximum that servers grant, so that
+#: servers never shorten it.
+LEASE_FRACTION = 5 / 6
+#: Maximum duration of a lease, in ms: covers a change of owner and some polls.
+#: Tasks of a failed server are not restarted until its lease has expired.
+MAX_LEASE_MS = 5000
+#: Time without a response of the store after which the daemon reports that it
+#: is not ready, in seconds.
+STORE_LOST_AFTER_S = 1.5
+#: Time for which requests are still accepted after a stop signal, in seconds:
+#: the load balancer probes readiness each second and needs two failed probes.
+STOP_DELAY_S = 2.6
+#: Maximum of that time as a fraction of the grace period.
+GRACE_FRACTION = 0.75
 
 _log = logbook.Logger('daemon')
 
 
 class SchedulerDaemon:
-    """One daemon: callers' entry, part of the shard, readiness."""
+    """A daemon: API for clients, membership in the shard, readiness."""
 
     def __init__(self, settings: SchedulerSettings) -> None:
-        """Assemble.
+        """Assemble the daemon; nothing is started yet.
 
-        :param settings: checked.
+        :param settings: validated settings.
         """
         load_plugins([settings.store.adapter])
         open_platform = scheduler_platforms.get(settings.store.adapter)
@@ -66,17 +67,19 @@
         self._desk = ShardDesk(
             self._platform.log, self._member, self._link, self._observer
         )
-        self._readiness = Readiness(self.missing, self._observer.metrics.render)
+        self._readiness = ReadinessServer(
+            self.not_ready_reason, self._observer.metrics.render
+        )
         self._stopping = asyncio.Event()
-        self._terms_seen_s: float = 0
+        self._last_read_s: float = 0
         self._store_lost = False
 
     async def run(self) -> None:
-        """Run until stopped by SIGTERM or SIGINT."""
+        """Run until SIGTERM, SIGINT or the failure of a background task."""
         loop = asyncio.get_running_loop()
-        for name in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(name, self._stopping.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reload)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._stopping.set)
+        loop.add_signal_handler(signal.SIGHUP, self._log_reload)
         listen = self._settings.listen
         await self._readiness.serve(listen.readiness)
         if listen.metrics_port:
@@ -85,68 +88,67 @@
             self._desk, listen.host, listen.peers_port
         )
         await self._platform.serve(self._desk, listen.callers)
-        works = [
+        tasks = [
             asyncio.create_task(
-                self._platform.follow_terms(self.take_terms, self.miss_terms)
+                self._platform.follow_terms(
+                    self.apply_terms, self.record_failed_read
+                )
             ),
             asyncio.create_task(self._member.stand_by()),
         ]
-        for work in works:
-            work.add_done_callback(self._finished)
+        for task in tasks:
+            task.add_done_callback(self._on_task_done)
         _log.info('started', extra={'store': self._settings.store.address})
         await self._stopping.wait()
-        await self._stop(works)
+        await self._stop(tasks)
         queries.close()
 
-    def _finished(self, work: asyncio.Task[None]) -> None:
-        """Stop the daemon when a part of it has failed: it is started again.
-
-        :param work: that has ended.
-        """
-        if work.cancelled() or work.exception() is None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
+        # A failed task stops the daemon, so that the supervisor restarts it.
+        if task.cancelled() or task.exception() is None:
             return
-        _log.error('part of the daemon failed', exc_info=work.exception())
+        _log.error('part of the daemon failed', exc_info=task.exception())
         self._stopping.set()
 
-    async def _stop(self, works: list[asyncio.Task[None]]) -> None:
+    async def _stop(self, tasks: list[asyncio.Task[None]]) -> None:
         _log.info('stopping')
         self._platform.begin_closing()
         await self._member.resign()
         grace_s = self._settings.bounds.stop_grace_s
-        await asyncio.sleep(min(STOP_LINGER_S, grace_s * GRACE_SHARE))
+        await asyncio.sleep(min(STOP_DELAY_S, grace_s * GRACE_FRACTION))
         await self._platform.close()
-        for work in works:
-            work.cancel()
+        for task in tasks:
+            task.cancel()
         self._member.close()
         self._link.close()
         await self._readiness.close()
         _log.info('stopped')
 
-    def _reload(self) -> None:
-        # What could change while the daemon runs lies in the store.
+    def _log_reload(self) -> None:
+        # Everything that can change at run time is stored in the store.
         _log.info('settings kept: they are read at the start only')
 
-    def take_terms(self, terms: Terms) -> None:
-        """Put a configuration in force: the store has answered.
+    def apply_terms(self, terms: Terms) -> None:
+        """Apply a configuration and record that the store has responded.
 
-        :param terms: as read.
+        :param terms: configuration as read from the store.
         """
-        self._terms_seen_s = asyncio.get_running_loop().time()
+        self._last_read_s = asyncio.get_running_loop().time()
         if self._store_lost:
             self._store_lost = False
             _log.info('store regained', extra={'version': terms.version})
         if terms.version > self._member.terms.version:
             self._member.configure(terms)
 
-    def miss_terms(self) -> None:
-        """Note that the store has not answered a read of the configuration."""
-        lost_s = asyncio.get_running_loop().time() - self._terms_seen_s
-        if lost_s > STORE_LOST_S and not self._store_lost:
+    def record_failed_read(self) -> None:
+        """Record that a read of the configuration has failed."""
+        elapsed_s = asyncio.get_running_loop().time() - self._last_read_s
+        if elapsed_s > STORE_LOST_AFTER_S and not self._store_lost:
             self._store_lost = True
-            _log.warning('store lost', extra={'for_s': round(lost_s, 1)})
+            _log.warning('store lost', extra={'for_s': round(elapsed_s, 1)})
 
-    def missing(self) -> str:
-        """Say why callers had better go to another daemon.
+    def not_ready_reason(self) -> str:
+        """Return the reason why the daemon is not ready for requests.
 
         :returns: the reason, empty if the daemon is ready.
         """
@@ -163,13 +165,13 @@
     def _make_owner(self, terms: Terms) -> Owner:
         settings = self._settings
         listen = settings.listen
-        figures = OwnerSettings(
+        owner_settings = OwnerSettings(
             settings.identity.daemon_id,
             settings.identity.failure_domain,
             f'{listen.host}:{listen.peers_port}',
             min(
-                MOST_LEASE_MS,
-                int(settings.bounds.longest_lease_ms * LEASE_SHARE),
+                MAX_LEASE_MS,
+                int(settings.bounds.longest_lease_ms * LEASE_FRACTION),
             ),
             settings.vm.cores,
         )
@@ -180,4 +182,4 @@
             self._platform.advisor,
             self._observer,
         )
-        return Owner(figures, ports, terms)
+        return Owner(owner_settings, ports, terms)
--- a/waxwingford/scheduler/_logs.py
+++ b/waxwingford/scheduler/_logs.py
@@ -1,9 +1,7 @@
-"""Log lines of the scheduler daemon: JSON on standard output.
+"""Logging of the scheduler daemon: JSON lines on standard output.
 
-A line is written at once or not at all: nobody may read the pipe, and a
-daemon that waits for a reader answers nobody. What comes too often is counted
-and summarised each second; what is about leadership, dependencies and the
-daemon's life is always written.
+Writes never block, so that a stalled reader cannot stop the daemon. Frequent
+events above a rate limit are counted and summarised each second.
 """
 
 import collections
@@ -18,95 +16,96 @@
 
 from waxwingford.settings import Logging
 
-#: Lines a second before the frequent events are summarised: above the rate of
-#: a busy day, below what costs a small VM a twentieth of its core.
-MOST_LINES_PER_S = 300
+#: Lines per second above which frequent events are summarised, to limit the CPU
+#: time spent on logging.
+MAX_LINES_PER_S = 300
 _KIB = 1024
-#: Bytes that wait for a reader at most; what doesn't fit is counted.
-MOST_WAITING_BYTES = _KIB * _KIB // 4
-#: Events that come with each run; all others are never summarised.
-FREQUENT = ('run.', 'job.', 'task.', 'request.')
-_SUMMARY_EVERY_S = 1
-_PROCESS_BITS = 24
+#: Maximum size of unwritten lines, in bytes; further lines are dropped.
+MAX_BUFFERED_BYTES = _KIB * _KIB // 4
+#: Prefixes of events that are summarised above the rate limit; others never are.
+FREQUENT_EVENT_PREFIXES = ('run.', 'job.', 'task.', 'request.')
+_SUMMARY_INTERVAL_S = 1
+_PROCESS_ID_BITS = 24
 
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
-class LineWriter:
-    """Writes lines to a descriptor that never blocks."""
+class NonBlockingWriter:
+    """Writes lines to a descriptor without blocking."""
 
     def __init__(self, descriptor: int) -> None:
-        """Take a descriptor over.
+        """Make a descriptor non-blocking and write to it.
 
-        :param descriptor: of the output; it is made non-blocking.
+        :param descriptor: file descriptor of the output.
         """
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._waiting = bytearray()
+        self._buffer = bytearray()
         self.dropped = 0
 
     def write(self, line: bytes) -> bool:
-        """Write a line, or keep it, or count it as dropped.
+        """Write or buffer a line; drop and count it if the buffer is full.
 
-        :param line: with its end.
-        :returns: whether it was written or kept.
+        :param line: line with its line break.
+        :returns: whether it was written or buffered.
         """
         self._flush()
-        kept = len(self._waiting) + len(line) <= MOST_WAITING_BYTES
-        if kept:
-            self._waiting += line
+        accepted = len(self._buffer) + len(line) <= MAX_BUFFERED_BYTES
+        if accepted:
+            self._buffer += line
             self._flush()
         else:
             self.dropped += 1
-        return kept
+        return accepted
 
     def _flush(self) -> None:
         try:
-            written = os.write(self._descriptor, self._waiting)
+            written = os.write(self._descriptor, self._buffer)
         except OSError:
-            # Nobody reads at present, or the reader has gone; what waits is
-            # bounded and what is too much is counted.
+            # The pipe is full or closed; the buffer is bounded.
             return
-        del self._waiting[:written]
+        del self._buffer[:written]
 
 
-class JsonLines(logbook.Handler):
-    """Handler of logbook: one JSON object a line, bounded in rate."""
+class JsonLineHandler(logbook.Handler):
+    """Rate-limited logbook handler that writes one JSON object per line."""
 
-    def __init__(self, settings: Logging, daemon_id: str, writer: LineWriter):
-        """Name the daemon in each line.
+    def __init__(
+        self, settings: Logging, daemon_id: str, writer: NonBlockingWriter
+    ):
+        """Create the handler.
 
-        :param settings: level.
-        :param daemon_id: of this process.
-        :param writer: of the lines.
+        :param settings: logging settings, with the minimum level.
+        :param daemon_id: id of the daemon, written in each line.
+        :param writer: writes the lines.
         """
         super().__init__(level=settings.level.upper())
         self._daemon_id = daemon_id
         self._writer = writer
-        self._process = f'{random.getrandbits(_PROCESS_BITS):06x}'
+        self._process_id = f'{random.getrandbits(_PROCESS_ID_BITS):06x}'
         self._sequence = itertools.count(1)
-        self._second = 0
-        self._lines = 0
+        self._interval = 0
+        self._line_count = 0
         self._count_by_event: collections.Counter[str] = collections.Counter()
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write or count one record.
+        """Write a record, or count it if the rate limit is exceeded.
 
-        :param record: its ``extra`` holds ids and inputs.
+        :param record: record whose ``extra`` becomes keys of the line.
         """
-        second = int(time.monotonic()) // _SUMMARY_EVERY_S
-        if second != self._second:
-            self._summarise()
-            self._second = second
-            self._lines = 0
-        self._lines += 1
-        frequent = record.message.startswith(FREQUENT)
-        if frequent and self._lines > MOST_LINES_PER_S:
+        interval = int(time.monotonic()) // _SUMMARY_INTERVAL_S
+        if interval != self._interval:
+            self._write_summary()
+            self._interval = interval
+            self._line_count = 0
+        self._line_count += 1
+        is_frequent = record.message.startswith(FREQUENT_EVENT_PREFIXES)
+        if is_frequent and self._line_count > MAX_LINES_PER_S:
             self._count_by_event[record.message] += 1
         else:
-            self._writer.write(self._line(record))
+            self._writer.write(self._format_line(record))
 
-    def _summarise(self) -> None:
+    def _write_summary(self) -> None:
         if not self._count_by_event and not self._writer.dropped:
             return
         line = {
@@ -114,22 +113,22 @@
                 timespec='milliseconds'
             ),
             'daemon': self._daemon_id,
-            'process': self._process,
+            'process': self._process_id,
             'sequence': next(self._sequence),
             'event': 'log.summarised',
             'count_by_event': self._count_by_event,
             'dropped': self._writer.dropped,
         }
-        if self._writer.write(_encode(line)):
+        if self._writer.write(_encode_line(line)):
             self._count_by_event = collections.Counter()
             self._writer.dropped = 0
 
-    def _line(self, record: logbook.LogRecord) -> bytes:
+    def _format_line(self, record: logbook.LogRecord) -> bytes:
         line = {
             'time': record.time.isoformat(timespec='milliseconds'),
             'level': record.level_name.lower(),
             'daemon': self._daemon_id,
-            'process': self._process,
+            'process': self._process_id,
             'sequence': next(self._sequence),
             'part': record.channel,
             'event': record.message,
@@ -137,21 +136,21 @@
         }
         if record.exc_info is not None:
             line['exception'] = record.formatted_exception
-        return _encode(line)
+        return _encode_line(line)
 
 
-def _encode(line: dict[str, object]) -> bytes:
+def _encode_line(line: dict[str, object]) -> bytes:
     return b''.join((_encoder.encode(line), b'\n'))
 
 
-def log_lines(
+def make_log_handler(
     settings: Logging, daemon_id: str, descriptor: int
 ) -> logbook.Handler:
-    """Make the handler of a daemon.
+    """Create the log handler of a daemon.
 
-    :param settings: level.
-    :param daemon_id: of this process.
-    :param descriptor: of the output.
+    :param settings: logging settings, with the minimum level.
+    :param daemon_id: id of the daemon, written in each line.
+    :param descriptor: file descriptor of the output.
     :returns: handler that writes JSON lines.
     """
-    return JsonLines(settings, daemon_id, LineWriter(descriptor))
+    return JsonLineHandler(settings, daemon_id, NonBlockingWriter(descriptor))
--- a/waxwingford/scheduler/_readiness.py
+++ b/waxwingford/scheduler/_readiness.py
@@ -1,34 +1,37 @@
-"""Tells whether this daemon takes requests, and gives its metrics."""
+"""HTTP server for readiness probes and metrics."""
 
 from collections.abc import Callable
 
 from aiohttp import web
 
-#: Where metrics are read.
+#: Path of the metrics; any other path is a readiness probe.
 METRICS_PATH = '/metrics'
 _READY = 200
 _NOT_READY = 503
 
 
-class Readiness:
-    """Answers 200 when ready and 503 otherwise; metrics at ``/metrics``."""
+class ReadinessServer:
+    """Answers probes with 200 or 503, and serves metrics at ``/metrics``."""
 
     def __init__(
-        self, missing: Callable[[], str], metrics: Callable[[], str]
+        self,
+        not_ready_reason: Callable[[], str],
+        render_metrics: Callable[[], str],
     ) -> None:
-        """Ask functions.
+        """Create the server; it listens nowhere yet.
 
-        :param missing: says what is missing, empty when ready.
-        :param metrics: writes the metrics in the usual text format.
+        :param not_ready_reason: returns the reason why the daemon is not ready,
+            empty if it is.
+        :param render_metrics: returns the metrics in the Prometheus text format.
         """
-        self._missing = missing
-        self._metrics = metrics
+        self._not_ready_reason = not_ready_reason
+        self._render_metrics = render_metrics
         self._runners: list[web.ServerRunner] = []
 
     async def serve(self, endpoint: str) -> None:
-        """Listen.
+        """Listen on one more endpoint.
 
-        :param endpoint: IP number and port.
+        :param endpoint: IP address and port.
         """
         runner = web.ServerRunner(web.Server(self._answer, access_log=None))
         self._runners.append(runner)
@@ -37,13 +40,13 @@
         await web.TCPSite(runner, host, int(port)).start()
 
     async def close(self) -> None:
-        """Stop listening."""
+        """Stop listening on all endpoints."""
         for runner in self._runners:
             await runner.cleanup()
 
     async def _answer(self, request: web.BaseRequest) -> web.Response:
         if request.path == METRICS_PATH:
-            return web.Response(text=self._metrics())
-        missing = self._missing()
-        status = _NOT_READY if missing else _READY
-        return web.Response(status=status, text=missing)
+            return web.Response(text=self._render_metrics())
+        not_ready_reason = self._not_ready_reason()
+        status = _NOT_READY if not_ready_reason else _READY
+        return web.Response(status=status, text=not_ready_reason)
--- a/waxwingford/scheduler/main.py
+++ b/waxwingford/scheduler/main.py
@@ -8,7 +8,7 @@
 import uvloop
 
 from waxwingford.scheduler._daemon import SchedulerDaemon
-from waxwingford.scheduler._logs import log_lines
+from waxwingford.scheduler._logs import make_log_handler
 from waxwingford.settings import (
     SchedulerSettings,
     SettingsInvalid,
@@ -16,16 +16,17 @@
 )
 
 EXIT_BAD_SETTINGS = 2
-#: Objects made before the garbage collector looks for cycles: few are made
-#: here, and the default of 700 is reached with each read of the store.
-COLLECT_EVERY = 20_000
+#: Allocations between collections of the youngest generation. The daemon
+#: creates few reference cycles, and each read of the store exceeds the default.
+GC_THRESHOLD = 20_000
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Check the settings, then run until stopped.
+    """Load the settings, then run the daemon until it is stopped.
 
-    :param argv: arguments, those of the process by default.
-    :returns: 0 after a planned stop, 2 for bad settings.
+    :param argv: command-line arguments, those of the process by default.
+    :returns: exit status: 0 after the daemon has stopped, 2 for invalid
+        settings.
     """
     options = _parser().parse_args(argv)
     loaded = load_scheduler_settings(options.settings)
@@ -33,8 +34,8 @@
         for problem in loaded.problems:
             sys.stderr.write(f'{problem}\n')
         return EXIT_BAD_SETTINGS
-    _spare_collector()
-    with log_lines(
+    _configure_gc()
+    with make_log_handler(
         loaded.logging, loaded.identity.daemon_id, sys.stdout.fileno()
     ).applicationbound():
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -42,15 +43,12 @@
     return 0
 
 
-def _spare_collector() -> None:
-    """Take what was imported out of the garbage collector's rounds.
-
-    It never becomes garbage, and each full round over it stops the daemon for
-    some ms of a small VM's processor.
-    """
+def _configure_gc() -> None:
+    # Exclude imported objects from full collections: they are never freed, and
+    # scanning them pauses the daemon for milliseconds.
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_EVERY)
+    gc.set_threshold(GC_THRESHOLD)
 
 
 async def _run(settings: SchedulerSettings) -> None:
@@ -60,19 +58,19 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog='waxwingford-schedulerd',
-        description='Scheduler daemon: takes jobs, owns shards, stands by.',
+        description='Scheduler daemon: accepts jobs, and owns the shard or stands by.',
     )
     parser.add_argument(
         '--settings',
         required=True,
         metavar='FILE',
-        help='settings of this daemon, TOML',
+        help='settings of this daemon in TOML format',
     )
     return parser
 
 
 def run_and_exit() -> None:
-    """Run the daemon and exit with its code."""
+    """Run the daemon and exit with its status."""
     sys.exit(main())
 
 
--- a/waxwingford/scheduler/tests/daemon_steps.py
+++ b/waxwingford/scheduler/tests/daemon_steps.py
@@ -43,7 +43,7 @@
 
 def hear(context):
     async def _hear():
-        context.daemon.take_terms(TERMS)
+        context.daemon.apply_terms(TERMS)
         context.heard_s = context.loop.time()
 
     context.loop.run_until_complete(_hear())
@@ -58,7 +58,7 @@
     async def _silent():
         while context.loop.time() - context.heard_s < span_s:
             await asyncio.sleep(READ_EVERY_S)
-            context.daemon.miss_terms()
+            context.daemon.record_failed_read()
 
     context.loop.run_until_complete(_silent())
 
@@ -87,4 +87,6 @@
 
 @then('the daemon isn\'t ready as "{reason}"')
 def not_ready(context, reason):
-    assert context.daemon.missing() == reason, context.daemon.missing()
+    assert context.daemon.not_ready_reason() == reason, (
+        context.daemon.not_ready_reason()
+    )
--- a/waxwingford/scheduler/tests/logs_steps.py
+++ b/waxwingford/scheduler/tests/logs_steps.py
@@ -51,7 +51,7 @@
     context.now = context.clock.start()
     context.now.return_value = 100
     context.add_cleanup(context.clock.stop)
-    context.handler = _logs.log_lines(Logging(), 'd1', writer)
+    context.handler = _logs.make_log_handler(Logging(), 'd1', writer)
     context.handler.push_application()
     context.add_cleanup(context.handler.pop_application)
 
@@ -128,7 +128,7 @@
 @then('a summary counts the other events "{event}"')
 def summary(context, event):
     counts = context.lines[0]['count_by_event']
-    assert counts[event] == 2000 - _logs.MOST_LINES_PER_S, counts
+    assert counts[event] == 2000 - _logs.MAX_LINES_PER_S, counts
 
 
 @given('the template of the settings, filled in')
