--- a/waxwingford/platform/tests/adapter.feature
+++ b/waxwingford/platform/tests/adapter.feature
@@ -1,13 +1,13 @@
-Feature: the adapter translates names, formats and calls
+Feature: the adapter translates names, formats and requests
 
-  Scenario: records go to the store and come back
-    Given a store and a worker on loopback
+  Scenario: records are appended and read back
+    Given a fake platform on loopback
     When records of two keys are appended under an epoch
     Then they are read back in order
     And the newest record of each key is read
 
-  Scenario Outline: what the store answers to an append
-    Given a store and a worker on loopback
+  Scenario Outline: outcome of an append by response
+    Given a fake platform on loopback
     When the store answers <status> with <body>
     Then the append's outcome is "<outcome>"
 
@@ -21,19 +21,18 @@
       | 503    | {}                            | StoreRefused     |
       | 500    | {}                            | StoreUnknown     |
 
-  Scenario: nobody listens at the store
-    Given an address at which nobody listens
+  Scenario: the store accepts no connection
+    Given an address without a listener
     Then the append's outcome is "StoreRefused"
 
-  Scenario: the store never answers
-    # Symptom: a daemon stands still although other connections work.
-    # Sequence: a connection goes silent for good, without a reset.
-    # Cause: waiting for an answer without a limit.
-    Given a store that never answers
+  Scenario: the store never responds
+    # Guards against waiting without a timeout for a connection that has gone
+    # silent without a reset.
+    Given a store that never responds
     Then the append's outcome is "StoreUnknown"
 
-  Scenario Outline: what a worker answers to a start
-    Given a store and a worker on loopback
+  Scenario Outline: outcome of a start by response
+    Given a fake platform on loopback
     When the worker answers <status> with <body>
     Then the start's outcome is "<outcome>"
 
@@ -49,56 +48,47 @@
       | 400    | {}                               | OrderDenied(denial=invalid)         |
       | 200    | not JSON                         | OrderUnknown(reason='response not decoded) |
 
-  Scenario Outline: what is known of a start that has no answer
-    # Symptom: a task stands still for 5 s and more though nothing can run.
-    # Sequence: a server leaves or loses power while it is idle, and a start is
-    # meant for it; no connection can be opened.
-    # Cause: taking a start of which not a byte was sent for one that may be
-    # carried out. The reverse is worse, a task that runs in two places at once:
-    # once a request was written, nothing that happens later proves anything.
-    Given a worker that <fate>
-    Then a start is known as "<outcome>", and <requests> starts have come to it
+  Scenario Outline: outcome of a start without a response
+    # Guards against delaying a task whose start was never sent, and against
+    # running it twice after a start that the worker may have received.
+    Given a worker that <fault>
+    Then a start ends as "<outcome>", and the worker has received <requests> starts
 
     Examples:
-      | fate                                      | outcome      | requests |
-      | nobody runs any more                      | OrderNotSent | 0        |
-      | lets connections hang                     | OrderNotSent | 0        |
-      | leaves after an earlier call              | OrderNotSent | 0        |
-      | resets a kept connection and leaves       | OrderUnknown | 1        |
-      | resets a new connection and leaves        | OrderUnknown | 1        |
-      | never answers                             | OrderUnknown | 1        |
-      | sends callers on to where nobody listens  | OrderUnknown | 1        |
-
-  Scenario Outline: a connection that breaks is told from an answer that is slow
-    # Guards against taking a slow server for one that has just crashed.
-    Given a worker that <fate>
-    Then the connection of a start is known to have <been>
+      | fault                                      | outcome      | requests |
+      | has stopped                                | OrderNotSent | 0        |
+      | accepts no connections                     | OrderNotSent | 0        |
+      | stops after an earlier request             | OrderNotSent | 0        |
+      | resets a reused connection and stops       | OrderUnknown | 1        |
+      | resets a new connection and stops          | OrderUnknown | 1        |
+      | never responds                             | OrderUnknown | 1        |
+      | redirects to an address without a listener | OrderUnknown | 1        |
+
+  Scenario Outline: a broken connection is distinguished from a timeout
+    # Guards against treating a slow server as one that has crashed.
+    Given a worker that <fault>
+    Then a start reports its connection as <state>
 
     Examples:
-      | fate                                | been   |
-      | resets a kept connection and leaves | broken |
-      | resets a new connection and leaves  | broken |
-      | never answers                       | held   |
-
-  Scenario: the store sends callers on to where nobody listens
-    # Symptom: a job is refused, and runs all the same.
-    # Sequence: a call is answered with another address, which can't be reached.
-    # Cause: taking a failed connection to the second address for a proof that
-    # nothing was sent to the first.
-    Given a store and a worker on loopback
-    When the store sends callers on to where nobody listens
+      | fault                                | state  |
+      | resets a reused connection and stops | broken |
+      | resets a new connection and stops    | broken |
+      | never responds                       | open   |
+
+  Scenario: the store redirects to an unreachable address
+    # Guards against rejecting a job that the first address may have stored.
+    Given a fake platform on loopback
+    When the store redirects to an address without a listener
     Then the append's outcome is "StoreUnknown"
 
-  Scenario: a look at a worker
-    Given a store and a worker on loopback
+  Scenario: poll of a worker
+    Given a fake platform on loopback
     When the worker answers 200 with {"clock-ms":9,"running":[["00000000000000aa.0.1.2",3,"c1",41,12]],"ended-runs":[[5,"00000000000000aa.0.1.1",1,"done",""]]}
-    Then the look lists a run and an end
+    Then a poll returns a running and an ended run
 
-  Scenario Outline: what the advice service answers
-    # Symptom: the shard changes hands with each question.
-    # Sequence: the service answers with something that can't be read.
-    # Cause: an error of the decoder that nobody takes ends the owner.
-    Given a store and a worker on loopback
+  Scenario Outline: outcome of an advice request by response
+    # Guards against an unhandled decoding error that ends the ownership.
+    Given a fake platform on loopback
     When the store answers <status> with <body>
     Then the advice is "<outcome>"
 
@@ -109,20 +99,20 @@
       | 200    | {"eligible":[["i-1"]]}                      | NotAdvised |
       | 429    | {}                                          | NotAdvised |
 
-  Scenario: a registration names its rack
+  Scenario: rack of a worker
     When a worker registers with the labels "ram r1-3 gpu"
     Then its rack is "r1-3"
     When a worker registers with the labels "ram"
     Then its rack is ""
 
-  Scenario: a submission
+  Scenario: fields of a submission
     When a submission with all fields is decoded
-    Then its step says all of it
+    Then its step has all fields
 
   Scenario Outline: requests of clients
-    Given an entry with one queue, whose desk knows nothing
+    Given a client API with one queue and no jobs
     When a client sends <method> to <path> with "<body>"
-    Then the client is answered <status>
+    Then the client gets status <status>
 
     Examples:
       | method | path                     | body                   | status |
@@ -135,8 +125,8 @@
       | GET    | /q/                      |                        | 200    |
       | PUT    | /q/00000000000000aa      |                        | 405    |
 
-  Scenario: a client before there is a configuration
-    Given an entry without a configuration
+  Scenario: a request before a configuration was read
+    Given a client API without a configuration
     When a client sends GET to /q/ with ""
-    Then the client is answered 503
-    And is told when to come back
+    Then the client gets status 503
+    And the response says when to retry
--- a/waxwingford/platform/tests/adapter_steps.py
+++ b/waxwingford/platform/tests/adapter_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the adapter, against stand-ins on loopback."""
+"""Steps for the adapter, against a fake platform on loopback."""
 
 import asyncio
 import base64
@@ -49,22 +49,22 @@
 }
 
 
-class StandIn:
-    """Store and worker in one, with one partition a topic."""
+class FakePlatform:
+    """HTTP server that acts as the store, the workers and the advice service."""
 
     def __init__(self):
         self.records = []
-        self.fixed = None
-        self.moved_to = ''
+        self.fixed_response = None
+        self.redirect_url = ''
         self.queries = []
 
-    async def answer(self, request):
+    async def handle(self, request):
         self.queries.append(dict(request.query))
-        if self.fixed is not None:
-            status, body = self.fixed
+        if self.fixed_response is not None:
+            status, body = self.fixed_response
             return web.Response(status=status, text=body)
-        if self.moved_to:
-            raise web.HTTPTemporaryRedirect(self.moved_to)
+        if self.redirect_url:
+            raise web.HTTPTemporaryRedirect(self.redirect_url)
         match request.path:
             case '/api/log-append':
                 return await self.append(request)
@@ -75,17 +75,19 @@
 
     async def append(self, request):
         raw = await request.read()
-        place = 0
-        while place < len(raw):
-            length = LENGTH.unpack_from(raw, place)[0]
-            place += LENGTH.size
-            self.records.append(raw[place : place + length])
-            place += length
+        position = 0
+        while position < len(raw):
+            length = LENGTH.unpack_from(raw, position)[0]
+            position += LENGTH.size
+            self.records.append(raw[position : position + length])
+            position += length
         return web.json_response({'offset': 0, 'end': len(self.records)})
 
-    def read(self, first):
+    def read(self, first_offset):
         head = struct.pack('>QQ', len(self.records), 0)
-        rows = [LENGTH.pack(len(row)) + row for row in self.records[first:]]
+        rows = [
+            LENGTH.pack(len(row)) + row for row in self.records[first_offset:]
+        ]
         return web.Response(body=head + b''.join(rows))
 
     def newest(self):
@@ -103,7 +105,7 @@
         )
 
 
-async def serve(handler, work):
+async def run_with_server(handler, action):
     runner = web.ServerRunner(web.Server(handler))
     await runner.setup()
     site = web.TCPSite(runner, HOST, 0)
@@ -111,52 +113,52 @@
     port = runner.addresses[0][1]
     http_client = HttpClient()
     try:
-        return await work(http_client, f'{HOST}:{port}')
+        return await action(http_client, f'{HOST}:{port}')
     finally:
         await http_client.close()
         await runner.cleanup()
 
 
-@given('a store and a worker on loopback')
-def stand_in(context):
-    context.stand_in = StandIn()
+@given('a fake platform on loopback')
+def create_fake_platform(context):
+    context.fake_platform = FakePlatform()
     context.address = None
 
 
-def deserted():
+def unused_address():
     with socket.create_server((HOST, 0)) as listener:
         return f'{HOST}:{listener.getsockname()[1]}'
 
 
-@given('an address at which nobody listens')
-def nobody(context):
-    context.address = deserted()
+@given('an address without a listener')
+def use_unused_address(context):
+    context.address = unused_address()
 
 
-@given('a store that never answers')
-def silent(context):
+@given('a store that never responds')
+def start_silent_store(context):
     listener = socket.create_server((HOST, 0))
     context.add_cleanup(listener.close)
     context.address = f'{HOST}:{listener.getsockname()[1]}'
 
 
-def on_store(context, act):
-    async def _work(http_client, address):
-        return await act(
+def call_store(context, action):
+    async def _call(http_client, address):
+        return await action(
             _store.PlatformLog(http_client, context.address or address)
         )
 
     if context.address is None:
-        return asyncio.run(serve(context.stand_in.answer, _work))
+        return asyncio.run(run_with_server(context.fake_platform.handle, _call))
 
-    async def _alone():
+    async def _call_without_server():
         http_client = HttpClient()
         try:
-            return await _work(http_client, context.address)
+            return await _call(http_client, context.address)
         finally:
             await http_client.close()
 
-    return asyncio.run(_alone())
+    return asyncio.run(_call_without_server())
 
 
 def append(log):
@@ -165,92 +167,100 @@
 
 
 @when('records of two keys are appended under an epoch')
-def append_two(context):
-    async def _work(log):
+def append_records(context):
+    async def _call(log):
         await append(log)
         await log.append('journal', (KeyedRecord('a', b'3'),))
         read = await log.read('journal', 1, 0)
         return read, await log.newest('journal', '')
 
-    found = on_store(context, _work)
-    context.read = found[0]
-    context.newest = found[1]
+    result = call_store(context, _call)
+    context.read = result[0]
+    context.newest = result[1]
 
 
 @then('they are read back in order')
-def read_back(context):
+def check_records_read(context):
     rows = [tuple(row) for row in context.read.records]
     assert rows == [(1, 'b', b'2'), (2, 'a', b'3')], rows
     assert context.read.next_offset == 3
-    query = context.stand_in.queries[0]
+    query = context.fake_platform.queries[0]
     assert query['epoch'] == '7' and query['topic'] == 'keyed.journal', query
 
 
 @then('the newest record of each key is read')
-def newest_read(context):
+def check_newest_read(context):
     rows = sorted(tuple(row) for row in context.newest.records)
     assert rows == [(1, 'b', b'2'), (2, 'a', b'3')], rows
 
 
 @when('the store answers {status:d} with {body}')
 @when('the worker answers {status:d} with {body}')
-def fixed_answer(context, status, body):
-    context.stand_in.fixed = (status, body)
+def set_fixed_response(context, status, body):
+    context.fake_platform.fixed_response = (status, body)
 
 
-@when('the store sends callers on to where nobody listens')
-def moved_store(context):
-    context.stand_in.moved_to = f'http://{deserted()}/'
+@when('the store redirects to an address without a listener')
+def set_redirect(context):
+    context.fake_platform.redirect_url = f'http://{unused_address()}/'
 
 
 @then('the append\'s outcome is "{name}"')
-def append_outcome(context, name):
-    before = _store.APPEND_TIMEOUT_S
+def check_append_outcome(context, name):
+    timeout_s = _store.APPEND_TIMEOUT_S
     _store.APPEND_TIMEOUT_S = 0.3
     try:
-        outcome = on_store(context, append)
+        outcome = call_store(context, append)
     finally:
-        _store.APPEND_TIMEOUT_S = before
+        _store.APPEND_TIMEOUT_S = timeout_s
     assert type(outcome).__name__ == name, outcome
 
 
-def on_worker(context, act):
-    async def _work(http_client, address):
-        return await act(PlatformWorkers(http_client), Address('i-1', address))
+def call_worker(context, action):
+    async def _call(http_client, address):
+        return await action(
+            PlatformWorkers(http_client), Address('i-1', address)
+        )
 
-    return asyncio.run(serve(context.stand_in.answer, _work))
+    return asyncio.run(run_with_server(context.fake_platform.handle, _call))
 
 
 @then('the start\'s outcome is "{text}"')
-def start_outcome(context, text):
+def check_start_outcome(context, text):
     order = StartOrder(RUN, 'payload', 100, 7)
-    found = on_worker(context, lambda way, where: way.start(where, order))
-    shown = repr(found).replace('<Denial.', '').split(':')[0]
-    shown = shown if shown.endswith(')') else f'{shown})'
-    assert shown == text, (shown, text)
-
-
-@then('the look lists a run and an end')
-def looked(context):
+    result = call_worker(
+        context, lambda workers, address: workers.start(address, order)
+    )
+    outcome_text = repr(result).replace('<Denial.', '').split(':')[0]
+    outcome_text = (
+        outcome_text if outcome_text.endswith(')') else f'{outcome_text})'
+    )
+    assert outcome_text == text, (outcome_text, text)
+
+
+@then('a poll returns a running and an ended run')
+def check_poll(context):
     order = LookOrder(7, 4, 100, 0)
-    found = on_worker(context, lambda way, where: way.look(where, order))
-    assert found.running[0].run == RUN
-    assert found.running[0].figure == 12
-    assert found.ended[0].kind is EndKind.done
-    assert found.clock_ms == 9
+    result = call_worker(
+        context, lambda workers, address: workers.look(address, order)
+    )
+    assert result.running[0].run == RUN
+    assert result.running[0].figure == 12
+    assert result.ended[0].kind is EndKind.done
+    assert result.clock_ms == 9
 
 
 @then('the advice is "{name}"')
-def advice(context, name):
-    async def _work(http_client, address):
+def check_advice(context, name):
+    async def _call(http_client, address):
         return await AdviceClient(http_client, address).advise('s', ('i-1',))
 
-    found = asyncio.run(serve(context.stand_in.answer, _work))
-    assert type(found).__name__ == name, found
+    result = asyncio.run(run_with_server(context.fake_platform.handle, _call))
+    assert type(result).__name__ == name, result
 
 
 @when('a worker registers with the labels "{labels}"')
-def register(context, labels):
+def register_worker(context, labels):
     body = {
         'service': 's',
         'address': '127.0.0.1:1',
@@ -265,12 +275,12 @@
 
 @then('its rack is "{rack}"')
 @then('its rack is ""')
-def rack_is(context, rack=''):
+def check_rack(context, rack=''):
     assert context.registration.rack == rack, context.registration
 
 
 @when('a submission with all fields is decoded')
-def decode(context):
+def decode_full_submission(context):
     step = {
         'count': 2,
         'cpu': 500,
@@ -302,8 +312,8 @@
     context.submission = decode_submission(json.dumps(body).encode())
 
 
-@then('its step says all of it')
-def decoded(context):
+@then('its step has all fields')
+def check_step(context):
     step = context.submission.step_specs()[0]
     assert step.needs == (500, 64, 1)
     assert (step.count, step.estimate_ms, step.label) == (2, 9, 'l')
--- a/waxwingford/platform/tests/foreign.feature
+++ b/waxwingford/platform/tests/foreign.feature
@@ -1,66 +1,67 @@
-Feature: entries and answers that others write, in a form that isn't known
+Feature: invalid records and responses are skipped or rejected
 
-  Scenario Outline: a registration of another writer names no server
-    # Guards against starts on a server that nobody offers, and an owner that ends.
+  Scenario Outline: an invalid registration is skipped
+    # Guards against placing tasks on a server with an invalid registration, and
+    # against a decoding error that ends the ownership.
     Given registrations of two servers, one of which <form>
-    When they are read
-    Then only the other one is named
-    And one line tells of a registration that was not read
+    When the registrations are read
+    Then only the other registration is returned
+    And one invalid registration is logged
 
     Examples:
       | form                                       |
       | has no service                             |
-      | has a number for its service               |
+      | has a number as service                    |
       | has no address                             |
       | has an address without a port              |
       | has an address with a port of 99999        |
       | has no state                               |
       | has the state "resting"                    |
       | has no capacity                            |
-      | has a capacity of text                     |
-      | has less than no memory                    |
-      | has labels of numbers                      |
-      | is cut short                               |
+      | has a text as capacity                     |
+      | has negative memory                        |
+      | has numbers as labels                      |
+      | is truncated                               |
       | is a list                                  |
-      | isn't text                                 |
+      | is invalid UTF-8                           |
 
-  Scenario: a registration that can't be read is told of seldom
-    # Guards against logs that fill up with one entry that stands there for hours.
+  Scenario: log lines about an invalid registration are bounded
+    # Guards against a log flooded by a single invalid registration.
     Given registrations of two servers, one of which has no state
-    When they are read 500 times
-    Then one line tells of a registration that was not read
-    When that one is written 500 times more, each time another way
-    Then 5 to 12 lines tell of a registration that was not read
+    When the registrations are read 500 times
+    Then one invalid registration is logged
+    When the invalid one is rewritten 500 times, each time in another form
+    Then 5 to 12 invalid registrations are logged
 
-  Scenario: a registration that can be read again
+  Scenario: a registration becomes valid again
     Given registrations of two servers, one of which has no state
-    When they are read
-    And that one is mended
-    Then both are named
+    When the registrations are read
+    And the invalid one is replaced by a valid one
+    Then both registrations are returned
 
-  Scenario: registrations of any content
-    # Guards against an error that ends the ownership, whatever others write.
-    Then mutated registrations name a whole server or none, and raise nothing
+  Scenario: mutated registrations
+    # Guards against an unhandled decoding error that ends the ownership.
+    Then each mutated registration is decoded completely or skipped
 
-  Scenario: answers of servers of any content
-    # Guards against an error that ends the ownership, whatever a server answers.
-    Then mutated answers to a look are whole or not understood, and raise nothing
+  Scenario: mutated responses of workers
+    # Guards against an unhandled decoding error that ends the ownership.
+    Then each mutated response to a poll is decoded completely or rejected
 
-  Scenario: a configuration that can't be read is told of once
-    # Guards against logs that fill up, and a configuration in force that is given up.
-    Given a store whose configuration can be read
-    When it is followed by one that can't be read, for 3 s
-    Then the former one is in force
-    And one line tells of a configuration that was not read
+  Scenario: an invalid configuration is logged once and not applied
+    # Guards against losing the valid configuration, and against a flooded log.
+    Given a store with a valid configuration
+    When an invalid configuration follows, for 3 s
+    Then the previous configuration stays in force
+    And one invalid configuration is logged
 
-  Scenario Outline: a record with a key that can't be read
-    # Guards against a topic that can't be followed any more, for one record in it.
-    Given a store with a record that has <key>, and a sound one behind it
-    When the topic is read
-    Then the sound one is read, at its offset
+  Scenario Outline: a record with an invalid key
+    # Guards against one malformed record that blocks the reading of its topic.
+    Given a store with a record that has <key>, followed by a valid one
+    When the topic is read from its start
+    Then the valid record is returned with its offset
 
     Examples:
-      | key                   |
-      | no key                |
-      | nothing at all        |
-      | a key that isn't text |
+      | key                    |
+      | no key                 |
+      | no bytes               |
+      | a key of invalid UTF-8 |
--- a/waxwingford/platform/tests/foreign_steps.py
+++ b/waxwingford/platform/tests/foreign_steps.py
@@ -1,4 +1,4 @@
-"""Steps for entries and answers that others write."""
+"""Steps for invalid input from the store, workers and other writers."""
 
 import asyncio
 import copy
@@ -53,49 +53,53 @@
     return json.dumps(content).encode()
 
 
-def without(name):
+def registration_without(name):
     return encode({key: ENTRY[key] for key in ENTRY if key != name})
 
 
-def changed(**fields):
+def registration_with(**fields):
     return encode({**ENTRY, **fields})
 
 
-def capacity(name, amount):
-    return changed(capacity={**ENTRY['capacity'], name: amount})
+def registration_with_capacity(name, amount):
+    return registration_with(capacity={**ENTRY['capacity'], name: amount})
 
 
 RAW_BY_FORM = {
-    'has no service': without('service'),
-    'has a number for its service': changed(service=7),
-    'has no address': without('address'),
-    'has an address without a port': changed(address='10.1.0.1'),
-    'has an address with a port of 99999': changed(address='10.1.0.1:99999'),
-    'has no state': without('state'),
-    'has the state "resting"': changed(state='resting'),
-    'has no capacity': without('capacity'),
-    'has a capacity of text': capacity('cpu', 'much'),
-    'has less than no memory': capacity('mem-mb', -1),
-    'has labels of numbers': changed(labels=[1, 2]),
-    'is cut short': encode(ENTRY)[:-9],
+    'has no service': registration_without('service'),
+    'has a number as service': registration_with(service=7),
+    'has no address': registration_without('address'),
+    'has an address without a port': registration_with(address='10.1.0.1'),
+    'has an address with a port of 99999': registration_with(
+        address='10.1.0.1:99999'
+    ),
+    'has no state': registration_without('state'),
+    'has the state "resting"': registration_with(state='resting'),
+    'has no capacity': registration_without('capacity'),
+    'has a text as capacity': registration_with_capacity('cpu', 'much'),
+    'has negative memory': registration_with_capacity('mem-mb', -1),
+    'has numbers as labels': registration_with(labels=[1, 2]),
+    'is truncated': encode(ENTRY)[:-9],
     'is a list': encode([ENTRY]),
-    "isn't text": encode(ENTRY).replace(b'ready', b'\xff\xfe'),
+    'is invalid UTF-8': encode(ENTRY).replace(b'ready', b'\xff\xfe'),
 }
 
 
-def keep_lines(context):
+def capture_log(context):
     context.handler = logbook.TestHandler()
     context.handler.push_application()
     context.add_cleanup(context.handler.pop_application)
 
 
-def lines_about(context, event):
-    return [one for one in context.handler.records if one.message == event]
+def lines_of_event(context, event):
+    return [
+        record for record in context.handler.records if record.message == event
+    ]
 
 
 @given('registrations of two servers, one of which {form}')
-def two_registrations(context, form):
-    keep_lines(context)
+def create_registrations(context, form):
+    capture_log(context)
     context.registrations = Registrations()
     context.raw_by_id = {
         OTHER_ID: encode(ENTRY),
@@ -103,96 +107,96 @@
     }
 
 
-@when('they are read')
-@when('they are read {times:d} times')
-def read(context, times=1):
-    for _ in range(times):
+@when('the registrations are read')
+@when('the registrations are read {count:d} times')
+def read(context, count=1):
+    for _ in range(count):
         context.entries = context.registrations.read(context.raw_by_id)
 
 
-@when('that one is written {times:d} times more, each time another way')
-def write_more(context, times):
-    for number in range(times):
+@when('the invalid one is rewritten {count:d} times, each time in another form')
+def write_invalid_forms(context, count):
+    for number in range(count):
         context.raw_by_id[FOREIGN_ID] = encode({'number': number})
         read(context)
 
 
-@when('that one is mended')
-def mend(context):
+@when('the invalid one is replaced by a valid one')
+def restore_registration(context):
     context.raw_by_id[FOREIGN_ID] = encode(ENTRY)
     read(context)
 
 
-@then('only the other one is named')
-def other_named(context):
-    assert [one.server_id for one in context.entries] == [OTHER_ID]
+@then('only the other registration is returned')
+def check_other_server(context):
+    assert [record.server_id for record in context.entries] == [OTHER_ID]
 
 
-@then('both are named')
-def both_named(context):
-    ids = [one.server_id for one in context.entries]
-    assert ids == [OTHER_ID, FOREIGN_ID], ids
+@then('both registrations are returned')
+def check_both_servers(context):
+    server_ids = [record.server_id for record in context.entries]
+    assert server_ids == [OTHER_ID, FOREIGN_ID], server_ids
 
 
-@then('one line tells of a {kind} that was not read')
-def one_line(context, kind):
-    assert len(lines_about(context, f'{kind} not read')) == 1
+@then('one invalid {kind} is logged')
+def check_one_line(context, kind):
+    assert len(lines_of_event(context, f'{kind} not read')) == 1
 
 
-@then('{least:d} to {most:d} lines tell of a registration that was not read')
-def some_lines(context, least, most):
-    count = len(lines_about(context, 'registration not read'))
+@then('{least:d} to {most:d} invalid registrations are logged')
+def check_line_count(context, least, most):
+    count = len(lines_of_event(context, 'registration not read'))
     assert least <= count <= most, count
 
 
-def places(content, path=()):
-    """List the paths of all values in a JSON document."""
+def paths_of(content, path=()):
+    """Yield the path of each value in a JSON document."""
     yield path
     if isinstance(content, dict):
         for key in content:
-            yield from places(content[key], (*path, key))
+            yield from paths_of(content[key], (*path, key))
     if isinstance(content, list):
         for index, value in enumerate(content):
-            yield from places(value, (*path, index))
+            yield from paths_of(value, (*path, index))
 
 
 def mutations_of(content):
-    """Draw documents with some values replaced or dropped, or cut short."""
-    change = strategies.tuples(
-        strategies.sampled_from(list(places(content))),
+    """Draw documents with replaced or deleted values, some of them truncated."""
+    mutation = strategies.tuples(
+        strategies.sampled_from(list(paths_of(content))),
         strategies.sampled_from((*PLACEHOLDERS, 'drop')),
     )
     return strategies.tuples(
-        strategies.lists(change, min_size=1, max_size=3),
+        strategies.lists(mutation, min_size=1, max_size=3),
         strategies.sampled_from((0, 0, 0, 1, 10)),
-    ).map(lambda drawn_one: mutated(content, *drawn_one))
+    ).map(lambda drawn_mutations: apply_mutations(content, *drawn_mutations))
 
 
-def mutated(content, changes, cut):
-    found = {'': copy.deepcopy(content)}
-    for path, value in changes:
-        replace(found, ('', *path), value)
-    raw = encode(found.get(''))
-    return raw[:-cut] if cut else raw
+def apply_mutations(content, mutations, cut_bytes):
+    documents = {'': copy.deepcopy(content)}
+    for path, value in mutations:
+        replace_value(documents, ('', *path), value)
+    raw = encode(documents.get(''))
+    return raw[:-cut_bytes] if cut_bytes else raw
 
 
-def replace(holder, path, value):
-    *parents, last = path
+def replace_value(document, path, value):
+    *parents, last_key = path
     try:
         for part in parents:
-            holder = holder[part]
+            document = document[part]
         if value == 'drop':
-            del holder[last]
+            del document[last_key]
         else:
-            holder[last] = copy.deepcopy(value)
+            document[last_key] = copy.deepcopy(value)
     except (LookupError, TypeError):
-        # An earlier change has taken this place away.
+        # An earlier mutation has removed this path.
         return
 
 
-@then('mutated registrations name a whole server or none, and raise nothing')
+@then('each mutated registration is decoded completely or skipped')
 def registrations_of_any_content(context):
-    keep_lines(context)
+    capture_log(context)
 
     @settings(max_examples=MOST_DRAWS)
     @drawn(mutations_of(ENTRY))
@@ -218,7 +222,7 @@
 
 
 class FixedAnswer:
-    """Calls that are all answered alike."""
+    """HTTP client that returns the same response to each request."""
 
     def __init__(self, body):
         self._body = body
@@ -230,9 +234,7 @@
         return HttpResponse(200, self._body)
 
 
-@then(
-    'mutated answers to a look are whole or not understood, and raise nothing'
-)
+@then('each mutated response to a poll is decoded completely or rejected')
 def answers_of_any_content(context):
     @settings(max_examples=MOST_DRAWS)
     @drawn(mutations_of(LOOK))
@@ -265,8 +267,8 @@
     assert report.run.task.job_id, report
 
 
-class FixedStore:
-    """Log whose configuration a test writes."""
+class FakeLog:
+    """Shared log that holds configurations written by a test."""
 
     def __init__(self):
         self.records = []
@@ -279,30 +281,30 @@
 
     async def read(self, topic, from_offset, wait_ms):
         await asyncio.sleep(wait_ms / 1000)
-        found = tuple(self.records[from_offset:])
-        return RecordsRead(found, len(self.records), len(self.records))
+        records = tuple(self.records[from_offset:])
+        return RecordsRead(records, len(self.records), len(self.records))
 
 
-class FixedEntry:
+class FakeClientApi:
     configuration = None
 
 
-@given('a store whose configuration can be read')
-def readable_configuration(context):
-    keep_lines(context)
-    context.store = FixedStore()
+@given('a store with a valid configuration')
+def create_store(context):
+    capture_log(context)
+    context.store = FakeLog()
     context.store.write(encode(CONFIGURATION))
 
 
-@when("it is followed by one that can't be read, for {span_s:d} s")
-def unreadable_configuration(context, span_s):
+@when('an invalid configuration follows, for {span_s:d} s')
+def follow_invalid_configuration(context, span_s):
     context.versions = []
 
     async def follow():
         platform = UsersPlatform('127.0.0.1:1', '')
         platform.log = context.store
-        platform._client_api = FixedEntry()
-        following = asyncio.create_task(
+        platform._client_api = FakeClientApi()
+        task = asyncio.create_task(
             platform.follow_terms(
                 lambda terms: context.versions.append(terms.version),
                 lambda: None,
@@ -311,39 +313,39 @@
         await asyncio.sleep(0.1)
         context.store.write(b'{"version": "four"}')
         await asyncio.sleep(span_s)
-        following.cancel()
+        task.cancel()
 
     asyncio.run(follow())
 
 
-@then('the former one is in force')
-def former_in_force(context):
+@then('the previous configuration stays in force')
+def check_versions(context):
     assert set(context.versions) == {CONFIGURATION['version']}
 
 
 BODY_BY_KEY = {
     'no key': b'\x00content',
-    'nothing at all': b'',
-    "a key that isn't text": b'\x02\xff\xfecontent',
+    'no bytes': b'',
+    'a key of invalid UTF-8': b'\x02\xff\xfecontent',
 }
 
 
-@given('a store with a record that has {key}, and a sound one behind it')
-def strange_key(context, key):
-    keep_lines(context)
+@given('a store with a record that has {key}, followed by a valid one')
+def create_invalid_record(context, key):
+    capture_log(context)
     bodies = (BODY_BY_KEY[key], b'\x01kcontent')
     framed = [len(body).to_bytes(4, 'big') + body for body in bodies]
-    head = (2).to_bytes(8, 'big') + (0).to_bytes(8, 'big')
-    context.body = head + b''.join(framed)
+    header = (2).to_bytes(8, 'big') + (0).to_bytes(8, 'big')
+    context.body = header + b''.join(framed)
 
 
-@when('the topic is read')
+@when('the topic is read from its start')
 def read_topic(context):
     log = PlatformLog(FixedAnswer(context.body), 'x:1')
     context.read = asyncio.run(log.read('servers', 0, 0))
 
 
-@then('the sound one is read, at its offset')
-def sound_one_read(context):
+@then('the valid record is returned with its offset')
+def check_valid_record(context):
     assert isinstance(context.read, RecordsRead), context.read
     assert context.read.records[-1] == StoredRecord(1, 'k', b'content')
--- a/waxwingford/scheduler/tests/daemon.feature
+++ b/waxwingford/scheduler/tests/daemon.feature
@@ -1,15 +1,14 @@
-Feature: a daemon tells when it loses its store
+Feature: a daemon reports the loss of its store
 
-  Scenario: the store is lost and found again
-    # Symptom: callers are refused by one daemon, and nothing tells why.
-    # Sequence: the store doesn't answer for some seconds, then it does.
-    # Cause: a lost dependency without a line, or one line for each failed read.
+  Scenario: the store is lost and regained
+    # Guards against a lost store that is not logged, or is logged for each failed
+    # read.
     Given a daemon that has read its configuration
-    When the store has not answered for 1 s
-    Then nothing is told of it
-    When the store has not answered for 4 s
-    Then "store lost" is told once, with the seconds since its last answer
-    And the daemon isn't ready as "the store does not answer"
-    When the store answers with the same configuration
-    Then "store regained" is told once, with the version in force
-    And the daemon isn't ready as "the shard has no owner yet"
+    When the store has not responded for 1 s
+    Then no loss of the store is logged
+    When the store has not responded for 4 s
+    Then "store lost" is logged once, with the seconds since the last read
+    And the daemon is not ready because of "the store does not answer"
+    When the store returns the same configuration
+    Then "store regained" is logged once, with the configuration version
+    And the daemon is not ready because of "the shard has no owner yet"
--- a/waxwingford/scheduler/tests/daemon_steps.py
+++ b/waxwingford/scheduler/tests/daemon_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the life of a scheduler daemon, on a store that never answers."""
+"""Steps for a scheduler daemon that loses its store."""
 
 import asyncio
 
@@ -7,29 +7,32 @@
 
 from waxwingford.routing.tests.virtual_loop import VirtualLoop, end_loop
 from waxwingford.scheduler._daemon import SchedulerDaemon
-from waxwingford.scheduler.tests.logs_steps import check, template
+from waxwingford.scheduler.tests.logs_steps import (
+    load_settings,
+    render_settings,
+)
 from waxwingford.scheduling import Terms
 from waxwingford.shard import scheduler_platforms
 
 ADAPTER = 'waxwingford.scheduler.tests.daemon_steps'
 TERMS = Terms(3, {})
-READ_EVERY_S = 0.5
+READ_INTERVAL_S = 0.5
 
 
-class SilentPlatform:
-    """Nothing behind it; the test says what the daemon hears."""
+class FakePlatform:
+    """Platform without ports; the steps call the daemon's callbacks."""
 
     def __init__(self, address, advice_address):
         self.log = None
         self.runners = None
 
 
-scheduler_platforms.register(ADAPTER)(SilentPlatform)
+scheduler_platforms.register(ADAPTER)(FakePlatform)
 
 
 @given('a daemon that has read its configuration')
-def a_daemon(context):
-    template(context)
+def create_daemon(context):
+    render_settings(context)
     text = context.toml.replace('waxwingford.platform', ADAPTER)
     context.loop = VirtualLoop()
     asyncio.set_event_loop(context.loop)
@@ -37,56 +40,64 @@
     context.handler = logbook.TestHandler()
     context.handler.push_application()
     context.add_cleanup(context.handler.pop_application)
-    context.daemon = SchedulerDaemon(check(text))
-    hear(context)
+    context.daemon = SchedulerDaemon(load_settings(text))
+    apply_configuration(context)
 
 
-def hear(context):
-    async def _hear():
+def apply_configuration(context):
+    async def _apply():
         context.daemon.apply_terms(TERMS)
-        context.heard_s = context.loop.time()
+        context.applied_s = context.loop.time()
 
-    context.loop.run_until_complete(_hear())
+    context.loop.run_until_complete(_apply())
 
 
-def told(context, event):
-    return [one for one in context.handler.records if one.message == event]
+def records_of_event(context, event):
+    return [
+        record for record in context.handler.records if record.message == event
+    ]
 
 
-@when('the store has not answered for {span_s:d} s')
-def silent(context, span_s):
-    async def _silent():
-        while context.loop.time() - context.heard_s < span_s:
-            await asyncio.sleep(READ_EVERY_S)
+@when('the store has not responded for {span_s:d} s')
+def fail_reads(context, span_s):
+    async def _fail_reads():
+        while context.loop.time() - context.applied_s < span_s:
+            await asyncio.sleep(READ_INTERVAL_S)
             context.daemon.record_failed_read()
 
-    context.loop.run_until_complete(_silent())
+    context.loop.run_until_complete(_fail_reads())
 
 
-@when('the store answers with the same configuration')
-def answers(context):
-    hear(context)
+@when('the store returns the same configuration')
+def read_again(context):
+    apply_configuration(context)
 
 
-@then('nothing is told of it')
-def nothing_told(context):
-    assert not told(context, 'store lost')
+@then('no loss of the store is logged')
+def check_nothing_logged(context):
+    assert not records_of_event(context, 'store lost')
 
 
-@then('"store lost" is told once, with the seconds since its last answer')
-def lost_told(context):
-    found = [one.extra['for_s'] for one in told(context, 'store lost')]
-    assert found == [2], found
+@then('"store lost" is logged once, with the seconds since the last read')
+def check_store_lost(context):
+    logged = [
+        record.extra['for_s']
+        for record in records_of_event(context, 'store lost')
+    ]
+    assert logged == [2], logged
 
 
-@then('"store regained" is told once, with the version in force')
-def regained_told(context):
-    found = [one.extra['version'] for one in told(context, 'store regained')]
-    assert found == [TERMS.version], found
+@then('"store regained" is logged once, with the configuration version')
+def check_store_regained(context):
+    logged = [
+        record.extra['version']
+        for record in records_of_event(context, 'store regained')
+    ]
+    assert logged == [TERMS.version], logged
 
 
-@then('the daemon isn\'t ready as "{reason}"')
-def not_ready(context, reason):
+@then('the daemon is not ready because of "{reason}"')
+def check_not_ready(context, reason):
     assert context.daemon.not_ready_reason() == reason, (
         context.daemon.not_ready_reason()
     )
--- a/waxwingford/scheduler/tests/logs.feature
+++ b/waxwingford/scheduler/tests/logs.feature
@@ -1,27 +1,25 @@
-Feature: log lines never block and are bounded
+Feature: log writes never block and are rate-limited
 
-  Scenario: nobody reads the pipe
-    # Symptom: the daemon answers nobody, although its processor is idle.
-    # Sequence: the reader of its output stops, the pipe fills up.
-    # Cause: a write that waits for the reader.
+  Scenario: the pipe is not read
+    # Guards against a daemon that blocks on a full output pipe.
     Given a log that writes into a pipe
-    When 20000 lines are written and nobody reads
-    Then all of them were taken without waiting
+    When 20000 lines are written while the pipe is not read
+    Then no write has blocked
     When the pipe is read and a line is written
-    Then a summary says how many lines were dropped
+    Then a summary contains the number of dropped lines
 
   Scenario: a flood of frequent events
     Given a log that writes into a pipe
-    When 2000 events "run.planned" and one "shard.claimed" come in one second
-    Then no more than 301 lines are written
-    And the line "shard.claimed" is among them
-    When a second has passed and a line is written
-    Then a summary counts the other events "run.planned"
+    When 2000 events "run.planned" and one "shard.claimed" are logged in one second
+    Then at most 301 lines are written
+    And the event "shard.claimed" is among them
+    When a line is written one second later
+    Then a summary counts the suppressed events "run.planned"
 
-  Scenario: settings rendered by the platform
-    Given the template of the settings, filled in
-    Then the command that checks settings accepts it
-    When its store is not an address
-    Then the command that checks settings names "store.address"
-    When its VM has no processor
-    Then the command that checks settings names "vm.core_share"
+  Scenario: settings rendered from the template
+    Given the rendered template of the settings
+    Then the rendered settings are valid
+    When the store address is invalid
+    Then the rendered settings are rejected because of "store.address"
+    When the core share is 0
+    Then the rendered settings are rejected because of "vm.core_share"
--- a/waxwingford/scheduler/tests/logs_steps.py
+++ b/waxwingford/scheduler/tests/logs_steps.py
@@ -1,4 +1,4 @@
-"""Steps for log lines and the rendered settings of the scheduler daemon."""
+"""Steps for the log lines and the settings template of the scheduler daemon."""
 
 import json
 import os
@@ -18,7 +18,7 @@
 )
 
 ROOT = pathlib.Path(__file__).resolve().parents[3]
-FIGURE_BY_NAME = {
+VALUE_BY_PLACEHOLDER = {
     'node': 'front-1',
     'zone': 'gulberg',
     'region': 'lahore',
@@ -34,23 +34,23 @@
     'limits.cores': '3',
 }
 READ_BYTES = 1 << 20
-# A pipe holds 64 KiB; what waits in the process is four times that.
-READS = 8
+# The buffer of the writer holds four times the 64 KiB of a pipe.
+READ_COUNT = 8
 log = logbook.Logger('test')
 
 
 @given('a log that writes into a pipe')
-def a_log(context):
+def create_log(context):
     reader, writer = os.pipe()
     context.add_cleanup(os.close, reader)
     context.add_cleanup(os.close, writer)
     os.set_blocking(reader, False)
     context.reader = reader
-    context.rest = b''
-    context.clock = mock.patch.object(_logs.time, 'monotonic')
-    context.now = context.clock.start()
-    context.now.return_value = 100
-    context.add_cleanup(context.clock.stop)
+    context.partial_line = b''
+    context.monotonic_patch = mock.patch.object(_logs.time, 'monotonic')
+    context.monotonic = context.monotonic_patch.start()
+    context.monotonic.return_value = 100
+    context.add_cleanup(context.monotonic_patch.stop)
     context.handler = _logs.make_log_handler(Logging(), 'd1', writer)
     context.handler.push_application()
     context.add_cleanup(context.handler.pop_application)
@@ -60,110 +60,112 @@
     raw = b''
     while True:
         try:
-            part = os.read(context.reader, READ_BYTES)
+            chunk = os.read(context.reader, READ_BYTES)
         except BlockingIOError:
             break
-        raw += part
-    # A pipe that is full takes part of a line; the rest comes later.
-    rows = (context.rest + raw).split(b'\n')
-    context.rest = rows.pop()
-    return [json.loads(row) for row in rows]
+        raw += chunk
+    # The last line is incomplete if the pipe was full.
+    lines = (context.partial_line + raw).split(b'\n')
+    context.partial_line = lines.pop()
+    return [json.loads(row) for row in lines]
 
 
-@when('{count:d} lines are written and nobody reads')
-def nobody_reads(context, count):
+@when('{count:d} lines are written while the pipe is not read')
+def write_unread_lines(context, count):
     for number in range(count):
         log.info('store lost', extra={'number': number})
-    context.written = count
+    context.written_count = count
 
 
-@then('all of them were taken without waiting')
-def taken(context):
-    # A write that waits would not have come back: nobody reads the pipe.
-    assert context.written
+@then('no write has blocked')
+def check_all_written(context):
+    # A blocking write would not have returned, as the pipe is not read.
+    assert context.written_count
 
 
 @when('the pipe is read and a line is written')
 def read_and_write(context):
     context.lines = read_lines(context)
-    context.now.return_value += 1
-    for _ in range(READS):
+    context.monotonic.return_value += 1
+    for _ in range(READ_COUNT):
         log.info('store regained')
         context.lines += read_lines(context)
 
 
-@then('a summary says how many lines were dropped')
-def dropped(context):
+@then('a summary contains the number of dropped lines')
+def check_dropped_summary(context):
     found = [row for row in context.lines if row['event'] == 'log.summarised']
     assert sum(row['dropped'] for row in found) > 0, len(context.lines)
 
 
-@when('{count:d} events "{event}" and one "{rare}" come in one second')
-def flood(context, count, event, rare):
+@when(
+    '{count:d} events "{event}" and one "{rare_event}" are logged in one second'
+)
+def write_flood(context, count, event, rare_event):
     context.lines = []
     for _ in range(count):
         log.info(event)
         context.lines += read_lines(context)
-    log.info(rare)
+    log.info(rare_event)
     context.lines += read_lines(context)
 
 
-@then('no more than {most:d} lines are written')
-def bounded(context, most):
-    assert len(context.lines) <= most, len(context.lines)
+@then('at most {limit:d} lines are written')
+def check_line_limit(context, limit):
+    assert len(context.lines) <= limit, len(context.lines)
 
 
-@then('the line "{event}" is among them')
-def among(context, event):
+@then('the event "{event}" is among them')
+def check_line_written(context, event):
     assert context.lines[-1]['event'] == event
 
 
-@when('a second has passed and a line is written')
-def second_passed(context):
-    context.now.return_value += 1
+@when('a line is written one second later')
+def write_after_second(context):
+    context.monotonic.return_value += 1
     log.info('store lost')
     context.lines = read_lines(context)
 
 
-@then('a summary counts the other events "{event}"')
-def summary(context, event):
+@then('a summary counts the suppressed events "{event}"')
+def check_summary(context, event):
     counts = context.lines[0]['count_by_event']
     assert counts[event] == 2000 - _logs.MAX_LINES_PER_S, counts
 
 
-@given('the template of the settings, filled in')
-def template(context):
+@given('the rendered template of the settings')
+def render_settings(context):
     text = (ROOT / 'deploy' / 'scheduler.toml').read_text()
     text = re.sub(r'\{\{[#/]\S+\}\}', '', text)
     context.toml = re.sub(
-        r'\{\{(\S+?)\}\}', lambda found: FIGURE_BY_NAME[found[1]], text
+        r'\{\{(\S+?)\}\}', lambda found: VALUE_BY_PLACEHOLDER[found[1]], text
     )
 
 
-def check(text):
+def load_settings(text):
     with tempfile.TemporaryDirectory() as directory:
         path = pathlib.Path(directory) / 'settings.toml'
         path.write_text(text)
         return load_scheduler_settings(path)
 
 
-@then('the command that checks settings accepts it')
-def accepted(context):
-    found = check(context.toml)
+@then('the rendered settings are valid')
+def check_settings_valid(context):
+    found = load_settings(context.toml)
     assert isinstance(found, SchedulerSettings), found
 
 
-@when('its store is not an address')
-def wrong_store(context):
+@when('the store address is invalid')
+def break_store_address(context):
     context.toml = context.toml.replace('10.200.1.7:8169', 'store')
 
 
-@when('its VM has no processor')
-def no_processor(context):
+@when('the core share is 0')
+def clear_core_share(context):
     context.toml = context.toml.replace('0.717', '0')
 
 
-@then('the command that checks settings names "{key}"')
-def named(context, key):
-    problems = check(context.toml).problems
+@then('the rendered settings are rejected because of "{key}"')
+def check_setting_named(context, key):
+    problems = load_settings(context.toml).problems
     assert key in {problem.key for problem in problems}, problems
