--- a/waxwingford/platform/_adapter.py
+++ b/waxwingford/platform/_adapter.py
@@ -85,11 +85,11 @@
             if raw is None or not isinstance(outcome, CaughtUp):
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            self._apply(_try_decode(raw))
+            self._apply_configuration(_try_decode(raw))
             if self._configuration is not None:
                 apply(self._configuration.terms)
 
-    def _apply(self, configuration: Configuration | None) -> None:
+    def _apply_configuration(self, configuration: Configuration | None) -> None:
         if configuration is None:
             return
         version = configuration.terms.version
--- a/waxwingford/platform/_http_client.py
+++ b/waxwingford/platform/_http_client.py
@@ -36,12 +36,12 @@
     """No complete response; the server may have processed the request.
 
     :ivar reason: error type and message.
-    :ivar broken: whether the connection was closed or reset, as opposed to a
+    :ivar connection_closed: whether the connection was closed or reset, as opposed to a
         timeout on an open connection.
     """
 
     reason: str
-    broken: bool = False
+    connection_closed: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -171,7 +171,9 @@
         except asyncio.TimeoutError as error:
             return NoResponse(f'{type(error).__name__}: {error}')
         except (aiohttp.ClientError, OSError) as error:
-            return NoResponse(f'{type(error).__name__}: {error}', broken=True)
+            return NoResponse(
+                f'{type(error).__name__}: {error}', connection_closed=True
+            )
 
     def _get_session(self) -> aiohttp.ClientSession:
         if self._session is None:
--- a/waxwingford/platform/_workers.py
+++ b/waxwingford/platform/_workers.py
@@ -192,8 +192,8 @@
         match outcome:
             case NotSent(reason):
                 return OrderNotSent(reason)
-            case NoResponse(reason, broken):
-                return OrderUnknown(reason, broken)
+            case NoResponse(reason, connection_closed):
+                return OrderUnknown(reason, connection_closed)
             case HttpResponse():
                 return _check_status(outcome)
 
--- a/waxwingford/platform/tests/foreign_steps.py
+++ b/waxwingford/platform/tests/foreign_steps.py
@@ -143,10 +143,10 @@
     assert len(lines_of_event(context, f'{kind} not read')) == 1
 
 
-@then('{least:d} to {most:d} invalid registrations are logged')
-def check_line_count(context, least, most):
+@then('{min_count:d} to {max_count:d} invalid registrations are logged')
+def check_line_count(context, min_count, max_count):
     count = len(lines_of_event(context, 'registration not read'))
-    assert least <= count <= most, count
+    assert min_count <= count <= max_count, count
 
 
 def paths_of(content, path=()):
