--- a/waxwingford/scheduler/main.py
+++ b/waxwingford/scheduler/main.py
@@ -58,7 +58,7 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog='waxwingford-schedulerd',
-        description='Scheduler daemon: accepts jobs, owns a shard or stands by.',
+        description='Scheduler daemon: accepts and schedules jobs.',
     )
     parser.add_argument(
         '--settings',
