--- a/waxwingford/adapters/__init__.py
+++ b/waxwingford/adapters/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters of the ports to the platform: HTTP, by URL scheme."""
+"""HTTP adapters of the platform ports, chosen by URL scheme."""
 
 from waxwingford.adapters._http_directory import HttpDirectory
 from waxwingford.adapters._http_log import HttpLog
--- a/waxwingford/adapters/_http_directory.py
+++ b/waxwingford/adapters/_http_directory.py
@@ -1,45 +1,45 @@
-"""Port to the list of VMs over HTTP."""
+"""HTTP adapter of the VM list."""
 
 import msgspec
 
 from waxwingford.adapters._sessions import (
-    NoAnswer,
+    CompleteResponse,
+    HttpSession,
+    NoResponse,
     NotSent,
-    Session,
-    WholeAnswer,
 )
 from waxwingford.adapters._wire import decode_vm_list
 from waxwingford.ports import VmList, VmListUnavailable
 
-_CONNECTIONS = 2
+_MAX_CONNECTIONS = 2
 _OK = 200
 
 
 class HttpDirectory:
-    """Reads the platform's list of VMs."""
+    """Client of the platform's VM list."""
 
     def __init__(self, url: str, timeout_ms: int) -> None:
-        """Prepare; nothing is sent yet.
+        """Initialize without connecting.
 
         :param url: base URL.
-        :param timeout_ms: for each read, in milliseconds.
+        :param timeout_ms: timeout of each read, in milliseconds.
         """
         self._url = f'{url.rstrip("/")}/v1/vms'
         self._timeout_ms = timeout_ms
-        self._session = Session(_CONNECTIONS)
+        self._session = HttpSession(_MAX_CONNECTIONS)
 
     async def read(self) -> VmList | VmListUnavailable:
-        """Read the list.
+        """Read the VM list.
 
-        :returns: tagged outcome.
+        :returns: the list, or the reason why it is unavailable.
         """
         exchange = await self._session.exchange(
             'GET', self._url, self._timeout_ms
         )
         match exchange:
-            case WholeAnswer(status=status, body=body):
+            case CompleteResponse(status=status, body=body):
                 return _list_outcome(status, body)
-            case NotSent(reason) | NoAnswer(reason):
+            case NotSent(reason) | NoResponse(reason):
                 return VmListUnavailable(reason)
 
     async def close(self) -> None:
@@ -49,8 +49,8 @@
 
 def _list_outcome(status: int, body: bytes) -> VmList | VmListUnavailable:
     if status != _OK:
-        return VmListUnavailable(f'list answered {status}')
+        return VmListUnavailable(f'VM list returned HTTP status {status}')
     try:
         return decode_vm_list(body)
     except msgspec.DecodeError as error:
-        return VmListUnavailable(f'unreadable list: {error}')
+        return VmListUnavailable(f'cannot decode VM list: {error}')
--- a/waxwingford/adapters/_http_log.py
+++ b/waxwingford/adapters/_http_log.py
@@ -1,14 +1,14 @@
-"""Log port over HTTP."""
+"""HTTP adapter of the log."""
 
 from urllib.parse import urlencode
 
 import msgspec
 
 from waxwingford.adapters._sessions import (
-    NoAnswer,
+    CompleteResponse,
+    HttpSession,
+    NoResponse,
     NotSent,
-    Session,
-    WholeAnswer,
 )
 from waxwingford.adapters._wire import (
     decode_append_reply,
@@ -23,34 +23,34 @@
     ReadOutcome,
 )
 
-_CONNECTIONS = 16
-_NOT_SENT_RETRY_MS = 500
+_MAX_CONNECTIONS = 16
+_NOT_SENT_RETRY_AFTER_MS = 500
 _CREATED = 201
 _OK = 200
-#: Statuses that a server gives only before it touches the log.
-_REFUSING_STATUSES = frozenset((400, 413, 429))
+#: Statuses that guarantee that nothing was appended.
+_REFUSED_STATUSES = frozenset((400, 413, 429))
 
 
 class HttpLog:
-    """Speaks to the platform's log."""
+    """Client of the platform's log."""
 
     def __init__(self, url: str, timeout_ms: int) -> None:
-        """Prepare; nothing is sent yet.
+        """Initialize without connecting.
 
         :param url: base URL.
-        :param timeout_ms: for each call, without the time of a held read, in
-            milliseconds.
+        :param timeout_ms: timeout of each call, in milliseconds; the wait time
+            of a read is added to it.
         """
         self._url = url.rstrip('/')
         self._timeout_ms = timeout_ms
-        self._session = Session(_CONNECTIONS)
+        self._session = HttpSession(_MAX_CONNECTIONS)
 
     async def append(self, stream: str, payload: bytes) -> AppendOutcome:
         """Append one entry.
 
-        :param stream: its name.
-        :param payload: at most 1 MiB.
-        :returns: tagged outcome.
+        :param stream: stream name.
+        :param payload: payload of at most 1 MiB.
+        :returns: appended, refused (nothing was appended) or unknown.
         """
         query = urlencode({'stream': stream})
         exchange = await self._session.exchange(
@@ -61,11 +61,11 @@
             headers={'Content-Type': 'application/octet-stream'},
         )
         match exchange:
-            case WholeAnswer():
+            case CompleteResponse():
                 return _append_outcome(exchange)
             case NotSent(reason):
-                return AppendRefused(reason, _NOT_SENT_RETRY_MS)
-            case NoAnswer(reason):
+                return AppendRefused(reason, _NOT_SENT_RETRY_AFTER_MS)
+            case NoResponse(reason):
                 return AppendUnknown(reason)
 
     async def read(
@@ -75,13 +75,14 @@
         limit: int,
         wait_ms: int = 0,
     ) -> ReadOutcome:
-        """Read entries forward.
-
-        :param stream: its name.
-        :param from_offset: first offset wanted.
-        :param limit: entries at most.
-        :param wait_ms: how long the log may hold the call, in milliseconds.
-        :returns: tagged outcome.
+        """Read entries in ascending order of offset.
+
+        :param stream: stream name.
+        :param from_offset: first offset to read.
+        :param limit: maximum number of entries.
+        :param wait_ms: time for which the log may wait for new entries before
+            it responds, in milliseconds.
+        :returns: the entries, or the reason why the log is unavailable.
         """
         query = urlencode(
             {
@@ -97,9 +98,9 @@
             self._timeout_ms + wait_ms,
         )
         match exchange:
-            case WholeAnswer():
+            case CompleteResponse():
                 return _read_outcome(exchange)
-            case NotSent(reason) | NoAnswer(reason):
+            case NotSent(reason) | NoResponse(reason):
                 return LogUnavailable(reason)
 
     async def close(self) -> None:
@@ -107,22 +108,22 @@
         await self._session.close()
 
 
-def _append_outcome(answer: WholeAnswer) -> AppendOutcome:
-    if answer.status == _CREATED:
+def _append_outcome(response: CompleteResponse) -> AppendOutcome:
+    if response.status == _CREATED:
         try:
-            return Appended(decode_append_reply(answer.body).offset)
+            return Appended(decode_append_reply(response.body).offset)
         except msgspec.DecodeError as error:
-            return AppendUnknown(f'unreadable answer: {error}')
-    reason = f'log answered {answer.status}'
-    if answer.status in _REFUSING_STATUSES or answer.not_run():
-        return AppendRefused(reason, answer.retry_after_ms())
+            return AppendUnknown(f'cannot decode response: {error}')
+    reason = f'log returned HTTP status {response.status}'
+    if response.status in _REFUSED_STATUSES or response.not_run():
+        return AppendRefused(reason, response.retry_after_ms())
     return AppendUnknown(reason)
 
 
-def _read_outcome(answer: WholeAnswer) -> ReadOutcome:
-    if answer.status != _OK:
-        return LogUnavailable(f'log answered {answer.status}')
+def _read_outcome(response: CompleteResponse) -> ReadOutcome:
+    if response.status != _OK:
+        return LogUnavailable(f'log returned HTTP status {response.status}')
     try:
-        return decode_log_read(answer.body)
+        return decode_log_read(response.body)
     except msgspec.DecodeError as error:
-        return LogUnavailable(f'unreadable answer: {error}')
+        return LogUnavailable(f'cannot decode response: {error}')
--- a/waxwingford/adapters/_http_platform.py
+++ b/waxwingford/adapters/_http_platform.py
@@ -1,4 +1,4 @@
-"""The platform over plain HTTP, registered under its URL scheme."""
+"""Platform adapter for the URL scheme ``http``."""
 
 from waxwingford.adapters._http_directory import HttpDirectory
 from waxwingford.adapters._http_log import HttpLog
@@ -7,30 +7,30 @@
 
 
 class HttpPlatform:
-    """Opens ports that speak HTTP."""
+    """Opens the HTTP adapters of the platform ports."""
 
     def open_log(self, url: str, timeout_ms: int) -> HttpLog:
         """Open the log.
 
         :param url: base URL.
-        :param timeout_ms: for each call, in milliseconds.
-        :returns: the port.
+        :param timeout_ms: timeout of each call, in milliseconds.
+        :returns: adapter of the log.
         """
         return HttpLog(url, timeout_ms)
 
     def open_directory(self, url: str, timeout_ms: int) -> HttpDirectory:
-        """Open the list of VMs.
+        """Open the VM list.
 
         :param url: base URL.
-        :param timeout_ms: for each call, in milliseconds.
-        :returns: the port.
+        :param timeout_ms: timeout of each call, in milliseconds.
+        :returns: adapter of the VM list.
         """
         return HttpDirectory(url, timeout_ms)
 
     def open_servers(self) -> HttpServers:
-        """Open the way to backend servers.
+        """Open the client of the backend servers.
 
-        :returns: the port.
+        :returns: adapter of the backend servers.
         """
         return HttpServers()
 
--- a/waxwingford/adapters/_http_servers.py
+++ b/waxwingford/adapters/_http_servers.py
@@ -1,4 +1,4 @@
-"""Port to backend servers over HTTP."""
+"""HTTP adapter of the backend servers."""
 
 import dataclasses
 from urllib.parse import unquote
@@ -6,10 +6,10 @@
 import msgspec
 
 from waxwingford.adapters._sessions import (
-    NoAnswer,
+    CompleteResponse,
+    HttpSession,
+    NoResponse,
     NotSent,
-    Session,
-    WholeAnswer,
 )
 from waxwingford.adapters._wire import (
     DEADLINE_HEADER,
@@ -28,40 +28,42 @@
     ServiceUnknown,
 )
 
-#: Twice the usual slots, so that control never waits behind services, and
-#: holder and successor together stay below a server's connections.
-_CONNECTIONS_PER_SERVER = 16
+#: Twice the usual number of request slots, so that control exchanges do not
+#: wait for service requests, and small enough for a server to accept both the
+#: lease holder and its successor.
+_MAX_CONNECTIONS_PER_SERVER = 16
 _OK = 200
 _DEFAULT_CONTENT_TYPE = 'application/octet-stream'
 
 
 @dataclasses.dataclass(slots=True)
 class AnswerCounts:
-    """Answers that were never passed on.
+    """Counts of responses that were discarded.
 
-    :ivar foreign: carried another request's id, or none.
-    :ivar cut_off: ended before their length.
+    :ivar mismatched: responses with a missing or different request ID.
+    :ivar truncated: responses without a complete body.
     """
 
-    foreign: int = 0
-    cut_off: int = 0
+    mismatched: int = 0
+    truncated: int = 0
 
 
 class HttpServers:
-    """Speaks to backend servers.
+    """Client of the backend servers.
 
-    :ivar dropped: counts of answers that were not passed on.
+    :ivar dropped_responses: counts of discarded responses.
     """
 
     def __init__(
-        self, connections_per_server: int = _CONNECTIONS_PER_SERVER
+        self, connections_per_server: int = _MAX_CONNECTIONS_PER_SERVER
     ) -> None:
-        """Prepare; nothing is sent yet.
+        """Initialize without connecting.
 
-        :param connections_per_server: TCP connections at most to one server.
+        :param connections_per_server: maximum number of TCP connections to one
+            server.
         """
-        self.dropped = AnswerCounts()
-        self._session = Session(connections_per_server)
+        self.dropped_responses = AnswerCounts()
+        self._session = HttpSession(connections_per_server)
 
     async def control(
         self,
@@ -70,13 +72,13 @@
         request: ControlRequest,
         timeout_ms: int,
     ) -> ControlOutcome:
-        """Carry out one grouped control exchange.
+        """Send a batched control request.
 
-        :param host: IP number.
+        :param host: IP address.
         :param port: TCP port.
-        :param request: the exchange.
-        :param timeout_ms: give up after this time, in milliseconds.
-        :returns: tagged outcome.
+        :param request: lease renewals and commands.
+        :param timeout_ms: timeout of the exchange, in milliseconds.
+        :returns: granted, denied or unknown.
         """
         exchange = await self._session.exchange(
             'POST',
@@ -86,11 +88,11 @@
             headers={'Content-Type': 'application/json'},
         )
         match exchange:
-            case WholeAnswer(status=status, body=body):
+            case CompleteResponse(status=status, body=body):
                 return _control_outcome(status, body)
             case NotSent(reason):
                 return ControlUnknown(reason, not_sent=True)
-            case NoAnswer(reason):
+            case NoResponse(reason):
                 return ControlUnknown(reason)
 
     async def serve(
@@ -99,15 +101,15 @@
         port: int,
         call: ServiceCall,
     ) -> ServiceOutcome:
-        """Run a service request, bounded by its deadline.
+        """Send a service request, with its deadline as the timeout.
 
-        :param host: IP number.
+        :param host: IP address.
         :param port: TCP port.
-        :param call: the request.
-        :returns: tagged outcome.
+        :param call: service request.
+        :returns: the server's response, not run, or unknown.
         """
-        if _leaves_its_service(call.path):
-            return ServiceNotRun('path has relative segments')
+        if _has_dot_segments(call.path):
+            return ServiceNotRun('path contains dot segments')
         exchange = await self._session.exchange(
             'POST',
             f'http://{host}:{port}/services/{call.service}/{call.path}',
@@ -120,12 +122,12 @@
             },
         )
         match exchange:
-            case WholeAnswer():
+            case CompleteResponse():
                 return self._service_outcome(call, exchange)
             case NotSent(reason):
                 return ServiceNotRun(reason)
-            case NoAnswer(reason, cut_off):
-                self.dropped.cut_off += cut_off
+            case NoResponse(reason, truncated):
+                self.dropped_responses.truncated += truncated
                 return ServiceUnknown(reason)
 
     async def close(self) -> None:
@@ -133,40 +135,41 @@
         await self._session.close()
 
     def _service_outcome(
-        self, call: ServiceCall, answer: WholeAnswer
+        self, call: ServiceCall, response: CompleteResponse
     ) -> ServiceOutcome:
-        """Pass an answer on only if it belongs to the call.
+        """Check that a response belongs to the request.
 
-        Without the check a server that mixes up answers would show one
-        tenant's report to another; the caller could not notice.
+        Keeps a server that mixes up responses from sending data of one tenant
+        to another.
 
-        :param call: what was asked.
-        :param answer: what came.
+        :param call: service request.
+        :param response: response of the server.
         :returns: tagged outcome.
         """
-        request_id = answer.headers.get(REQUEST_ID_HEADER, '')
+        request_id = response.headers.get(REQUEST_ID_HEADER, '')
         if request_id != call.request_id:
-            self.dropped.foreign += 1
-            return ServiceUnknown('answer belongs to another request')
-        if answer.not_run():
-            return ServiceNotRun(f'server answered {answer.status}')
+            self.dropped_responses.mismatched += 1
+            return ServiceUnknown('response has the ID of another request')
+        if response.not_run():
+            return ServiceNotRun(
+                f'server returned HTTP status {response.status}'
+            )
         return ServiceAnswer(
             request_id,
-            answer.status,
-            answer.headers.get('Content-Type', _DEFAULT_CONTENT_TYPE),
-            answer.body,
+            response.status,
+            response.headers.get('Content-Type', _DEFAULT_CONTENT_TYPE),
+            response.body,
         )
 
 
-def _leaves_its_service(path: str) -> bool:
-    """Tell whether a path would be normalised to one outside its service.
+def _has_dot_segments(path: str) -> bool:
+    """Check a path for dot segments, which the HTTP client would resolve.
 
-    Without the check a caller's path ``../../control`` would reach the
-    control interface of the server with the caller's body; one would notice
-    tasks that no daemon started.
+    Keeps a path such as ``../../control`` from reaching the control interface
+    of the server.
 
-    :param path: as the caller gave it.
-    :returns: whether it has segments that point upwards.
+    :param path: path from the caller, possibly percent-encoded.
+    :returns: whether a segment is ``.`` or ``..``.
     """
     segments = unquote(path.partition('?')[0]).replace('\\', '/').split('/')
     return not {'.', '..'}.isdisjoint(segments)
@@ -174,8 +177,8 @@
 
 def _control_outcome(status: int, body: bytes) -> ControlOutcome:
     if status != _OK:
-        return ControlUnknown(f'server answered {status}')
+        return ControlUnknown(f'server returned HTTP status {status}')
     try:
         return decode_control_reply(body)
     except msgspec.DecodeError as error:
-        return ControlUnknown(f'unreadable answer: {error}')
+        return ControlUnknown(f'cannot decode response: {error}')
--- a/waxwingford/adapters/_registry.py
+++ b/waxwingford/adapters/_registry.py
@@ -1,4 +1,4 @@
-"""Registry of platform adapters by URL scheme."""
+"""Registry of platform adapters by URL scheme, and their interfaces."""
 
 from typing import NamedTuple, Protocol
 from urllib.parse import urlsplit
@@ -8,7 +8,7 @@
 
 
 class Closable(Protocol):
-    """An adapter that holds connections."""
+    """Adapter that holds connections."""
 
     async def close(self) -> None:
         """Close all connections."""
@@ -16,52 +16,52 @@
 
 
 class ClosableLog(LogPort, Closable, Protocol):
-    """Log adapter."""
+    """Adapter of the log."""
 
 
 class ClosableDirectory(DirectoryPort, Closable, Protocol):
-    """Adapter of the list of VMs."""
+    """Adapter of the VM list."""
 
 
 class ClosableServers(BackendServerPort, Closable, Protocol):
-    """Adapter of backend servers."""
+    """Adapter of the backend servers."""
 
 
 class PlatformAdapter(Protocol):
-    """Opens the three ports of one kind of platform."""
+    """Opens the ports of one kind of platform."""
 
     def open_log(self, url: str, timeout_ms: int) -> ClosableLog:
         """Open the log.
 
         :param url: base URL.
-        :param timeout_ms: for each call, in milliseconds.
-        :returns: the port.
+        :param timeout_ms: timeout of each call, in milliseconds.
+        :returns: adapter of the log.
         """
         ...
 
     def open_directory(self, url: str, timeout_ms: int) -> ClosableDirectory:
-        """Open the list of VMs.
+        """Open the VM list.
 
         :param url: base URL.
-        :param timeout_ms: for each call, in milliseconds.
-        :returns: the port.
+        :param timeout_ms: timeout of each call, in milliseconds.
+        :returns: adapter of the VM list.
         """
         ...
 
     def open_servers(self) -> ClosableServers:
-        """Open the way to backend servers.
+        """Open the client of the backend servers.
 
-        :returns: the port.
+        :returns: adapter of the backend servers.
         """
         ...
 
 
 class PlatformPorts(NamedTuple):
-    """The three ports, open.
+    """Open ports of a platform.
 
     :ivar log: append-only log.
-    :ivar directory: lagging list of VMs.
-    :ivar servers: backend servers.
+    :ivar directory: VM list, which may lag behind the actual state.
+    :ivar servers: client of the backend servers.
     """
 
     log: ClosableLog
@@ -69,7 +69,7 @@
     servers: ClosableServers
 
     async def close(self) -> None:
-        """Close all connections of the three."""
+        """Close the connections of all ports."""
         await self.log.close()
         await self.directory.close()
         await self.servers.close()
@@ -85,10 +85,11 @@
     """Open all ports of a platform.
 
     :param log_url: base URL of the log; its scheme chooses the adapter.
-    :param directory_url: base URL of the list.
-    :param timeout_ms: for each call to log and list, in milliseconds.
-    :returns: the ports; close them when done.
-    :raises UnknownPlugin: if no adapter speaks the scheme.
+    :param directory_url: base URL of the VM list.
+    :param timeout_ms: timeout of each call to the log and the VM list, in
+        milliseconds.
+    :returns: the open ports; to be closed by the caller.
+    :raises UnknownPlugin: if no adapter is registered for the scheme.
     """
     adapter = platform_adapters.get(urlsplit(log_url).scheme)
     return PlatformPorts(
--- a/waxwingford/adapters/_sessions.py
+++ b/waxwingford/adapters/_sessions.py
@@ -1,9 +1,7 @@
-"""Shared HTTP session of an adapter that knows whether anything was sent.
+"""HTTP session that records whether a request may have reached the server.
 
-What goes wrong without it: a timeout looks the same before and after the
-request left.  Tagged wrongly, a request that ran is reported as not run and a
-caller runs it twice.  The session therefore notes when a connection was
-there; until then nothing can have reached the server.
+A request that fails before a connection exists cannot have run; after any
+other failure the outcome is unknown.
 """
 
 import dataclasses
@@ -19,20 +17,20 @@
 
 _MS_IN_S = 1000
 _DEFAULT_RETRY_AFTER_MS = 500
-#: Share of the whole time that connecting may take.
-_CONNECT_SHARE = 0.5
-_MOST_CONNECT_S = 2
+#: Fraction of the total timeout that is available for connecting.
+_CONNECT_FRACTION = 0.5
+_MAX_CONNECT_S = 2
 _MIB = 1_048_576
-_MOST_ANSWER_BYTES = 8 * _MIB
+_MAX_RESPONSE_BYTES = 8 * _MIB
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeAnswer:
-    """An answer that came in full.
+class CompleteResponse:
+    """Response that was received completely.
 
     :ivar status: HTTP status.
-    :ivar headers: of the answer.
-    :ivar body: whole body, as long as its Content-Length says.
+    :ivar headers: response headers.
+    :ivar body: complete body.
     """
 
     status: int
@@ -40,20 +38,20 @@
     body: bytes
 
     def not_run(self) -> bool:
-        """Tell whether the server promises that it did nothing.
+        """Check whether the server states that it did not run the request.
 
-        :returns: whether the header says so.
+        :returns: whether the ``Waxwingford-Not-Run`` header is set.
         """
         return self.headers.get(NOT_RUN_HEADER) == '1'
 
     def retry_after_ms(self) -> int:
-        """Read when to come back.
+        """Parse the retry delay.
 
-        :returns: milliseconds; a default without a readable header.
+        :returns: delay in milliseconds; a default without a valid header.
         """
-        exact = self.headers.get(RETRY_AFTER_MS_HEADER, '')
-        if exact.isdigit():
-            return int(exact)
+        milliseconds = self.headers.get(RETRY_AFTER_MS_HEADER, '')
+        if milliseconds.isdigit():
+            return int(milliseconds)
         seconds = self.headers.get('Retry-After', '')
         if seconds.isdigit():
             return int(seconds) * _MS_IN_S
@@ -62,36 +60,37 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotSent:
-    """Certainly nothing reached the server.
+    """No connection was made, so the request did not reach the server.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable explanation.
     """
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NoAnswer:
-    """Something may have reached the server, but no whole answer came back.
+class NoResponse:
+    """The request may have run, but no complete response was received.
 
-    :ivar reason: for people.
-    :ivar cut_off: whether an answer began and was broken off.
+    :ivar reason: human-readable explanation.
+    :ivar truncated: whether a response began but is not complete.
     """
 
     reason: str
-    cut_off: bool = False
+    truncated: bool = False
 
 
-Exchange = WholeAnswer | NotSent | NoAnswer
+ExchangeOutcome = CompleteResponse | NotSent | NoResponse
 
 
-class Session:
-    """One client session with bounded connections to each server."""
+class HttpSession:
+    """HTTP client session with a limit on connections to each server."""
 
     def __init__(self, connections_per_server: int) -> None:
-        """Prepare; the session opens with the first exchange.
+        """Initialize; the client session opens with the first exchange.
 
-        :param connections_per_server: TCP connections at most to one server.
+        :param connections_per_server: maximum number of TCP connections to one
+            server.
         """
         self._connections = connections_per_server
         self._client: aiohttp.ClientSession | None = None
@@ -103,33 +102,33 @@
         timeout_ms: int,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
-    ) -> Exchange:
-        """Send one request and read its whole answer.
+    ) -> ExchangeOutcome:
+        """Send one request and read the complete response.
 
-        :param method: HTTP method; ``POST`` is never sent twice.
+        :param method: HTTP method; a ``POST`` is never resent.
         :param url: full URL.
-        :param timeout_ms: for everything, in milliseconds.
+        :param timeout_ms: total timeout, in milliseconds.
         :param body: request body.
         :param headers: request headers.
-        :returns: tagged outcome.
+        :returns: complete response, not sent, or no complete response.
         """
-        progress = SimpleNamespace(connected=False, answering=False)
-        client = self._open()
+        progress = SimpleNamespace(connected=False, response_started=False)
+        client = self._open_client()
         request = client.request(
             method,
             url,
             data=body,
             headers=headers,
-            timeout=_timeout(timeout_ms),
+            timeout=_client_timeout(timeout_ms),
             trace_request_ctx=progress,
             allow_redirects=False,
         )
         try:
             async with request as response:
-                progress.answering = True
-                return await _whole(response)
+                progress.response_started = True
+                return await _read_response(response)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return _failed(error, progress)
+            return _classify_error(error, progress)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -137,67 +136,72 @@
             await self._client.close()
             self._client = None
 
-    def _open(self) -> aiohttp.ClientSession:
+    def _open_client(self) -> aiohttp.ClientSession:
         if self._client is None:
             self._client = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(
                     limit=0, limit_per_host=self._connections
                 ),
-                trace_configs=[_tracing()],
+                trace_configs=[_connection_tracing()],
                 auto_decompress=False,
                 cookie_jar=aiohttp.DummyCookieJar(),
             )
         return self._client
 
 
-def _timeout(timeout_ms: int) -> aiohttp.ClientTimeout:
-    whole_s = max(timeout_ms, 1) / _MS_IN_S
+def _client_timeout(timeout_ms: int) -> aiohttp.ClientTimeout:
+    total_s = max(timeout_ms, 1) / _MS_IN_S
     return aiohttp.ClientTimeout(
-        total=whole_s,
-        connect=min(whole_s * _CONNECT_SHARE, _MOST_CONNECT_S),
-        ceil_threshold=_MOST_CONNECT_S * _MS_IN_S,
+        total=total_s,
+        connect=min(total_s * _CONNECT_FRACTION, _MAX_CONNECT_S),
+        ceil_threshold=_MAX_CONNECT_S * _MS_IN_S,
     )
 
 
-def _tracing() -> aiohttp.TraceConfig:
-    """Note the moment from which something may have been sent.
+def _connection_tracing() -> aiohttp.TraceConfig:
+    """Build hooks that record when a request may have been sent.
 
     :returns: hooks that set ``connected`` before the first byte is written.
     """
 
-    async def _connected(_session, trace, _event) -> None:
+    async def _mark_connected(_session, trace, _event) -> None:
         trace.trace_request_ctx.connected = True
 
     tracing = aiohttp.TraceConfig()
-    tracing.on_connection_create_end.append(_connected)
-    tracing.on_connection_reuseconn.append(_connected)
+    tracing.on_connection_create_end.append(_mark_connected)
+    tracing.on_connection_reuseconn.append(_mark_connected)
     return tracing
 
 
-async def _whole(response: aiohttp.ClientResponse) -> Exchange:
+async def _read_response(response: aiohttp.ClientResponse) -> ExchangeOutcome:
     """Read the body and check its length.
 
-    Without the check a body cut off by a dying server, sent without chunks,
-    would be passed on as if it were whole; the caller would notice a document
-    that ends in the middle.
+    Keeps a body truncated by a failing server from being taken for complete.
 
-    :param response: answer whose headers are there.
-    :returns: the whole answer, or that none came.
+    :param response: response whose headers have been received.
+    :returns: the complete response, or the reason why there is none.
     """
     length = response.content_length
     chunked = 'chunked' in response.headers.get('Transfer-Encoding', '')
     if length is None and not chunked:
-        return NoAnswer('answer does not tell its length', cut_off=True)
-    if length is not None and length > _MOST_ANSWER_BYTES:
-        return NoAnswer('answer is too large', cut_off=True)
+        return NoResponse(
+            'response has neither Content-Length nor chunked encoding',
+            truncated=True,
+        )
+    if length is not None and length > _MAX_RESPONSE_BYTES:
+        return NoResponse('response exceeds the size limit', truncated=True)
     body = await response.read()
     if length is not None and len(body) != length:
-        return NoAnswer('answer is shorter than it says', cut_off=True)
-    return WholeAnswer(response.status, response.headers, body)
+        return NoResponse(
+            'response is shorter than its Content-Length', truncated=True
+        )
+    return CompleteResponse(response.status, response.headers, body)
 
 
-def _failed(error: Exception, progress: SimpleNamespace) -> Exchange:
+def _classify_error(
+    error: Exception, progress: SimpleNamespace
+) -> ExchangeOutcome:
     reason = f'{type(error).__name__}: {error}'
     if progress.connected:
-        return NoAnswer(reason, cut_off=progress.answering)
+        return NoResponse(reason, truncated=progress.response_started)
     return NotSent(reason)
--- a/waxwingford/adapters/_wire.py
+++ b/waxwingford/adapters/_wire.py
@@ -1,7 +1,6 @@
-"""Form of the messages on the wire: JSON and msgpack by msgspec.
+"""Encoding of messages on the wire, in JSON and msgpack.
 
-Requests carry commands as ``[tag, fields]``, since plain dataclasses have no
-tag of their own.  Shared by the adapters and by whoever answers them.
+Commands are encoded as ``[tag, fields]``, since dataclasses carry no tag.
 """
 
 from collections.abc import Callable
@@ -27,9 +26,9 @@
 
 REQUEST_ID_HEADER = 'Waxwingford-Request-Id'
 DEADLINE_HEADER = 'Waxwingford-Deadline-Ms'
-#: With value ``1``: the server promises that the request was not run.
+#: ``1`` if the server guarantees that it did not run the request.
 NOT_RUN_HEADER = 'Waxwingford-Not-Run'
-#: Like Retry-After, in milliseconds instead of seconds.
+#: Retry-After in milliseconds.
 RETRY_AFTER_MS_HEADER = 'Waxwingford-Retry-After-Ms'
 
 _TYPE_BY_TAG: dict[str, type[Any]] = {
@@ -39,7 +38,7 @@
     'stop': StopTask,
     'forget': ForgetTask,
 }
-_TAG_BY_TYPE = {kind: tag for tag, kind in _TYPE_BY_TAG.items()}
+_TAG_BY_TYPE = {command_type: tag for tag, command_type in _TYPE_BY_TAG.items()}
 
 
 class _WireRequest(msgspec.Struct, frozen=True):
@@ -61,7 +60,7 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True):
-    """Answer to an append.
+    """Reply to an append.
 
     :ivar offset: offset of the new entry.
     """
@@ -72,7 +71,7 @@
 encode_json: Callable[[Any], bytes] = msgspec.json.Encoder().encode
 _request_decoder = msgspec.json.Decoder(_WireRequest)
 _reply_decoder = msgspec.json.Decoder(_WireReply)
-_pack = msgspec.msgpack.Encoder()
+_msgpack_encoder = msgspec.msgpack.Encoder()
 _log_read_decoder = msgspec.msgpack.Decoder(LogRead)
 _vm_list_decoder = msgspec.json.Decoder(VmList)
 _vm_decoder = msgspec.json.Decoder(Vm)
@@ -80,10 +79,10 @@
 
 
 def encode_control_request(request: ControlRequest) -> bytes:
-    """Write a control request.
+    """Encode a control request.
 
-    :param request: the exchange.
-    :returns: JSON.
+    :param request: control request.
+    :returns: JSON encoding.
     """
     return encode_json(
         _WireRequest(
@@ -92,7 +91,7 @@
             request.lease_ms,
             request.renew,
             request.task_lease_ms,
-            tuple(_tagged(command) for command in request.commands),
+            tuple(_encode_command(command) for command in request.commands),
             request.stamp_ms,
             request.good_for_ms,
             request.known,
@@ -102,32 +101,32 @@
 
 
 def decode_control_request(body: bytes) -> ControlRequest:
-    """Read a control request back.
+    """Decode a control request.
 
-    :param body: JSON.
-    :returns: the exchange.
-    :raises msgspec.DecodeError: if it is not one.
+    :param body: JSON encoding.
+    :returns: control request.
+    :raises msgspec.DecodeError: if the body is not a valid control request.
     """
-    wire = _request_decoder.decode(body)
+    message = _request_decoder.decode(body)
     return ControlRequest(
-        wire.holder,
-        wire.epoch,
-        wire.lease_ms,
-        wire.renew,
-        wire.task_lease_ms,
-        tuple(_untagged(tag, raw) for tag, raw in wire.commands),
-        wire.stamp_ms,
-        wire.good_for_ms,
-        wire.known,
-        wire.renew_except,
+        message.holder,
+        message.epoch,
+        message.lease_ms,
+        message.renew,
+        message.task_lease_ms,
+        tuple(_decode_command(tag, raw) for tag, raw in message.commands),
+        message.stamp_ms,
+        message.good_for_ms,
+        message.known,
+        message.renew_except,
     )
 
 
 def encode_control_reply(reply: ControlGranted | ControlDenied) -> bytes:
-    """Write the server's reply.
+    """Encode the server's reply to a control request.
 
     :param reply: granted or denied.
-    :returns: JSON.
+    :returns: JSON encoding.
     """
     match reply:
         case ControlGranted():
@@ -137,65 +136,67 @@
 
 
 def decode_control_reply(body: bytes) -> ControlGranted | ControlDenied:
-    """Read the server's reply back.
+    """Decode the server's reply to a control request.
 
-    :param body: JSON.
+    :param body: JSON encoding.
     :returns: granted or denied.
-    :raises msgspec.DecodeError: if it is neither.
+    :raises msgspec.DecodeError: if the body is not a valid reply.
     """
-    wire = _reply_decoder.decode(body)
-    reply = wire.granted or wire.denied
+    message = _reply_decoder.decode(body)
+    reply = message.granted or message.denied
     if reply is None:
         raise msgspec.DecodeError('reply is neither granted nor denied')
     return reply
 
 
 def encode_log_read(entries: LogRead) -> bytes:
-    """Write entries of a stream.
+    """Encode entries of a stream.
 
-    :param entries: what was read.
-    :returns: msgpack, payloads as bytes.
+    :param entries: result of a log read.
+    :returns: msgpack encoding, with payloads as bytes.
     """
-    return _pack.encode(entries)
+    return _msgpack_encoder.encode(entries)
 
 
 def decode_log_read(body: bytes) -> LogRead:
-    """Read entries of a stream back.
+    """Decode entries of a stream.
 
-    :param body: msgpack.
-    :returns: what was read.
-    :raises msgspec.DecodeError: if it is not that.
+    :param body: msgpack encoding.
+    :returns: result of a log read.
+    :raises msgspec.DecodeError: if the body is not a valid log read.
     """
     return _log_read_decoder.decode(body)
 
 
 def decode_vm_list(body: bytes) -> VmList:
-    """Read the list of VMs.
+    """Decode the VM list.
 
-    :param body: JSON.
-    :returns: the list.
-    :raises msgspec.DecodeError: if it is not one.
+    :param body: JSON encoding.
+    :returns: VM list.
+    :raises msgspec.DecodeError: if the body is not a valid VM list.
     """
     return _vm_list_decoder.decode(body)
 
 
 def decode_vm(body: bytes) -> Vm:
-    """Read one VM, as in a heartbeat.
+    """Decode one VM, as sent in a heartbeat.
 
-    :param body: JSON.
-    :returns: the VM.
-    :raises msgspec.DecodeError: if it is not one.
+    :param body: JSON encoding.
+    :returns: VM.
+    :raises msgspec.DecodeError: if the body is not a valid VM.
     """
     return _vm_decoder.decode(body)
 
 
-def _tagged(command: ServerCommand) -> tuple[str, msgspec.Raw]:
+def _encode_command(command: ServerCommand) -> tuple[str, msgspec.Raw]:
     return _TAG_BY_TYPE[type(command)], msgspec.Raw(encode_json(command))
 
 
-def _untagged(tag: str, raw: msgspec.Raw) -> ServerCommand:
-    kind = _TYPE_BY_TAG.get(tag)
-    if kind is None:
+def _decode_command(tag: str, raw: msgspec.Raw) -> ServerCommand:
+    command_type = _TYPE_BY_TAG.get(tag)
+    if command_type is None:
         known = ', '.join(sorted(_TYPE_BY_TAG))
-        raise msgspec.ValidationError(f'command {tag!r}; known: {known}')
-    return msgspec.json.decode(raw, type=kind)
+        raise msgspec.ValidationError(
+            f'unknown command {tag!r}; known: {known}'
+        )
+    return msgspec.json.decode(raw, type=command_type)
--- a/waxwingford/adapters/tests/outcomes_steps.py
+++ b/waxwingford/adapters/tests/outcomes_steps.py
@@ -12,15 +12,15 @@
 
 HOST = '127.0.0.1'
 REQUEST_ID = 'request-1'
-OWN_ID = f'Waxwingford-Request-Id: {REQUEST_ID}\r\n'
+MATCHING_ID = f'Waxwingford-Request-Id: {REQUEST_ID}\r\n'
 OTHER_ID = 'Waxwingford-Request-Id: request-2\r\n'
 NOT_RUN = 'Waxwingford-Not-Run: 1\r\n'
-WHOLE = 'whole answer'
-CAP_S = 10
+BODY = 'whole answer'
+TIMEOUT_S = 10
 
 
-def answer(status='200 OK', headers=OWN_ID, body=WHOLE, length=None):
-    """Write an answer; ``length`` may lie."""
+def http_response(status='200 OK', headers=MATCHING_ID, body=BODY, length=None):
+    """Build a response, with ``length`` as its Content-Length if given."""
     size = len(body) if length is None else length
     return (
         f'HTTP/1.1 {status}\r\n{headers}Content-Length: {size}\r\n\r\n{body}'
@@ -28,11 +28,11 @@
 
 
 class ScriptedServer:
-    """Answers requests with canned bytes; ``None`` means silence."""
+    """Sends scripted responses; ``None`` sends nothing, ``b''`` closes."""
 
-    def __init__(self, *answers):
+    def __init__(self, *responses):
         self.requests = 0
-        self._answers = list(answers)
+        self._responses = list(responses)
         self._writers = []
 
     async def start(self):
@@ -47,12 +47,12 @@
     async def _serve(self, reader, writer):
         self._writers.append(writer)
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
-            while self._answers:
+            while self._responses:
                 await self._read_request(reader)
-                canned = self._answers.pop(0)
-                if canned is None:
+                scripted_response = self._responses.pop(0)
+                if scripted_response is None:
                     await reader.read()
-                writer.write(canned or b'')
+                writer.write(scripted_response or b'')
                 await writer.drain()
         writer.close()
 
@@ -65,8 +65,8 @@
 
 
 @fixture
-def adapter_loop(context):
-    """Give an event loop with adapters that are closed at the end."""
+def adapters_on_loop(context):
+    """Create an event loop with adapters, and close them at the end."""
     with asyncio.Runner() as runner:
         context.loop_runner = runner
         context.servers = HttpServers()
@@ -76,29 +76,28 @@
             runner.run(context.scripted.stop())
 
 
-def serve_script(context, *answers):
-    """Start a scripted server."""
-    context.scripted = ScriptedServer(*answers)
-    use_fixture(adapter_loop, context)
+def start_scripted_server(context, *responses):
+    context.scripted = ScriptedServer(*responses)
+    use_fixture(adapters_on_loop, context)
     context.port = context.loop_runner.run(context.scripted.start())
 
 
-@given('a server that answers "{body}" in full')
-def answers_in_full(context, body):
-    serve_script(context, answer(body=body))
+@given('a server that returns the complete body "{body}"')
+def returns_complete_body(context, body):
+    start_scripted_server(context, http_response(body=body))
 
 
 @given('a server that refuses connections')
 def refuses_connections(context):
     context.scripted = None
-    use_fixture(adapter_loop, context)
+    use_fixture(adapters_on_loop, context)
     with socket.create_server((HOST, 0)) as probe:
         context.port = probe.getsockname()[1]
 
 
 @fixture
 def full_backlog(context):
-    """Fill the queue of a socket that accepts nothing."""
+    """Fill the backlog of a listening socket that never accepts."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind((HOST, 0))
@@ -110,69 +109,74 @@
         yield listener.getsockname()[1]
 
 
-@given('a server that takes no connection')
-def takes_no_connection(context):
+@given('a server that does not accept connections')
+def accepts_no_connection(context):
     context.scripted = None
-    use_fixture(adapter_loop, context)
+    use_fixture(adapters_on_loop, context)
     context.port = use_fixture(full_backlog, context)
 
 
-@given('a server that says that it did not run the request')
-def says_not_run(context):
-    serve_script(context, answer('503 Busy', NOT_RUN + OWN_ID))
+@given('a server that states that it did not run the request')
+def states_not_run(context):
+    start_scripted_server(
+        context, http_response('503 Busy', NOT_RUN + MATCHING_ID)
+    )
 
 
-@given('a server that says that it did not run another request')
-def says_other_not_run(context):
-    serve_script(context, answer('503 Busy', NOT_RUN + OTHER_ID))
+@given('a server that states that it did not run another request')
+def states_other_not_run(context):
+    start_scripted_server(
+        context, http_response('503 Busy', NOT_RUN + OTHER_ID)
+    )
 
 
-@given('a server that never answers')
-def never_answers(context):
-    serve_script(context, None)
+@given('a server that never responds')
+def never_responds(context):
+    start_scripted_server(context, None)
 
 
-@given('a server that hangs up after the request')
-def hangs_up(context):
-    serve_script(context, b'')
+@given('a server that closes the connection after the request')
+def closes_after_request(context):
+    start_scripted_server(context, b'')
 
 
-@given('a server that breaks the answer off half way')
-def breaks_off(context):
-    serve_script(context, answer(length=2 * len(WHOLE)))
+@given('a server that truncates the response')
+def truncates_response(context):
+    start_scripted_server(context, http_response(length=2 * len(BODY)))
 
 
-@given('a server that answers without a length')
-def answers_without_length(context):
-    head = f'HTTP/1.1 200 OK\r\nConnection: close\r\n{OWN_ID}\r\n'
-    serve_script(context, f'{head}{WHOLE}'.encode())
+@given('a server that returns a response without a length')
+def responds_without_length(context):
+    head = f'HTTP/1.1 200 OK\r\nConnection: close\r\n{MATCHING_ID}\r\n'
+    start_scripted_server(context, f'{head}{BODY}'.encode())
 
 
-@given('a server that answers another request')
-def answers_another(context):
-    serve_script(context, answer(headers=OTHER_ID))
+@given('a server that responds to another request')
+def responds_to_another(context):
+    start_scripted_server(context, http_response(headers=OTHER_ID))
 
 
-@given('a server that answers with status {status:d}')
-def answers_with_status(context, status):
-    serve_script(context, answer(f'{status} X', 'Retry-After: 3\r\n'))
+@given('a server that returns status {status:d}')
+def returns_status(context, status):
+    start_scripted_server(
+        context, http_response(f'{status} X', 'Retry-After: 3\r\n')
+    )
 
 
-@given('a server that answers one request and hangs up on the next')
-def answers_one(context):
-    serve_script(context, answer(), b'')
+@given('a server that closes the connection after the second request')
+def closes_after_second_request(context):
+    start_scripted_server(context, http_response(), b'')
 
 
 def send_request(context, deadline_ms=2000, path='p'):
-    """Send a service request and keep its outcome."""
     call = ServiceCall(REQUEST_ID, 'dispatcher', path, b'{}', deadline_ms)
-    sending = context.servers.serve(HOST, context.port, call)
-    context.outcome = run_capped(context, sending)
+    coroutine = context.servers.serve(HOST, context.port, call)
+    context.outcome = run_with_timeout(context, coroutine)
 
 
-def run_capped(context, sending):
-    """Run with a generous cap, so that a hanging adapter fails the test."""
-    return context.loop_runner.run(asyncio.wait_for(sending, CAP_S))
+def run_with_timeout(context, coroutine):
+    """Run with a timeout, so that a hanging adapter fails the test."""
+    return context.loop_runner.run(asyncio.wait_for(coroutine, TIMEOUT_S))
 
 
 @when('a service request is sent with a deadline of {deadline_ms:d} ms')
@@ -193,10 +197,10 @@
 
 @when('a control exchange is sent with a timeout of {timeout_ms:d} ms')
 def send_control(context, timeout_ms):
-    sending = context.servers.control(
+    coroutine = context.servers.control(
         HOST, context.port, ControlRequest('a#1', 0, 1000), timeout_ms
     )
-    context.outcome = run_capped(context, sending)
+    context.outcome = run_with_timeout(context, coroutine)
 
 
 @when('a record is appended over HTTP')
@@ -209,7 +213,7 @@
         finally:
             await log.close()
 
-    context.outcome = run_capped(context, _append())
+    context.outcome = run_with_timeout(context, _append())
 
 
 @when('a platform is opened at "{url}"')
@@ -232,24 +236,29 @@
     assert context.outcome.not_sent == (sent == 'not sent'), context.outcome
 
 
-@then('{foreign:d} foreign and {cut_off:d} broken answers are counted')
-def answers_counted(context, foreign, cut_off):
-    dropped = context.servers.dropped
-    assert (dropped.foreign, dropped.cut_off) == (foreign, cut_off), dropped
+@then(
+    '{mismatched:d} mismatched and {truncated:d} truncated responses '
+    'are counted'
+)
+def discarded_counted(context, mismatched, truncated):
+    counts = context.servers.dropped_responses
+    assert (counts.mismatched, counts.truncated) == (mismatched, truncated), (
+        counts
+    )
 
 
-@then('the server saw no request')
-def saw_none(context):
+@then('the server received no request')
+def received_none(context):
     assert not context.scripted.requests
 
 
-@then('the server saw {count:d} requests')
-def saw_requests(context, count):
+@then('the server received {count:d} requests')
+def received_requests(context, count):
     assert context.scripted.requests == count, context.scripted.requests
 
 
-@then('it may be appended again after {retry_ms:d} ms')
-def appended_again(context, retry_ms):
+@then('the retry delay of the append is {retry_ms:d} ms')
+def append_retry_delay(context, retry_ms):
     assert context.outcome.retry_after_ms == retry_ms, context.outcome
 
 
--- a/waxwingford/entry/_jobs.py
+++ b/waxwingford/entry/_jobs.py
@@ -201,7 +201,7 @@
 
 def _job_not_found(signed: _SignedRequest) -> web.Response:
     # Must not reveal whether the job exists and belongs to another member.
-    return _rejected(f'job {signed.job_id!r} not found', HTTPStatus.NOT_FOUND)
+    return _rejected(f'no such job {signed.job_id!r}', HTTPStatus.NOT_FOUND)
 
 
 def _json_response(payload: Any) -> web.Response:
--- a/waxwingford/entry/tests/entry_support.py
+++ b/waxwingford/entry/tests/entry_support.py
@@ -53,8 +53,8 @@
     async def handle(self, request):
         self.requests.append(request)
         size = int(request.path) if request.path.isdecimal() else 0
-        response = Answered(200, 'text/plain', bytes(size), 'server-1')
-        return self.outcome or response
+        sized_answer = Answered(200, 'text/plain', bytes(size), 'server-1')
+        return self.outcome or sized_answer
 
 
 class FakeJobService:
