--- a/waxwingford/adapters/_http_servers.py
+++ b/waxwingford/adapters/_http_servers.py
@@ -51,7 +51,7 @@
 class HttpServers:
     """Client of the backend servers.
 
-    :ivar dropped_responses: counts of discarded responses.
+    :ivar discarded_responses: counts of discarded responses.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         :param connections_per_server: maximum number of TCP connections to one
             server.
         """
-        self.dropped_responses = AnswerCounts()
+        self.discarded_responses = AnswerCounts()
         self._session = HttpSession(connections_per_server)
 
     async def control(
@@ -127,7 +127,7 @@
             case NotSent(reason):
                 return ServiceNotRun(reason)
             case NoResponse(reason, truncated):
-                self.dropped_responses.truncated += truncated
+                self.discarded_responses.truncated += truncated
                 return ServiceUnknown(reason)
 
     async def close(self) -> None:
@@ -148,7 +148,7 @@
         """
         request_id = response.headers.get(REQUEST_ID_HEADER, '')
         if request_id != call.request_id:
-            self.dropped_responses.mismatched += 1
+            self.discarded_responses.mismatched += 1
             return ServiceUnknown('response has the ID of another request')
         if response.not_run():
             return ServiceNotRun(
--- a/waxwingford/adapters/tests/outcomes_steps.py
+++ b/waxwingford/adapters/tests/outcomes_steps.py
@@ -241,7 +241,7 @@
     'are counted'
 )
 def discarded_counted(context, mismatched, truncated):
-    counts = context.servers.dropped_responses
+    counts = context.servers.discarded_responses
     assert (counts.mismatched, counts.truncated) == (mismatched, truncated), (
         counts
     )
