--- a/waxwingford/peers/__init__.py
+++ b/waxwingford/peers/__init__.py
@@ -1,27 +1,27 @@
-"""Messages between daemons: heartbeats, forwarding, recall, bundles."""
+"""RPCs between daemons: heartbeats, forwarding, recall of keys, bundles."""
 
-from waxwingford.peers._links import PeerLink, PeerLinks
+from waxwingford.peers._links import PeerClient, PeerLinks
 from waxwingford.peers._membership import (
     BEAT_EVERY_MS,
-    MOST_REMOTE_TARGETS,
-    SILENT_AFTER_MS,
+    MAX_REMOTE_TARGETS,
+    PEER_TIMEOUT_MS,
     BeatTargets,
     Membership,
     PeerBeat,
     beat_targets,
 )
-from waxwingford.peers._service import ForwardedDispatcher, PeerService
+from waxwingford.peers._service import PeerRequestHandler, PeerService
 
 __all__ = (
     'BEAT_EVERY_MS',
-    'MOST_REMOTE_TARGETS',
-    'SILENT_AFTER_MS',
+    'MAX_REMOTE_TARGETS',
+    'PEER_TIMEOUT_MS',
     'BeatTargets',
-    'ForwardedDispatcher',
     'Membership',
     'PeerBeat',
-    'PeerLink',
+    'PeerClient',
     'PeerLinks',
+    'PeerRequestHandler',
     'PeerService',
     'beat_targets',
 )
--- a/waxwingford/peers/_convert.py
+++ b/waxwingford/peers/_convert.py
@@ -1,4 +1,4 @@
-"""Conversion between messages of the program and of the wire."""
+"""Conversion between domain types and their protobuf messages."""
 
 from waxwingford.peers import peers_pb2 as wire
 from waxwingford.peers._membership import PeerBeat
@@ -17,19 +17,19 @@
 
 
 def beat_to_wire(beat: PeerBeat) -> wire.Beat:
-    """Convert a heartbeat.
+    """Encode a heartbeat.
 
-    :param beat: of the program.
-    :returns: of the wire.
+    :param beat: heartbeat to send.
+    :returns: protobuf message.
     """
     return wire.Beat(**beat._asdict())
 
 
 def beat_from_wire(beat: wire.Beat) -> PeerBeat:
-    """Convert a heartbeat.
+    """Decode a heartbeat.
 
-    :param beat: of the wire.
-    :returns: of the program.
+    :param beat: received protobuf message.
+    :returns: decoded heartbeat.
     """
     return PeerBeat(
         daemon_id=beat.daemon_id,
@@ -45,10 +45,10 @@
 
 
 def request_to_wire(request: Request) -> wire.ForwardRequest:
-    """Convert a request; the next daemon sees one hop more.
+    """Encode a request for forwarding; its hop count is incremented.
 
-    :param request: of the program.
-    :returns: of the wire.
+    :param request: request to forward.
+    :returns: protobuf message.
     """
     return wire.ForwardRequest(
         request_id=request.request_id,
@@ -66,10 +66,11 @@
 
 
 def request_from_wire(request: wire.ForwardRequest) -> Request:
-    """Convert a forwarded request.
+    """Decode a forwarded request.
 
-    :param request: of the wire.
-    :returns: of the program.
+    :param request: received protobuf message.
+    :returns: decoded request.
+    :raises ValueError: if the urgency is not a known value.
     """
     return Request(
         request_id=request.request_id,
@@ -87,11 +88,11 @@
 
 
 def outcome_to_wire(request_id: str, outcome: Outcome) -> wire.ForwardReply:
-    """Convert an outcome.
+    """Encode the outcome of a forwarded request.
 
-    :param request_id: the request that it belongs to.
-    :param outcome: of the program.
-    :returns: of the wire.
+    :param request_id: id of the forwarded request.
+    :param outcome: outcome to report.
+    :returns: protobuf message.
     """
     match outcome:
         case Answered():
@@ -114,10 +115,13 @@
 
 
 def outcome_from_wire(reply: wire.ForwardReply) -> Outcome:
-    """Convert a reply; an empty one says nothing about what ran.
+    """Decode the outcome of a forwarded request.
 
-    :param reply: of the wire.
-    :returns: of the program.
+    A reply without an outcome does not prove that the request was not
+    executed, so it decodes to ``Unknown``.
+
+    :param reply: received protobuf message.
+    :returns: decoded outcome.
     """
     match reply.WhichOneof('outcome'):
         case 'answered':
@@ -128,25 +132,25 @@
             return Rejected(reply.rejected.reason, reply.rejected.status)
         case _:
             return Unknown(
-                reply.unknown.reason or 'empty reply of a peer',
+                reply.unknown.reason or 'peer reply has no outcome',
                 reply.unknown.retry_after_ms,
             )
 
 
 def event_to_wire(event_id: EventId) -> wire.EventRef:
-    """Convert a reference to an event.
+    """Encode a reference to a time line event.
 
-    :param event_id: of the program.
-    :returns: of the wire.
+    :param event_id: event reference to send.
+    :returns: protobuf message.
     """
     return wire.EventRef(**event_id._asdict())
 
 
 def event_from_wire(event: wire.EventRef) -> EventId | None:
-    """Convert a reference to an event.
+    """Decode a reference to a time line event.
 
-    :param event: of the wire.
-    :returns: of the program, None where nothing was sent.
+    :param event: received protobuf message.
+    :returns: event reference, or None if the field is unset.
     """
     if not event.daemon:
         return None
@@ -154,10 +158,10 @@
 
 
 def recall_to_wire(answer: RecallAnswer) -> wire.RecallReply:
-    """Convert what is known of a key.
+    """Encode the state of an idempotency key.
 
-    :param answer: of the program.
-    :returns: of the wire.
+    :param answer: state of the key at this daemon.
+    :returns: protobuf message.
     """
     answered = answer.outcome and _answered_to_wire(answer.outcome)
     return wire.RecallReply(
@@ -166,10 +170,11 @@
 
 
 def recall_from_wire(reply: wire.RecallReply) -> RecallAnswer:
-    """Convert what a peer knows of a key.
+    """Decode the state of an idempotency key at a peer.
 
-    :param reply: of the wire.
-    :returns: of the program.
+    :param reply: received protobuf message.
+    :returns: state of the key at the peer.
+    :raises ValueError: if the state is not a known value.
     """
     outcome = None
     if reply.HasField('answered'):
--- a/waxwingford/peers/_links.py
+++ b/waxwingford/peers/_links.py
@@ -1,4 +1,4 @@
-"""Calls to peer daemons: one channel to each, owned by its link."""
+"""gRPC clients for calls to peer daemons."""
 
 import asyncio
 import ssl
@@ -24,16 +24,16 @@
 from waxwingford.settings import PeerAddress
 from waxwingford.timeline import TimeLine
 
-_MS_IN_S = 1000
-#: Time to open a connection to a peer, in milliseconds.
+_MS_PER_S = 1000
+#: Timeout for opening a connection to a peer, in milliseconds.
 CONNECT_TIMEOUT_MS = 500
-#: Time for a peer to answer what it knows of a key, in milliseconds.
+#: Timeout for a query about an idempotency key, in milliseconds.
 RECALL_TIMEOUT_MS = 1000
-#: Time for a peer to hand its bundle over, in milliseconds.
+#: Timeout for fetching a bundle, in milliseconds.
 FETCH_TIMEOUT_MS = 2000
-#: When a caller may come back after a peer failed, in milliseconds.
-_COME_BACK_MS = 1000
-_LOST = (
+#: Delay before a caller retries after a failed call, in milliseconds.
+_RETRY_AFTER_MS = 1000
+_CALL_ERRORS = (
     GRPCError,
     StreamTerminatedError,
     asyncio.TimeoutError,
@@ -41,8 +41,8 @@
 )
 
 
-class PeerLink:
-    """Connection to one peer daemon."""
+class PeerClient:
+    """gRPC client for one peer daemon."""
 
     def __init__(
         self,
@@ -50,11 +50,11 @@
         time_line: TimeLine,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        """Prepare a channel; it connects at the first call.
+        """Create the channel; it connects on the first call.
 
-        :param address: where the peer listens.
-        :param time_line: where forwards are noted.
-        :param tls: client context, None for plain TCP.
+        :param address: address of the peer.
+        :param time_line: time line that records forwarded requests.
+        :param tls: client context, or None for plain TCP.
         """
         self.address = address
         self._time_line = time_line
@@ -70,35 +70,37 @@
     ) -> PeerBeat | None:
         """Exchange heartbeats.
 
-        :param beat: own heartbeat.
-        :param timeout_ms: longest wait, in milliseconds.
-        :returns: the peer's heartbeat, None without an answer.
+        :param beat: heartbeat of this daemon.
+        :param timeout_ms: call timeout, in milliseconds.
+        :returns: heartbeat of the peer, or None if the call failed.
         """
         try:
             reply = await self._stub.Exchange(
-                _convert.beat_to_wire(beat), timeout=timeout_ms / _MS_IN_S
+                _convert.beat_to_wire(beat), timeout=timeout_ms / _MS_PER_S
             )
-        except _LOST:
+        except _CALL_ERRORS:
             return None
         return _convert.beat_from_wire(reply)
 
     async def forward(self, request: Request, timeout_ms: int) -> Outcome:
-        """Hand a request over.
+        """Forward a request to the peer.
 
-        A failure to connect proves that nothing was sent; any later failure
-        proves nothing, so that the outcome is unknown.
+        A failure to connect proves that the request was not sent, so the
+        outcome is ``Refused``.  After any later failure the peer may have
+        executed the request, so the outcome is ``Unknown``.
 
-        :param request: the request.
-        :param timeout_ms: longest wait, in milliseconds.
-        :returns: the peer's outcome, or what can be said without one.
+        :param request: request to forward.
+        :param timeout_ms: call timeout, in milliseconds.
+        :returns: outcome reported by the peer, ``Refused`` or ``Unknown``.
         """
         subject = f'request:{request.request_id}'
-        if not await self._connected():
+        if not await self._try_connect():
             self._time_line.note(
                 'forward.not_sent', subject, self.address.daemon_id
             )
             return Refused(
-                f'no connection to {self.address.daemon_id}', _COME_BACK_MS
+                f'could not connect to peer {self.address.daemon_id}',
+                _RETRY_AFTER_MS,
             )
         message = _convert.request_to_wire(request)
         sent = self._time_line.note(
@@ -107,13 +109,13 @@
         message.cause.CopyFrom(_convert.event_to_wire(sent))
         try:
             reply = await self._stub.Forward(
-                message, timeout=timeout_ms / _MS_IN_S
+                message, timeout=timeout_ms / _MS_PER_S
             )
-        except _LOST as error:
+        except _CALL_ERRORS as error:
             self._time_line.note('forward.lost', subject, repr(error))
-            return self._lost(error)
+            return self._unknown_outcome(error)
         if reply.request_id != request.request_id:
-            return Unknown('a peer answered another request', _COME_BACK_MS)
+            return Unknown('peer reply has another request id', _RETRY_AFTER_MS)
         self._time_line.note(
             'forward.answered',
             subject,
@@ -123,50 +125,52 @@
         return _convert.outcome_from_wire(reply)
 
     async def recall(self, question: wire.RecallRequest) -> RecallAnswer:
-        """Ask what the peer knows of a key.
+        """Query the state of an idempotency key at the peer.
 
-        :param question: member, key and digest of the body.
-        :returns: its answer; ``unreachable`` without one.
+        :param question: member, key and digest of the request body.
+        :returns: state of the key, ``unreachable`` if the call failed.
         """
         try:
             reply = await self._stub.Recall(
-                question, timeout=RECALL_TIMEOUT_MS / _MS_IN_S
+                question, timeout=RECALL_TIMEOUT_MS / _MS_PER_S
             )
-        except _LOST:
+        except _CALL_ERRORS:
             return RecallAnswer(RecallState.unreachable, 0)
         return _convert.recall_from_wire(reply)
 
     async def fetch_bundle(self, after_version: int) -> PeerBundleAnswer:
         """Fetch the bundle in force at the peer.
 
-        :param after_version: version already known here.
-        :returns: its records, or why there are none.
+        :param after_version: bundle version of this daemon; only newer records
+            are returned.
+        :returns: records of the bundle, or the reason why the call failed.
         """
         try:
             reply = await self._stub.FetchBundle(
                 wire.FetchBundleRequest(after_version=after_version),
-                timeout=FETCH_TIMEOUT_MS / _MS_IN_S,
+                timeout=FETCH_TIMEOUT_MS / _MS_PER_S,
             )
-        except _LOST as error:
+        except _CALL_ERRORS as error:
             return PeerSilent(str(error) or type(error).__name__)
         return PeerBundle(tuple(reply.payloads))
 
-    def _lost(self, error: Exception) -> Unknown:
+    def _unknown_outcome(self, error: Exception) -> Unknown:
         return Unknown(
-            f'{self.address.daemon_id}: {type(error).__name__}', _COME_BACK_MS
+            f'{self.address.daemon_id}: call failed with {type(error).__name__}',
+            _RETRY_AFTER_MS,
         )
 
-    async def _connected(self) -> bool:
+    async def _try_connect(self) -> bool:
         connect = self._channel.__connect__()
         try:
-            await asyncio.wait_for(connect, CONNECT_TIMEOUT_MS / _MS_IN_S)
+            await asyncio.wait_for(connect, CONNECT_TIMEOUT_MS / _MS_PER_S)
         except (OSError, asyncio.TimeoutError):
             return False
         return True
 
 
 class PeerLinks:
-    """All links of a daemon; what its tasks call peers through."""
+    """gRPC clients for all configured peers of a daemon."""
 
     def __init__(
         self,
@@ -176,51 +180,55 @@
         time_line: TimeLine,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        """Prepare links to all configured peers.
+        """Create a client for each configured peer.
 
-        :param own_id: id of this daemon, which gets no link.
-        :param addresses: configured daemons.
-        :param clock: measures round trips.
-        :param time_line: where forwards are noted.
-        :param tls: client context, None for plain TCP.
+        :param own_id: id of this daemon, for which no client is created.
+        :param addresses: addresses of all configured daemons.
+        :param clock: clock that measures round trips.
+        :param time_line: time line that records forwarded requests.
+        :param tls: client context, or None for plain TCP.
         """
         self._own_id = own_id
         self._clock = clock
-        self.link_by_id = {
-            address.daemon_id: PeerLink(address, time_line, tls)
+        self.client_by_id = {
+            address.daemon_id: PeerClient(address, time_line, tls)
             for address in addresses
             if address.daemon_id != own_id
         }
 
     def close(self) -> None:
-        """Close every link."""
-        for link in self.link_by_id.values():
-            link.close()
+        """Close all clients."""
+        for client in self.client_by_id.values():
+            client.close()
 
     async def forward(
         self, peer_id: str, request: Request, timeout_ms: int
     ) -> Outcome:
-        """Hand a request to a peer.
+        """Forward a request to a peer.
 
-        :param peer_id: which peer.
-        :param request: the request.
-        :param timeout_ms: longest wait, in milliseconds.
-        :returns: tagged outcome.
+        :param peer_id: id of the peer.
+        :param request: request to forward.
+        :param timeout_ms: call timeout, in milliseconds.
+        :returns: outcome reported by the peer, ``Refused`` or ``Unknown``.
         """
-        link = self.link_by_id.get(peer_id)
-        if link is None:
-            return Refused(f'no peer {peer_id}', _COME_BACK_MS)
-        return await link.forward(request, timeout_ms)
+        client = self.client_by_id.get(peer_id)
+        if client is None:
+            return Refused(
+                f'no peer configured with id {peer_id}', _RETRY_AFTER_MS
+            )
+        return await client.forward(request, timeout_ms)
 
     async def recall_all(
         self, member: str, key: str, body_digest: bytes
     ) -> dict[str, RecallAnswer]:
-        """Ask every configured peer about a key, all at once.
+        """Query the state of an idempotency key at all peers concurrently.
 
         :param member: owner of the key.
         :param key: idempotency key.
-        :param body_digest: digest of the body, so that a changed body shows.
-        :returns: one answer for each peer, ``unreachable`` included.
+        :param body_digest: digest of the request body, to detect a key that
+            is reused with another body.
+        :returns: state of the key by peer id, ``unreachable`` where the call
+            failed.
         """
         question = wire.RecallRequest(
             member=member,
@@ -228,28 +236,30 @@
             body_digest=body_digest,
             asker=self._own_id,
         )
-        links = list(self.link_by_id.items())
+        clients = list(self.client_by_id.items())
         answers = await asyncio.gather(
-            *(link.recall(question) for _, link in links)
+            *(client.recall(question) for _, client in clients)
         )
         return {
             peer_id: answer
-            for (peer_id, _), answer in zip(links, answers, strict=True)
+            for (peer_id, _), answer in zip(clients, answers, strict=True)
         }
 
     async def fetch(self, after_version: int) -> dict[str, PeerBundleAnswer]:
-        """Fetch bundles of all peers.
+        """Fetch the bundles of all peers concurrently.
 
-        :param after_version: version already known here.
-        :returns: one answer for each peer.
+        :param after_version: bundle version of this daemon; only newer records
+            are returned.
+        :returns: records of the bundle, or the reason why the call failed, by
+            peer id.
         """
-        links = list(self.link_by_id.items())
+        clients = list(self.client_by_id.items())
         answers = await asyncio.gather(
-            *(link.fetch_bundle(after_version) for _, link in links)
+            *(client.fetch_bundle(after_version) for _, client in clients)
         )
         return {
             peer_id: answer
-            for (peer_id, _), answer in zip(links, answers, strict=True)
+            for (peer_id, _), answer in zip(clients, answers, strict=True)
         }
 
     async def beat(
@@ -257,13 +267,15 @@
     ) -> tuple[PeerBeat, float] | None:
         """Exchange heartbeats with one peer and measure the round trip.
 
-        :param peer_id: which peer.
-        :param own: own heartbeat.
-        :param timeout_ms: longest wait, in milliseconds.
-        :returns: its heartbeat and the round trip in milliseconds, or None.
+        :param peer_id: id of the peer.
+        :param own: heartbeat of this daemon.
+        :param timeout_ms: call timeout, in milliseconds.
+        :returns: heartbeat of the peer and the round trip in milliseconds, or
+            None if the call failed.
+        :raises KeyError: if the peer is not configured.
         """
         sent_ms = self._clock.monotonic_ms()
-        reply = await self.link_by_id[peer_id].exchange(own, timeout_ms)
+        reply = await self.client_by_id[peer_id].exchange(own, timeout_ms)
         if reply is None:
             return None
         return reply, float(self._clock.monotonic_ms() - sent_ms)
--- a/waxwingford/peers/_membership.py
+++ b/waxwingford/peers/_membership.py
@@ -1,7 +1,7 @@
-"""Who seems alive: heartbeats, as hints for routing and for ranking holders.
+"""Liveness of peers by heartbeat, for routing and for ranking lease holders.
 
-Safety never rests on this: two daemons that disagree on who is alive only
-compete for a control lease that the backend server arbitrates.
+Liveness is a hint: daemons that disagree on it compete for a control lease,
+which the backend server grants to one of them only.
 """
 
 import dataclasses
@@ -14,30 +14,33 @@
 from waxwingford.routing import PeerView
 from waxwingford.settings import PeerAddress
 
-#: A heartbeat goes out once in this time, in milliseconds.
+#: Interval between heartbeats, in milliseconds.
 BEAT_EVERY_MS = 1000
-#: A peer not heard of for this time counts as not alive, in milliseconds.
-SILENT_AFTER_MS = 3500
-#: Daemons of other failure domains that one daemon exchanges beats with.
-MOST_REMOTE_TARGETS = 6
-#: Distance assumed until a round trip was measured, in milliseconds.
-_UNMEASURED_MS = 5.0
-_DISTANCE_SMOOTHING = 0.2
+#: A peer without a heartbeat for this long is not alive, in milliseconds.
+PEER_TIMEOUT_MS = 3500
+#: Largest number of heartbeat targets in other failure domains.
+MAX_REMOTE_TARGETS = 6
+#: Round trip assumed until the first measurement, in milliseconds.
+_INITIAL_ROUND_TRIP_MS = 5.0
+#: Weight of a new measurement in the moving average of the round trip.
+_ROUND_TRIP_EWMA_WEIGHT = 0.2
 
 
 class PeerBeat(NamedTuple):
-    """What a daemon says of itself in a heartbeat.
+    """Heartbeat in which a daemon reports its state to a peer.
 
-    :ivar daemon_id: its name.
-    :ivar incarnation: of its process.
-    :ivar failure_domain: its failure domain.
-    :ivar bundle_version: version in force there, 0 if none.
+    :ivar daemon_id: id of the sender.
+    :ivar incarnation: id of the sender's process, new at each start.
+    :ivar failure_domain: failure domain of the sender.
+    :ivar bundle_version: version of the bundle in force, 0 if there is none.
     :ivar spare_by_service: free slots by service.
-    :ivar expected_ms_by_service: latency by service, in milliseconds.
-    :ivar draining: it is about to stop: no new holder, no target.
-    :ivar released: backend servers whose control lease it just gave up.
-    :ivar distance_ms: its measured round trip to the receiver, in
-        milliseconds; 0 if it has none.
+    :ivar expected_ms_by_service: expected latency by service, in milliseconds.
+    :ivar draining: whether the sender is shutting down; peers then neither
+        rank it as a lease holder nor forward requests to it.
+    :ivar released: ids of the backend servers whose control lease the sender
+        has just released.
+    :ivar distance_ms: round trip to the receiver as measured by the sender,
+        in milliseconds; 0 if it has not been measured.
     """
 
     daemon_id: str
@@ -52,116 +55,120 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Heard:
+class _PeerState:
     beat: PeerBeat
-    heard_ms: int
+    received_ms: int
     distance_ms: float
 
 
 class Membership:
-    """Latest heartbeat of each peer, owned by the heartbeat task."""
+    """Latest heartbeat of each peer and the liveness derived from it."""
 
     def __init__(self, own: PeerAddress, peers: Sequence[PeerAddress]) -> None:
-        """Start having heard of nobody.
+        """Create a membership in which no peer has sent a heartbeat.
 
-        :param own: this daemon.
-        :param peers: all configured daemons.
+        :param own: address of this daemon.
+        :param peers: addresses of all configured daemons.
         """
         self._own_id = own.daemon_id
-        self._own_domain = own.failure_domain
+        self._own_failure_domain = own.failure_domain
         self._domain_by_id = {
             peer.daemon_id: peer.failure_domain
             for peer in peers
             if peer.daemon_id != own.daemon_id
         }
-        self._heard_by_id: dict[str, _Heard] = {}
+        self._state_by_id: dict[str, _PeerState] = {}
 
     def heard(
         self, beat: PeerBeat, now_ms: int, round_trip_ms: float | None = None
     ) -> None:
-        """Take a heartbeat in.
+        """Record the heartbeat of a peer.
 
-        :param beat: what the peer said.
-        :param now_ms: monotonic time.
-        :param round_trip_ms: measured round trip, None where the peer called.
+        :param beat: heartbeat of the peer.
+        :param now_ms: monotonic time of receipt, in milliseconds.
+        :param round_trip_ms: measured round trip, in milliseconds; None if
+            the peer was the caller.
         """
-        earlier = self._heard_by_id.get(beat.daemon_id)
-        distance = earlier.distance_ms if earlier else _UNMEASURED_MS
+        earlier = self._state_by_id.get(beat.daemon_id)
+        distance = earlier.distance_ms if earlier else _INITIAL_ROUND_TRIP_MS
         if round_trip_ms is not None:
-            distance += (round_trip_ms - distance) * _DISTANCE_SMOOTHING
+            distance += (round_trip_ms - distance) * _ROUND_TRIP_EWMA_WEIGHT
         elif beat.distance_ms:
-            # Only the calling end measures; it tells the other.
+            # Only the caller can measure the round trip; it reports the result.
             distance = beat.distance_ms
-        self._heard_by_id[beat.daemon_id] = _Heard(beat, now_ms, distance)
+        self._state_by_id[beat.daemon_id] = _PeerState(beat, now_ms, distance)
 
     def alive_in_domain(self, now_ms: int) -> tuple[str, ...]:
-        """List daemons that may hold backend servers of this domain.
+        """List daemons that may hold control leases in this failure domain.
 
-        :param now_ms: monotonic time.
-        :returns: ids in order, this daemon included.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: sorted ids of the daemons that are alive and not draining,
+            and of this daemon.
         """
         others = (
-            heard.beat.daemon_id
-            for heard in self._heard_by_id.values()
-            if heard.beat.failure_domain == self._own_domain
-            and self._is_alive(heard, now_ms)
-            and not heard.beat.draining
+            state.beat.daemon_id
+            for state in self._state_by_id.values()
+            if state.beat.failure_domain == self._own_failure_domain
+            and self._is_alive(state, now_ms)
+            and not state.beat.draining
         )
         return tuple(sorted({self._own_id, *others}))
 
     def peer_views(self, now_ms: int) -> tuple[PeerView, ...]:
-        """Describe peers for routing.
+        """Summarize the peers for routing.
 
-        :param now_ms: monotonic time.
-        :returns: one view for each peer ever heard of.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: one view for each peer that has ever sent a heartbeat.
         """
         return tuple(
             PeerView(
                 daemon_id=daemon_id,
-                failure_domain=heard.beat.failure_domain,
-                alive=self._is_alive(heard, now_ms) and not heard.beat.draining,
-                spare_by_service=heard.beat.spare_by_service,
-                expected_ms_by_service=heard.beat.expected_ms_by_service,
-                distance_ms=heard.distance_ms,
+                failure_domain=state.beat.failure_domain,
+                alive=self._is_alive(state, now_ms) and not state.beat.draining,
+                spare_by_service=state.beat.spare_by_service,
+                expected_ms_by_service=state.beat.expected_ms_by_service,
+                distance_ms=state.distance_ms,
             )
-            for daemon_id, heard in self._heard_by_id.items()
+            for daemon_id, state in self._state_by_id.items()
         )
 
     def distance_ms(self, daemon_id: str) -> float:
-        """Tell the round trip to a peer.
+        """Get the estimated round trip to a peer.
 
-        :param daemon_id: which peer.
-        :returns: milliseconds; 0 if nothing was heard of it.
+        :param daemon_id: id of the peer.
+        :returns: round trip in milliseconds; 0 if the peer has never sent a
+            heartbeat.
         """
-        heard = self._heard_by_id.get(daemon_id)
-        return heard.distance_ms if heard else 0
+        state = self._state_by_id.get(daemon_id)
+        return state.distance_ms if state else 0
 
     def _view(
         self, daemon_id: str, failure_domain: str, now_ms: int
     ) -> PeerView:
-        heard = self._heard_by_id.get(daemon_id)
-        if heard is None:
+        state = self._state_by_id.get(daemon_id)
+        if state is None:
             return PeerView(
-                daemon_id, failure_domain, False, {}, {}, _UNMEASURED_MS
+                daemon_id, failure_domain, False, {}, {}, _INITIAL_ROUND_TRIP_MS
             )
         return PeerView(
             daemon_id=daemon_id,
             failure_domain=failure_domain,
-            alive=self._is_alive(heard, now_ms) and not heard.beat.draining,
-            spare_by_service=heard.beat.spare_by_service,
-            expected_ms_by_service=heard.beat.expected_ms_by_service,
-            distance_ms=heard.distance_ms,
+            alive=self._is_alive(state, now_ms) and not state.beat.draining,
+            spare_by_service=state.beat.spare_by_service,
+            expected_ms_by_service=state.beat.expected_ms_by_service,
+            distance_ms=state.distance_ms,
         )
 
-    def _is_alive(self, heard: _Heard, now_ms: int) -> bool:
-        return now_ms - heard.heard_ms < SILENT_AFTER_MS
+    def _is_alive(self, state: _PeerState, now_ms: int) -> bool:
+        return now_ms - state.received_ms < PEER_TIMEOUT_MS
 
 
 class BeatTargets(NamedTuple):
-    """Whom a daemon calls with heartbeats.
+    """Peers to which a daemon sends heartbeats.
 
-    :ivar each_interval: called once in each interval.
-    :ivar at_release: called at once when servers were given up.
+    :ivar each_interval: peers called once in each heartbeat interval.
+    :ivar at_release: peers called immediately after a control lease is
+        released.
     """
 
     each_interval: tuple[PeerAddress, ...]
@@ -169,47 +176,49 @@
 
 
 def beat_targets(own: PeerAddress, peers: Sequence[PeerAddress]) -> BeatTargets:
-    """Choose whom to exchange heartbeats with.
+    """Choose the peers to exchange heartbeats with.
 
-    A full mesh over all failure domains would cost each daemon one exchange a
-    second for every other daemon.  Of the own failure domain each pair has one
-    exchange, called by one end that a hash chooses, since both ends learn of
-    each other in it.  Of the other failure domains there is one daemon each,
-    ranked by hashing, up to a bound: so cost does not grow with their number.
+    An exchange informs both ends, so each pair within a failure domain has a
+    single caller, chosen by hash.  In each other failure domain the daemon
+    calls one peer, chosen by rendezvous hashing, and at most
+    ``MAX_REMOTE_TARGETS`` in all, so that the number of calls does not grow
+    with the number of failure domains as it would in a full mesh.
 
-    :param own: this daemon.
-    :param peers: all configured daemons.
-    :returns: targets, the own failure domain first.
+    :param own: address of this daemon.
+    :param peers: addresses of all configured daemons.
+    :returns: heartbeat targets, those of the own failure domain first.
     """
     others = [peer for peer in peers if peer.daemon_id != own.daemon_id]
     local = tuple(
         peer for peer in others if peer.failure_domain == own.failure_domain
     )
-    called = (peer for peer in local if _calls(own.daemon_id, peer.daemon_id))
+    local_targets = (
+        peer for peer in local if _is_caller(own.daemon_id, peer.daemon_id)
+    )
     remote = sorted(
         (peer for peer in others if peer.failure_domain != own.failure_domain),
-        key=_domain_of,
+        key=_failure_domain_of,
     )
-    firsts = (
-        _first_ranked(own.daemon_id, group)
-        for _, group in itertools.groupby(remote, key=_domain_of)
+    candidates = (
+        _lowest_ranked(own.daemon_id, group)
+        for _, group in itertools.groupby(remote, key=_failure_domain_of)
     )
-    ranked = sorted(firsts, key=lambda peer: _rank(own.daemon_id, peer))
-    return BeatTargets((*called, *ranked[:MOST_REMOTE_TARGETS]), local)
+    ranked = sorted(candidates, key=lambda peer: _rank(own.daemon_id, peer))
+    return BeatTargets((*local_targets, *ranked[:MAX_REMOTE_TARGETS]), local)
 
 
-def _calls(own_id: str, peer_id: str) -> bool:
+def _is_caller(own_id: str, peer_id: str) -> bool:
     first, second = sorted((own_id, peer_id))
     odd = xxhash.xxh64_intdigest(f'{first}/{second}'.encode()) % 2
     caller = second if odd else first
     return own_id == caller
 
 
-def _domain_of(peer: PeerAddress) -> str:
+def _failure_domain_of(peer: PeerAddress) -> str:
     return peer.failure_domain
 
 
-def _first_ranked(own_id: str, group: Iterable[PeerAddress]) -> PeerAddress:
+def _lowest_ranked(own_id: str, group: Iterable[PeerAddress]) -> PeerAddress:
     return min(group, key=lambda peer: _rank(own_id, peer))
 
 
--- a/waxwingford/peers/_service.py
+++ b/waxwingford/peers/_service.py
@@ -1,4 +1,4 @@
-"""Server side of the messages between daemons."""
+"""Server side of the RPCs between daemons."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -13,50 +13,51 @@
 from waxwingford.timeline import TimeLine
 
 
-class ForwardedDispatcher(Protocol):
-    """What answers for requests that peers hand over."""
+class PeerRequestHandler(Protocol):
+    """Handler of the requests and key queries that peers send."""
 
     async def handle(self, request: Request) -> Outcome:
-        """Serve or refuse a request.
+        """Handle a forwarded request.
 
-        :param request: with one hop more.
-        :returns: tagged outcome.
+        :param request: request whose hop count includes this hop.
+        :returns: outcome to report to the peer.
         """
         ...
 
     def answer_recall(
         self, member: str, key: str, body_digest: bytes, asker: str
     ) -> RecallAnswer:
-        """Say what is known of a key, and remember the question.
+        """Look up the state of an idempotency key and record the query.
 
         :param member: owner of the key.
         :param key: idempotency key.
-        :param body_digest: digest of the body.
-        :param asker: daemon that asks.
-        :returns: what is known.
+        :param body_digest: digest of the request body.
+        :param asker: id of the daemon that sent the query.
+        :returns: state of the key at this daemon.
         """
         ...
 
 
 class PeerService(PeersBase):
-    """Answers peers; holds no state of its own."""
+    """gRPC service for peers; stateless."""
 
     def __init__(
         self,
-        dispatcher: ForwardedDispatcher,
+        handler: PeerRequestHandler,
         exchange: Callable[[PeerBeat], PeerBeat],
         bundle_payloads: Callable[[int], tuple[int, tuple[bytes, ...]]],
         time_line: TimeLine,
     ) -> None:
-        """Wire the service.
-
-        :param dispatcher: serves forwarded requests.
-        :param exchange: takes a peer's heartbeat and gives the own one.
-        :param bundle_payloads: version in force and its records, those newer
-            than the given version only.
-        :param time_line: where forwards are noted.
+        """Create the service.
+
+        :param handler: handler of forwarded requests and key queries.
+        :param exchange: function that processes the heartbeat of a peer and
+            returns the heartbeat of this daemon.
+        :param bundle_payloads: function that returns the bundle version in
+            force and its records newer than the given version.
+        :param time_line: time line that records forwarded requests.
         """
-        self._dispatcher = dispatcher
+        self._handler = handler
         self._exchange = exchange
         self._bundle_payloads = bundle_payloads
         self._time_line = time_line
@@ -64,7 +65,7 @@
     async def Exchange(self, stream: Stream[wire.Beat, wire.Beat]) -> None:
         """Exchange heartbeats.
 
-        :param stream: the call.
+        :param stream: stream of the call.
         """
         beat = await stream.recv_message()
         if beat is None:
@@ -75,9 +76,9 @@
     async def Forward(
         self, stream: Stream[wire.ForwardRequest, wire.ForwardReply]
     ) -> None:
-        """Serve a forwarded request.
+        """Handle a forwarded request.
 
-        :param stream: the call.
+        :param stream: stream of the call.
         """
         message = await stream.recv_message()
         if message is None:
@@ -89,7 +90,7 @@
             message.cause.daemon,
             _convert.event_from_wire(message.cause),
         )
-        outcome = await self._dispatcher.handle(request)
+        outcome = await self._handler.handle(request)
         reply = _convert.outcome_to_wire(request.request_id, outcome)
         reply.cause.CopyFrom(_convert.event_to_wire(taken))
         await stream.send_message(reply)
@@ -97,14 +98,14 @@
     async def Recall(
         self, stream: Stream[wire.RecallRequest, wire.RecallReply]
     ) -> None:
-        """Say what is known of a key.
+        """Report the state of an idempotency key.
 
-        :param stream: the call.
+        :param stream: stream of the call.
         """
         question = await stream.recv_message()
         if question is None:
             return
-        answer = self._dispatcher.answer_recall(
+        answer = self._handler.answer_recall(
             question.member,
             question.key,
             question.body_digest,
@@ -115,9 +116,9 @@
     async def FetchBundle(
         self, stream: Stream[wire.FetchBundleRequest, wire.FetchBundleReply]
     ) -> None:
-        """Hand the bundle in force over.
+        """Return the records of the bundle in force.
 
-        :param stream: the call.
+        :param stream: stream of the call.
         """
         question = await stream.recv_message()
         if question is None:
--- a/waxwingford/peers/tests/peers_steps.py
+++ b/waxwingford/peers/tests/peers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for messages between daemons: real grpclib on loopback."""
+"""Steps for RPCs between daemons, with grpclib on the loopback interface."""
 
 import asyncio
 import collections
@@ -28,52 +28,52 @@
 from waxwingford.timeline import TimeLine
 
 HOST = '127.0.0.1'
-HANG_S = 30
-TIMEOUT_MS = 300
+HANG_TIME_S = 30
+CALL_TIMEOUT_MS = 300
 
 
-class Dispatcher:
-    """Answers forwarded requests in the way that the scenario asks for."""
+class FakeRequestHandler:
+    """Handles forwarded requests with the behaviour that a scenario names."""
 
-    def __init__(self, behaviour, server_box):
+    def __init__(self, behaviour, server_holder):
         self.behaviour = behaviour
-        self.server_box = server_box
+        self.server_holder = server_holder
 
     async def handle(self, request):
-        if self.behaviour == 'takes the request and hangs':
-            await asyncio.sleep(HANG_S)
-        if self.behaviour == 'takes the request and dies':
-            self.server_box[0].close()
-            await asyncio.sleep(HANG_S)
+        if self.behaviour == 'receives the request and hangs':
+            await asyncio.sleep(HANG_TIME_S)
+        if self.behaviour == 'receives the request and stops':
+            self.server_holder[0].close()
+            await asyncio.sleep(HANG_TIME_S)
         return Answered(200, 'text/plain', request.body, 's1')
 
     def answer_recall(self, member, key, body_digest, asker):
         return RecallAnswer(RecallState.never_seen, 1)
 
 
-class ForeignService(PeerService):
-    """Answers with the id of another request."""
+class MismatchedReplyService(PeerService):
+    """Replies with the id of another request."""
 
     async def Forward(self, stream):
         await stream.recv_message()
         await stream.send_message(wire.ForwardReply(request_id='other'))
 
 
-def beat(name, *, draining=False):
+def make_heartbeat(name, *, draining=False):
     return PeerBeat(name, 'i1', 'd1', 1, {}, {}, draining)
 
 
-def line(name):
+def make_time_line(name):
     return TimeLine(name, 'i1', SystemClock(), 64)
 
 
-def free_port():
+def find_free_port():
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         return probe.getsockname()[1]
 
 
-def address(name, port, domain='d1'):
+def make_address(name, port, domain='d1'):
     return PeerAddress(
         daemon_id=name,
         failure_domain=domain,
@@ -96,36 +96,38 @@
 
 
 @given('a peer daemon that {behaviour}')
-def peer_daemon(context, behaviour):
+def start_peer(context, behaviour):
     use_fixture(event_loop, context)
-    port = free_port()
-    context.addresses.append(address('b', port))
-    if behaviour == 'is not there':
+    port = find_free_port()
+    context.addresses.append(make_address('b', port))
+    if behaviour == 'is not running':
         return
-    box = []
-    kind = PeerService
-    if behaviour == 'answers for another request':
-        kind = ForeignService
-    service = kind(
-        Dispatcher(behaviour, box),
+    holder = []
+    service_class = PeerService
+    if behaviour == 'replies with another request id':
+        service_class = MismatchedReplyService
+    service = service_class(
+        FakeRequestHandler(behaviour, holder),
         lambda own: own,
         lambda _: (0, ()),
-        line('b'),
+        make_time_line('b'),
     )
     server = Server([service], loop=context.loop)
-    box.append(server)
+    holder.append(server)
     context.servers.append(server)
     context.loop.run_until_complete(server.start(HOST, port))
 
 
-@given('another peer that is not there')
-def absent_peer(context):
-    context.addresses.append(address('c', free_port()))
+@given('another peer that is not running')
+def unreachable_peer(context):
+    context.addresses.append(make_address('c', find_free_port()))
 
 
-def with_links(context, call):
+def call_peers(context, call):
     async def run():
-        links = PeerLinks('a', context.addresses, SystemClock(), line('a'))
+        links = PeerLinks(
+            'a', context.addresses, SystemClock(), make_time_line('a')
+        )
         try:
             return await call(links)
         finally:
@@ -139,81 +141,83 @@
     request = Request(
         'r1', 'm1', 's', '/p', b'x', Urgency.urgent, False, 'k', 1, 5000
     )
-    context.outcome = with_links(
-        context, lambda links: links.forward('b', request, TIMEOUT_MS)
+    context.outcome = call_peers(
+        context, lambda links: links.forward('b', request, CALL_TIMEOUT_MS)
     )
 
 
 @then('the forwarded outcome is "{kind}"')
-def forwarded_outcome(context, kind):
+def check_forwarded_outcome(context, kind):
     assert type(context.outcome).__name__ == kind, context.outcome
 
 
-@when('the key "{key}" is recalled from both')
+@when('the key "{key}" is recalled from both peers')
 def recall_key(context, key):
-    context.answers = with_links(
+    context.answers = call_peers(
         context, lambda links: links.recall_all('m1', key, b'd')
     )
 
 
 @then('the recalled states are "{states}"')
-def recalled_states(context, states):
+def check_recalled_states(context, states):
     found = [answer.state.value for answer in context.answers.values()]
     assert found == states.split(', '), found
 
 
 @given('{domains:d} failure domains with {daemons:d} daemons each')
-def many_domains(context, domains, daemons):
+def create_domains(context, domains, daemons):
     context.fleet = [
-        address(f'd{domain}-{index}', 1, f'd{domain}')
+        make_address(f'd{domain}-{index}', 1, f'd{domain}')
         for domain in range(domains)
         for index in range(daemons)
     ]
-    context.domain_size = daemons
+    context.daemons_per_domain = daemons
 
 
 @then(
-    'each daemon calls at most {most:d} targets, and each pair of a domain'
-    ' has one call'
+    'each daemon calls at most {most:d} targets, and each pair in a domain'
+    ' has one caller'
 )
-def bounded_targets(context, most):
+def check_target_bound(context, most):
     pairs = collections.Counter()
     for own in context.fleet:
         targets = beat_targets(own, context.fleet)
         called = targets.each_interval
         assert len(called) <= most, len(called)
-        assert len(targets.at_release) == context.domain_size - 1
+        assert len(targets.at_release) == context.daemons_per_domain - 1
         pairs.update(
             frozenset((own.daemon_id, peer.daemon_id))
             for peer in called
             if peer.failure_domain == own.failure_domain
         )
-    pairs_of_domain = math.comb(context.domain_size, 2)
-    domains = len(context.fleet) // context.domain_size
-    assert len(pairs) == domains * pairs_of_domain, len(pairs)
+    pairs_per_domain = math.comb(context.daemons_per_domain, 2)
+    domains = len(context.fleet) // context.daemons_per_domain
+    assert len(pairs) == domains * pairs_per_domain, len(pairs)
     assert set(pairs.values()) == {1}
 
 
-@given('a daemon that heard from "{first}" and "{second}" at time {at:d} ms')
-def heard_from(context, first, second, at):
+@given(
+    'a daemon that got heartbeats from "{first}" and "{second}" at {at:d} ms'
+)
+def record_first_heartbeats(context, first, second, at):
     names = ('a', first, second)
-    fleet = [address(name, 1) for name in names]
+    fleet = [make_address(name, 1) for name in names]
     context.membership = Membership(fleet[0], fleet)
     for name in (first, second):
-        context.membership.heard(beat(name), at, 1)
+        context.membership.heard(make_heartbeat(name), at, 1)
 
 
-@when('"{name}" says that it drains at {at:d} ms')
-def says_drains(context, name, at):
-    context.membership.heard(beat(name, draining=True), at)
+@when('"{name}" sends a draining heartbeat at {at:d} ms')
+def record_draining_heartbeat(context, name, at):
+    context.membership.heard(make_heartbeat(name, draining=True), at)
 
 
-@when('"{name}" is heard again at {at:d} ms')
-def heard_again(context, name, at):
-    context.membership.heard(beat(name), at)
+@when('"{name}" sends a heartbeat again at {at:d} ms')
+def record_later_heartbeat(context, name, at):
+    context.membership.heard(make_heartbeat(name), at)
 
 
 @then('at {at:d} ms the daemons alive in the domain are "{names}"')
-def alive_are(context, at, names):
+def check_alive(context, at, names):
     found = ', '.join(context.membership.alive_in_domain(at))
     assert found == names, found
