--- a/waxwingford/metrics/__init__.py
+++ b/waxwingford/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, read over HTTP in text form."""
+"""Counters, gauges and latency histograms in the Prometheus text format."""
 
 from waxwingford.metrics._metrics import Metrics
 
--- a/waxwingford/metrics/_metrics.py
+++ b/waxwingford/metrics/_metrics.py
@@ -1,7 +1,7 @@
-"""Counters, gauges and histograms of one daemon.
+"""Counters, gauges and latency histograms of one daemon.
 
-Histograms are HDR histograms in microseconds, so that the 99.9th percentile
-keeps two significant digits from 1 us to 10 minutes.
+Latencies are HDR histograms in microseconds, with two significant digits from
+1 us to 10 minutes; values outside this range are clamped.
 """
 
 import collections
@@ -10,11 +10,11 @@
 
 from hdrh.histogram import HdrHistogram
 
-_LOWEST_US = 1
-_HIGHEST_US = 600_000_000
+_MIN_LATENCY_US = 1
+_MAX_LATENCY_US = 600_000_000
 _SIGNIFICANT_DIGITS = 2
-_US_IN_MS = 1000
-_US_IN_S = 1_000_000
+_US_PER_MS = 1000
+_US_PER_S = 1_000_000
 _QUANTILES = (0.5, 0.9, 0.99, 0.999)
 _PERCENT = 100
 
@@ -22,11 +22,11 @@
 Series = tuple[str, Labels]
 
 
-def _series(name: str, labels: dict[str, str]) -> Series:
+def _make_series(name: str, labels: dict[str, str]) -> Series:
     return name, tuple(sorted(labels.items()))
 
 
-def _label_text(labels: Labels) -> str:
+def _format_labels(labels: Labels) -> str:
     if not labels:
         return ''
     inner = ','.join(f'{key}="{text}"' for key, text in labels)
@@ -34,10 +34,10 @@
 
 
 class Metrics:
-    """All metrics of a daemon; used by one event loop only."""
+    """Metrics of a daemon; not thread-safe."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty set of metrics."""
         self._count_by_series: collections.Counter[Series] = (
             collections.Counter()
         )
@@ -45,68 +45,73 @@
         self._histogram_by_series: dict[Series, HdrHistogram] = {}
 
     def count(self, name: str, by: int = 1, **labels: str) -> None:
-        """Add to a counter.
+        """Increment a counter.
 
-        :param name: counter, ends in ``_total``.
-        :param by: how much.
-        :param labels: label values by name.
+        :param name: name of the counter, ending in ``_total``.
+        :param by: increment.
+        :param labels: label values by label name.
         """
-        self._count_by_series[_series(name, labels)] += by
+        self._count_by_series[_make_series(name, labels)] += by
 
     def gauge(self, name: str, level: float, **labels: str) -> None:
         """Set a gauge.
 
-        :param name: gauge with its unit.
-        :param level: present level.
-        :param labels: label values by name.
+        :param name: name of the gauge, including its unit.
+        :param level: current value.
+        :param labels: label values by label name.
         """
-        self._gauge_by_series[_series(name, labels)] = level
+        self._gauge_by_series[_make_series(name, labels)] = level
 
     def latency(self, name: str, elapsed_ms: float, **labels: str) -> None:
         """Record a latency.
 
-        :param name: histogram, without unit; it is written in seconds.
+        :param name: name of the histogram without its unit; it is rendered in
+            seconds.
         :param elapsed_ms: latency, in milliseconds.
-        :param labels: label values by name.
+        :param labels: label values by label name.
         """
-        series = _series(name, labels)
+        series = _make_series(name, labels)
         histogram = self._histogram_by_series.get(series)
         if histogram is None:
             histogram = HdrHistogram(
-                _LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS
+                _MIN_LATENCY_US, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS
             )
             self._histogram_by_series[series] = histogram
-        elapsed_us = int(elapsed_ms * _US_IN_MS)
-        histogram.record_value(max(_LOWEST_US, min(elapsed_us, _HIGHEST_US)))
+        elapsed_us = int(elapsed_ms * _US_PER_MS)
+        histogram.record_value(
+            max(_MIN_LATENCY_US, min(elapsed_us, _MAX_LATENCY_US))
+        )
 
     def render(self) -> str:
-        """Write everything in the usual text format.
+        """Render all metrics in the Prometheus text format.
 
-        :returns: lines ``name{labels} figure``.
+        :returns: one line ``name{labels} value`` for each sample.
         """
         return ''.join(
             f'{line}\n'
             for line in itertools.chain(
-                self._simple_lines(), self._histogram_lines()
+                self._scalar_lines(), self._histogram_lines()
             )
         )
 
-    def _simple_lines(self) -> Iterator[str]:
-        simple = itertools.chain(
+    def _scalar_lines(self) -> Iterator[str]:
+        scalars = itertools.chain(
             self._count_by_series.items(), self._gauge_by_series.items()
         )
-        for (name, labels), figure in sorted(simple):
-            yield f'waxwingford_{name}{_label_text(labels)} {figure}'
+        for (name, labels), value in sorted(scalars):
+            yield f'waxwingford_{name}{_format_labels(labels)} {value}'
 
     def _histogram_lines(self) -> Iterator[str]:
         ordered = sorted(
             self._histogram_by_series.items(), key=lambda pair: pair[0]
         )
         for (name, labels), histogram in ordered:
-            full = f'waxwingford_{name}_seconds'
+            metric_name = f'waxwingford_{name}_seconds'
             for quantile in _QUANTILES:
-                at_us = histogram.get_value_at_percentile(quantile * _PERCENT)
-                text = _label_text((*labels, ('quantile', str(quantile))))
-                yield f'{full}{text} {at_us / _US_IN_S}'
+                latency_us = histogram.get_value_at_percentile(
+                    quantile * _PERCENT
+                )
+                text = _format_labels((*labels, ('quantile', str(quantile))))
+                yield f'{metric_name}{text} {latency_us / _US_PER_S}'
             count = histogram.get_total_count()
-            yield f'{full}_count{_label_text(labels)} {count}'
+            yield f'{metric_name}_count{_format_labels(labels)} {count}'
--- a/waxwingford/peers/_links.py
+++ b/waxwingford/peers/_links.py
@@ -124,15 +124,15 @@
         )
         return _convert.outcome_from_wire(reply)
 
-    async def recall(self, question: wire.RecallRequest) -> RecallAnswer:
+    async def recall(self, message: wire.RecallRequest) -> RecallAnswer:
         """Query the state of an idempotency key at the peer.
 
-        :param question: member, key and digest of the request body.
+        :param message: member, key, digest of the request body and asker.
         :returns: state of the key, ``unreachable`` if the call failed.
         """
         try:
             reply = await self._stub.Recall(
-                question, timeout=RECALL_TIMEOUT_MS / _MS_PER_S
+                message, timeout=RECALL_TIMEOUT_MS / _MS_PER_S
             )
         except _CALL_ERRORS:
             return RecallAnswer(RecallState.unreachable, 0)
@@ -230,7 +230,7 @@
         :returns: state of the key by peer id, ``unreachable`` where the call
             failed.
         """
-        question = wire.RecallRequest(
+        message = wire.RecallRequest(
             member=member,
             key=key,
             body_digest=body_digest,
@@ -238,7 +238,7 @@
         )
         clients = list(self.client_by_id.items())
         answers = await asyncio.gather(
-            *(client.recall(question) for _, client in clients)
+            *(client.recall(message) for _, client in clients)
         )
         return {
             peer_id: answer
--- a/waxwingford/peers/_service.py
+++ b/waxwingford/peers/_service.py
@@ -84,7 +84,7 @@
         if message is None:
             return
         request = _convert.request_from_wire(message)
-        taken = self._time_line.note(
+        received = self._time_line.note(
             'forward.taken',
             f'request:{request.request_id}',
             message.cause.daemon,
@@ -92,7 +92,7 @@
         )
         outcome = await self._handler.handle(request)
         reply = _convert.outcome_to_wire(request.request_id, outcome)
-        reply.cause.CopyFrom(_convert.event_to_wire(taken))
+        reply.cause.CopyFrom(_convert.event_to_wire(received))
         await stream.send_message(reply)
 
     async def Recall(
@@ -102,14 +102,14 @@
 
         :param stream: stream of the call.
         """
-        question = await stream.recv_message()
-        if question is None:
+        message = await stream.recv_message()
+        if message is None:
             return
         answer = self._handler.answer_recall(
-            question.member,
-            question.key,
-            question.body_digest,
-            question.asker,
+            message.member,
+            message.key,
+            message.body_digest,
+            message.asker,
         )
         await stream.send_message(_convert.recall_to_wire(answer))
 
@@ -120,10 +120,10 @@
 
         :param stream: stream of the call.
         """
-        question = await stream.recv_message()
-        if question is None:
+        message = await stream.recv_message()
+        if message is None:
             return
-        version, payloads = self._bundle_payloads(question.after_version)
+        version, payloads = self._bundle_payloads(message.after_version)
         await stream.send_message(
             wire.FetchBundleReply(version=version, payloads=payloads)
         )
