--- a/waxwingford/commands/__init__.py
+++ b/waxwingford/commands/__init__.py
@@ -1,1 +1,1 @@
-"""commands (being built)."""
+"""Command-line tool ``waxwingford`` for operators."""
--- a/waxwingford/commands/_bundle_files.py
+++ b/waxwingford/commands/_bundle_files.py
@@ -1,4 +1,4 @@
-"""Arguments and files that the bundle commands share."""
+"""Arguments and loading of bundle sources, shared by the bundle commands."""
 
 from argparse import ArgumentParser, Namespace
 
@@ -11,44 +11,44 @@
     digest_of,
     load_bundle,
 )
-from waxwingford.commands._output import complain
+from waxwingford.commands._output import print_error
 
 
-def add_file(parser: ArgumentParser) -> None:
-    """Declare the bundle's source as an argument.
+def add_source_argument(parser: ArgumentParser) -> None:
+    """Add the bundle source as a positional argument.
 
-    :param parser: of a command.
+    :param parser: parser of a bundle command.
     """
     parser.add_argument('file', metavar='FILE.toml', help='bundle source')
 
 
-def checked_bundle(path: str) -> Bundle | None:
-    """Load a source and complain of everything that is wrong with it.
+def load_source_file(path: str) -> Bundle | None:
+    """Load and validate a bundle source, printing all problems found.
 
     :param path: TOML file.
-    :returns: the bundle, or None after the complaint.
+    :returns: the bundle, or None if it is invalid.
     """
     match load_bundle(path):
         case BundleLoaded(bundle):
             return bundle
         case BundleInvalid(problems):
-            complain('\n'.join(map(str, problems)))
+            print_error('\n'.join(map(str, problems)))
             return None
 
 
 def source_digest(bundle: Bundle) -> str:
-    """Name a bundle's content.
+    """Compute the digest of a bundle's canonical form.
 
-    :param bundle: checked bundle.
-    :returns: hex digest that members sign.
+    :param bundle: validated bundle.
+    :returns: hexadecimal digest that members sign.
     """
     return digest_of(canonical_bytes(body_of(bundle)))
 
 
-def source_of(args: Namespace) -> Bundle | None:
-    """Load the source named by the arguments.
+def load_source(args: Namespace) -> Bundle | None:
+    """Load the bundle source named on the command line.
 
     :param args: parsed arguments.
-    :returns: the bundle, or None after a complaint.
+    :returns: the bundle, or None after its problems were printed.
     """
-    return checked_bundle(args.file)
+    return load_source_file(args.file)
--- a/waxwingford/commands/_certificates.py
+++ b/waxwingford/commands/_certificates.py
@@ -1,4 +1,4 @@
-"""Small certificate authority for the daemons of a deployment."""
+"""Certificate authority that issues TLS certificates for daemons."""
 
 import datetime
 import ipaddress
@@ -11,35 +11,37 @@
 
 from waxwingford.commands._keys import private_pem, write_private
 
-_AUTHORITY = 'authority'
+_AUTHORITY_NAME = 'authority'
 _AUTHORITY_DAYS = 3650
 _DAEMON_DAYS = 365
-#: Clocks of VMs differ; a certificate is good a little before it was made.
-_BACKDATED = datetime.timedelta(hours=1)
+#: Certificates are valid from before their issue, since VM clocks differ.
+_NOT_BEFORE_MARGIN = datetime.timedelta(hours=1)
 
 
 def make_certificate(
     directory: pathlib.Path, name: str, host: str, now: datetime.datetime
 ) -> str:
-    """Make a daemon's certificate, and the authority if there is none.
-
-    :param directory: of the authority; files ``<name>.crt``, ``<name>.key``.
-    :param name: daemon id.
-    :param host: IP number that the daemon is reached by.
-    :param now: present time, with its zone.
-    :returns: what prevented it, empty if nothing did.
+    """Issue a daemon certificate, creating the authority if there is none.
+
+    :param directory: directory of the authority's files, in which
+        ``<name>.crt`` and ``<name>.key`` are created.
+    :param name: daemon id, used as the common name.
+    :param host: IP address at which the daemon is reached.
+    :param now: current time, timezone-aware.
+    :returns: error message, empty on success.
+    :raises ValueError: if the authority's key is not an elliptic curve key.
     """
     try:
         address = ipaddress.ip_address(host)
     except ValueError:
-        return f'{host!r}: expected an IP number, not a name'
+        return f'{host!r}: expected an IP address, not a host name'
     directory.mkdir(parents=True, exist_ok=True)
     authority_key = _authority(directory, now)
     key = ec.generate_private_key(ec.SECP256R1())
     if not write_private(directory / f'{name}.key', private_pem(key)):
-        return f'{directory / name}.key: is there already'
+        return f'{directory / name}.key: already exists'
     certificate = (
-        _builder(name, _AUTHORITY, now, _DAEMON_DAYS)
+        _certificate_builder(name, _AUTHORITY_NAME, now, _DAEMON_DAYS)
         .public_key(key.public_key())
         .add_extension(
             x509.SubjectAlternativeName([x509.IPAddress(address)]),
@@ -63,53 +65,57 @@
         )
         .sign(authority_key, hashes.SHA256())
     )
-    _write(directory / f'{name}.crt', certificate)
+    _write_certificate(directory / f'{name}.crt', certificate)
     return ''
 
 
 def _authority(
     directory: pathlib.Path, now: datetime.datetime
 ) -> ec.EllipticCurvePrivateKey:
-    path = directory / f'{_AUTHORITY}.key'
+    path = directory / f'{_AUTHORITY_NAME}.key'
     key = ec.generate_private_key(ec.SECP256R1())
     if not write_private(path, private_pem(key)):
-        known = serialization.load_pem_private_key(path.read_bytes(), None)
-        if isinstance(known, ec.EllipticCurvePrivateKey):
-            return known
+        existing_key = serialization.load_pem_private_key(
+            path.read_bytes(), None
+        )
+        if isinstance(existing_key, ec.EllipticCurvePrivateKey):
+            return existing_key
         raise ValueError(f'{path}: expected an elliptic curve key')
     certificate = (
-        _builder(_AUTHORITY, _AUTHORITY, now, _AUTHORITY_DAYS)
+        _certificate_builder(
+            _AUTHORITY_NAME, _AUTHORITY_NAME, now, _AUTHORITY_DAYS
+        )
         .public_key(key.public_key())
         .add_extension(x509.BasicConstraints(True, 0), critical=True)
-        .add_extension(_signs_certificates(), critical=True)
+        .add_extension(_certificate_signing_usage(), critical=True)
         .add_extension(
             x509.SubjectKeyIdentifier.from_public_key(key.public_key()),
             critical=False,
         )
         .sign(key, hashes.SHA256())
     )
-    _write(directory / f'{_AUTHORITY}.crt', certificate)
+    _write_certificate(directory / f'{_AUTHORITY_NAME}.crt', certificate)
     return key
 
 
-def _builder(
+def _certificate_builder(
     subject: str, issuer: str, now: datetime.datetime, days: int
 ) -> x509.CertificateBuilder:
     return (
         x509.CertificateBuilder()
-        .subject_name(_name(subject))
-        .issuer_name(_name(issuer))
+        .subject_name(_x509_name(subject))
+        .issuer_name(_x509_name(issuer))
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - _BACKDATED)
+        .not_valid_before(now - _NOT_BEFORE_MARGIN)
         .not_valid_after(now + datetime.timedelta(days=days))
     )
 
 
-def _name(text: str) -> x509.Name:
+def _x509_name(text: str) -> x509.Name:
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
 
-def _signs_certificates() -> x509.KeyUsage:
+def _certificate_signing_usage() -> x509.KeyUsage:
     return x509.KeyUsage(
         digital_signature=False,
         content_commitment=False,
@@ -123,5 +129,7 @@
     )
 
 
-def _write(path: pathlib.Path, certificate: x509.Certificate) -> None:
+def _write_certificate(
+    path: pathlib.Path, certificate: x509.Certificate
+) -> None:
     path.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
--- a/waxwingford/commands/_command.py
+++ b/waxwingford/commands/_command.py
@@ -1,4 +1,4 @@
-"""Registry of sub-commands and the exit codes that all of them share."""
+"""Registry of subcommands and their common exit codes."""
 
 import enum
 from argparse import ArgumentParser, Namespace
@@ -9,7 +9,14 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a command ends with; documented in ``docs/bundles.md``."""
+    """Exit code of a command; documented in ``docs/bundles.md``.
+
+    :ivar ok: success.
+    :ivar findings: problems were found, or the request was refused.
+    :ivar usage: wrong arguments or input files.
+    :ivar unreachable: no response from the daemons or the log.
+    :ivar unknown: the request may have taken effect.
+    """
 
     ok = 0
     findings = 1
@@ -19,11 +26,11 @@
 
 
 class Command(NamedTuple):
-    """A sub-command.
+    """A subcommand.
 
-    :ivar about: one line for ``--help``.
-    :ivar add_arguments: declares its arguments.
-    :ivar run: does the work and says how it ended.
+    :ivar about: one-line description for ``--help``.
+    :ivar add_arguments: adds its arguments to a parser.
+    :ivar run: runs the command and returns its exit code.
     """
 
     about: str
@@ -31,5 +38,5 @@
     run: Callable[[Namespace], ExitCode]
 
 
-#: By words as typed, for example ``bundle publish``.
+#: Commands by full name, for example ``bundle publish``.
 commands: Registry[Command] = Registry('command')
--- a/waxwingford/commands/_fleet.py
+++ b/waxwingford/commands/_fleet.py
@@ -1,4 +1,4 @@
-"""Which daemons, log and keys a command works with."""
+"""Fleet file and options: the daemons, log and keys that a command uses."""
 
 import pathlib
 from argparse import ArgumentParser, Namespace
@@ -6,12 +6,15 @@
 from pydantic import BaseModel, ConfigDict
 
 from waxwingford.commands._command import ExitCode
-from waxwingford.commands._output import complain
+from waxwingford.commands._output import print_error
 from waxwingford.settings import Name, PublicKey, ServiceUrl, load_toml
 
 
 class FleetTrust(BaseModel):
-    """Public keys of the members, as in a daemon's settings."""
+    """Public keys of the members, as in the settings of a daemon.
+
+    :ivar public_key_by_member: Ed25519 public key by member.
+    """
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
@@ -19,12 +22,13 @@
 
 
 class Fleet(BaseModel):
-    """File of a fleet.
+    """Content of a fleet file.
 
-    :ivar daemons: ``ADDRESS:PORT`` of HTTP, by IP number.
-    :ivar log_url: platform's log.
-    :ivar trust: members' public keys.
-    :ivar authority_file: certificates of daemons are checked against it;
+    :ivar daemons: HTTP addresses of the daemons as ``ADDRESS:PORT``, with IP
+        addresses.
+    :ivar log_url: URL of the platform's log.
+    :ivar trust: public keys of the members.
+    :ivar authority_file: CA certificate for verification of the daemons;
         empty for plain HTTP.
     """
 
@@ -36,53 +40,55 @@
     authority_file: str = ''
 
 
-def add_fleet(parser: ArgumentParser) -> None:
-    """Declare the options that name the fleet.
+def add_fleet_options(parser: ArgumentParser) -> None:
+    """Add the options that name the daemons and the log.
 
-    :param parser: of a command that reaches daemons or the log.
+    :param parser: parser of a command that connects to daemons or the log.
     """
-    parser.add_argument('--fleet', metavar='FILE', help='TOML file of a fleet')
+    parser.add_argument('--fleet', metavar='FILE', help='fleet file, TOML')
     parser.add_argument(
         '--daemons',
         metavar='ADDRESS:PORT,...',
-        help='HTTP addresses of daemons, instead of those in the file',
+        help='HTTP addresses of daemons, overriding the fleet file',
     )
     parser.add_argument(
-        '--log', metavar='URL', help="platform's log, instead of the file's"
+        '--log',
+        metavar='URL',
+        help="URL of the platform's log, overriding the fleet file",
     )
 
 
-def fleet_of(args: Namespace) -> Fleet | ExitCode:
-    """Put the fleet together from file and options.
+def load_fleet(args: Namespace) -> Fleet | ExitCode:
+    """Load the fleet file and apply the options that override it.
 
     :param args: parsed arguments.
-    :returns: the fleet, or the exit code after the problems were printed.
+    :returns: the fleet, or the exit code after problems were printed.
     """
     fleet = Fleet()
     if args.fleet:
         loaded = load_toml(pathlib.Path(args.fleet), Fleet)
         if not isinstance(loaded, Fleet):
-            complain('\n'.join(map(str, loaded)))
+            print_error('\n'.join(map(str, loaded)))
             return ExitCode.usage
         fleet = loaded
-    changes = {}
+    overrides = {}
     if args.daemons:
-        changes['daemons'] = tuple(args.daemons.split(','))
+        overrides['daemons'] = tuple(args.daemons.split(','))
     if args.log:
-        changes['log_url'] = args.log
-    return fleet.model_copy(update=changes)
+        overrides['log_url'] = args.log
+    return fleet.model_copy(update=overrides)
 
 
-def wanted(fleet: Fleet, *keys: str) -> bool:
-    """Check that a fleet says what a command needs, and complain if not.
+def require_fields(fleet: Fleet, *keys: str) -> bool:
+    """Check that a fleet has the fields a command needs, or print an error.
 
     :param fleet: the fleet.
-    :param keys: keys that must not be empty.
-    :returns: whether all are there.
+    :param keys: names of the fields that must not be empty.
+    :returns: whether all of them are set.
     """
     missing = [key for key in keys if not getattr(fleet, key)]
     if missing:
-        complain(
+        print_error(
             f'missing: {", ".join(missing)}; give --fleet FILE, '
             '--daemons or --log'
         )
--- a/waxwingford/commands/_http.py
+++ b/waxwingford/commands/_http.py
@@ -1,4 +1,4 @@
-"""HTTP calls of commands to daemons."""
+"""HTTP client that commands use to reach daemons."""
 
 import asyncio
 import dataclasses
@@ -15,12 +15,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HttpAnswer:
-    """A daemon answered.
+class HttpResponse:
+    """Response of a daemon.
 
     :ivar status: HTTP status.
-    :ivar body: whole body.
-    :ivar retry_after: header ``Retry-After``, empty without one.
+    :ivar body: complete body.
+    :ivar retry_after: header ``Retry-After``, empty if absent.
     """
 
     status: int
@@ -29,29 +29,29 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotReached:
-    """No connection: the daemon has certainly not seen the call.
+class ConnectionFailed:
+    """No connection was made, so the daemon did not get the request.
 
-    :ivar reason: for people.
+    :ivar reason: error message.
     """
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NoAnswer:
-    """The call was sent and its answer is missing.
+class NoResponse:
+    """No response came; the daemon may have got the request.
 
-    :ivar reason: for people.
+    :ivar reason: error message.
     """
 
     reason: str
 
 
-HttpOutcome = HttpAnswer | NotReached | NoAnswer
+HttpOutcome = HttpResponse | ConnectionFailed | NoResponse
 
 
-async def call(
+async def send_request(
     fleet: Fleet,
     address: str,
     method: str,
@@ -59,15 +59,15 @@
     body: bytes = b'',
     headers: Mapping[str, str] = _NO_HEADERS,
 ) -> HttpOutcome:
-    """Call one daemon.
+    """Send an HTTP request to one daemon.
 
-    :param fleet: for its authority of certificates.
-    :param address: ``ADDRESS:PORT``.
+    :param fleet: fleet that the daemon belongs to, for its CA certificate.
+    :param address: address of the daemon as ``ADDRESS:PORT``.
     :param method: HTTP method.
     :param path: path with query.
-    :param body: whole body.
-    :param headers: to add.
-    :returns: tagged outcome.
+    :param body: complete body.
+    :param headers: additional headers.
+    :returns: the response, or how the request failed.
     """
     scheme = 'https' if fleet.authority_file else 'http'
     timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
@@ -79,49 +79,49 @@
                 f'{scheme}://{address}{path}',
                 data=body,
                 headers=headers,
-                ssl=_context(fleet),
-            ) as answer,
+                ssl=_ssl_context(fleet),
+            ) as response,
         ):
-            return HttpAnswer(
-                answer.status,
-                await answer.read(),
-                answer.headers.get('Retry-After', ''),
+            return HttpResponse(
+                response.status,
+                await response.read(),
+                response.headers.get('Retry-After', ''),
             )
     except aiohttp.ClientConnectorError as error:
-        return NotReached(str(error))
+        return ConnectionFailed(str(error))
     except aiohttp.InvalidURL:
-        return NotReached(f'{address!r} is not ADDRESS:PORT')
+        return ConnectionFailed(f'{address!r} is not ADDRESS:PORT')
     except (aiohttp.ClientError, TimeoutError) as error:
-        return NoAnswer(str(error) or type(error).__name__)
+        return NoResponse(str(error) or type(error).__name__)
 
 
-def ask_all(
+def get_from_all(
     fleet: Fleet,
     addresses: Iterable[str],
     path: str,
     sign: Callable[[], Mapping[str, str]] = dict,
 ) -> dict[str, HttpOutcome]:
-    """Ask daemons at the same time.
+    """Send a GET request to several daemons concurrently.
 
-    :param fleet: for its authority of certificates.
-    :param addresses: ``ADDRESS:PORT`` of each.
-    :param path: what to get.
-    :param sign: makes the headers of one call; none by default.
+    :param fleet: fleet that the daemons belong to, for its CA certificate.
+    :param addresses: addresses of the daemons as ``ADDRESS:PORT``.
+    :param path: path with query.
+    :param sign: makes the headers of one request; none by default.
     :returns: outcome by address.
     """
 
-    async def _ask() -> list[HttpOutcome]:
+    async def _gather_responses() -> list[HttpOutcome]:
         return await asyncio.gather(
             *(
-                call(fleet, address, 'GET', path, headers=sign())
+                send_request(fleet, address, 'GET', path, headers=sign())
                 for address in addresses
             )
         )
 
-    return dict(zip(addresses, asyncio.run(_ask()), strict=True))
+    return dict(zip(addresses, asyncio.run(_gather_responses()), strict=True))
 
 
-def _context(fleet: Fleet) -> ssl.SSLContext | bool:
+def _ssl_context(fleet: Fleet) -> ssl.SSLContext | bool:
     if not fleet.authority_file:
         return True
     return ssl.create_default_context(cafile=pathlib.Path(fleet.authority_file))
--- a/waxwingford/commands/_keys.py
+++ b/waxwingford/commands/_keys.py
@@ -1,4 +1,4 @@
-"""Private keys of members, in files that only operators hold."""
+"""Reading and writing of private key files."""
 
 import os
 import pathlib
@@ -10,27 +10,27 @@
 
 
 def write_private(path: pathlib.Path, content: bytes) -> bool:
-    """Write a secret that others can't read; never overwrite one.
+    """Create a file that only its owner can read, unless it exists.
 
-    :param path: new file.
-    :param content: what to write.
-    :returns: whether it was written; not if the file is there.
+    :param path: file to create.
+    :param content: content of the file.
+    :returns: False if the file exists; it is not overwritten.
     """
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
     try:
         descriptor = os.open(path, flags, _OWNER_ONLY)
     except FileExistsError:
         return False
-    with open(descriptor, 'wb') as secret:
-        secret.write(content)
+    with open(descriptor, 'wb') as key_file:
+        key_file.write(content)
     return True
 
 
 def private_pem(key) -> bytes:
-    """Write a private key as PEM.
+    """Encode a private key as unencrypted PEM in PKCS #8 format.
 
-    :param key: Ed25519 or elliptic curve key.
-    :returns: PEM.
+    :param key: Ed25519 or elliptic curve private key.
+    :returns: the PEM text.
     """
     return key.private_bytes(
         serialization.Encoding.PEM,
@@ -40,10 +40,10 @@
 
 
 def read_key(path: str) -> Ed25519PrivateKey | str:
-    """Read a member's private key.
+    """Read the private key of a member.
 
     :param path: PEM file.
-    :returns: the key, or what is wrong with the file.
+    :returns: the key, or an error message.
     """
     try:
         key = serialization.load_pem_private_key(
@@ -52,7 +52,7 @@
     except OSError as error:
         return f'{path}: {error.strerror}'
     except (TypeError, ValueError):
-        return f'{path}: expected a PEM file of a private key'
+        return f'{path}: expected an unencrypted PEM private key'
     if isinstance(key, Ed25519PrivateKey):
         return key
-    return f'{path}: expected an Ed25519 key'
+    return f'{path}: expected an Ed25519 private key'
--- a/waxwingford/commands/_output.py
+++ b/waxwingford/commands/_output.py
@@ -1,4 +1,4 @@
-"""What commands print: text or JSON to stdout, progress to stderr."""
+"""Output of commands: results on stdout, errors and progress on stderr."""
 
 import contextlib
 import sys
@@ -9,45 +9,45 @@
 
 import msgspec
 
-_PATIENCE_S = 1
+_PROGRESS_DELAY_S = 1
 
 
-def add_json(parser: ArgumentParser) -> None:
-    """Declare ``--json``.
+def add_json_option(parser: ArgumentParser) -> None:
+    """Add the option ``--json``.
 
-    :param parser: of a command that reads.
+    :param parser: parser of a command that prints results.
     """
     parser.add_argument(
         '--json', action='store_true', help='print JSON instead of text'
     )
 
 
-def show(args: Namespace, answer: Any, text: str) -> None:
-    """Print an answer in the form asked for.
+def print_answer(args: Namespace, answer: Any, text: str) -> None:
+    """Print a result as text or, with ``--json``, as JSON.
 
-    :param args: with ``json``.
-    :param answer: for programs.
-    :param text: for people.
+    :param args: parsed arguments with the ``--json`` option.
+    :param answer: result to encode as JSON.
+    :param text: the same result as text.
     """
     if args.json:
         text = msgspec.json.format(msgspec.json.encode(answer)).decode()
     print(text.rstrip('\n'))
 
 
-def complain(text: str) -> None:
-    """Print a finding or an error.
+def print_error(text: str) -> None:
+    """Print an error message on stderr.
 
     :param text: one or more lines.
     """
     print(text, file=sys.stderr)
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Lay out rows in columns.
+def format_table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
+    """Format rows as a table with aligned columns.
 
-    :param head: names of the columns.
-    :param rows: their cells.
-    :returns: aligned text.
+    :param head: column headings.
+    :param rows: cells of each row.
+    :returns: the table, one line per row.
     """
     lines = [tuple(head), *(tuple(map(str, row)) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
@@ -61,12 +61,12 @@
 
 @contextlib.contextmanager
 def progress(doing: str) -> Iterator[None]:
-    """Say on stderr what goes on, if it takes over a second.
+    """Print a progress message on stderr if the block takes over a second.
 
-    :param doing: for example ``asking 8 daemons``.
-    :yields: while it goes on.
+    :param doing: message, for example ``querying 8 daemons``.
+    :yields: once, to run the block.
     """
-    timer = threading.Timer(_PATIENCE_S, complain, (f'{doing} ...',))
+    timer = threading.Timer(_PROGRESS_DELAY_S, print_error, (f'{doing} ...',))
     timer.daemon = True
     timer.start()
     try:
--- a/waxwingford/commands/_signatures.py
+++ b/waxwingford/commands/_signatures.py
@@ -1,4 +1,4 @@
-"""File in which members collect their signatures over one bundle."""
+"""File that collects the members' signatures over a bundle."""
 
 import pathlib
 
@@ -6,11 +6,11 @@
 
 
 class SignOff(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Signatures so far.
+    """Signatures over a bundle.
 
-    :ivar version: of the bundle.
-    :ivar digest: of the bundle.
-    :ivar signature_by_member: over the digest.
+    :ivar version: version of the bundle.
+    :ivar digest: hexadecimal digest of the bundle.
+    :ivar signature_by_member: signature over the digest by member.
     """
 
     version: int
@@ -19,10 +19,10 @@
 
 
 def read_sign_off(path: str) -> SignOff | str:
-    """Read the file.
+    """Read a signature file.
 
     :param path: JSON file.
-    :returns: the signatures, or what is wrong with the file.
+    :returns: the signatures, or an error message.
     """
     try:
         return msgspec.json.decode(
@@ -31,14 +31,14 @@
     except OSError as error:
         return f'{path}: {error.strerror}'
     except msgspec.DecodeError as error:
-        return f'{path}: expected a file of signatures: {error}'
+        return f'{path}: expected a signature file: {error}'
 
 
 def write_sign_off(path: str, sign_off: SignOff) -> None:
-    """Write the file anew.
+    """Write a signature file, replacing an existing one.
 
     :param path: JSON file.
-    :param sign_off: its content.
+    :param sign_off: signatures to write.
     """
     text = msgspec.json.format(msgspec.json.encode(sign_off)).decode()
     pathlib.Path(path).write_text(f'{text}\n')
--- a/waxwingford/commands/_signed.py
+++ b/waxwingford/commands/_signed.py
@@ -1,4 +1,4 @@
-"""Signed requests of operators: one daemon after the other until one takes."""
+"""Signed operator requests, sent to the daemons of a fleet."""
 
 import asyncio
 import time
@@ -11,117 +11,128 @@
 
 from waxwingford.bundles import sign_request
 from waxwingford.commands._command import ExitCode
-from waxwingford.commands._fleet import Fleet, fleet_of, wanted
+from waxwingford.commands._fleet import Fleet, load_fleet, require_fields
 from waxwingford.commands._http import (
-    HttpAnswer,
+    ConnectionFailed,
     HttpOutcome,
-    NoAnswer,
-    NotReached,
-    ask_all,
-    call,
+    HttpResponse,
+    NoResponse,
+    get_from_all,
+    send_request,
 )
 from waxwingford.commands._keys import read_key
-from waxwingford.commands._output import complain, progress
+from waxwingford.commands._output import print_error, progress
 
-OK = 200
-NOT_FOUND = 404
-_MULTIPLE_CHOICES = 300
-_UNAVAILABLE = 503
-#: Statuses after which the request may have run.
-_UNKNOWN = frozenset((500, 502, 504))
-_MS_IN_S = 1000
+HTTP_OK = 200
+HTTP_NOT_FOUND = 404
+_HTTP_MULTIPLE_CHOICES = 300
+_HTTP_UNAVAILABLE = 503
+#: HTTP statuses that leave open whether the request was executed.
+_OUTCOME_UNKNOWN_STATUSES = frozenset((500, 502, 504))
+_MS_PER_S = 1000
 
 
-def add_signer(parser: ArgumentParser) -> None:
-    """Declare who signs.
+def add_signer_options(parser: ArgumentParser) -> None:
+    """Add the options that name the signing member and its key.
 
-    :param parser: of a command that changes something.
+    :param parser: parser of a command that sends signed requests.
     """
-    parser.add_argument('--member', required=True, help='who asks')
-    parser.add_argument('--key', required=True, help="the member's key file")
+    parser.add_argument('--member', required=True, help='member that signs')
+    parser.add_argument(
+        '--key', required=True, help="file of the member's private key"
+    )
 
 
-def send_signed(
-    args: Namespace, path: str, body: bytes, also_next: int = _UNAVAILABLE
+def post_signed(
+    args: Namespace,
+    path: str,
+    body: bytes,
+    next_status: int = _HTTP_UNAVAILABLE,
 ) -> ExitCode:
-    """Post a signed request to the first daemon that takes it.
+    """Post a signed request to the first daemon that accepts it.
 
-    A daemon that was not reached, or that says that it has not run the
-    request, is followed by the next; after anything else there is no next.
+    The next daemon is tried only if the connection failed or the response
+    says that the request was not executed, so that it never runs twice.
 
-    :param args: with fleet, member and key.
-    :param path: what to post to.
-    :param body: what to post.
-    :param also_next: another status after which the next daemon is asked.
-    :returns: exit code, after the answer was printed.
+    :param args: parsed arguments with the fleet, member and key options.
+    :param path: path of the request.
+    :param body: body of the request.
+    :param next_status: HTTP status, besides 503, after which the next daemon
+        is tried.
+    :returns: exit code, after the outcome was printed.
     """
-    prepared = _prepare(args)
+    prepared = _load_fleet_and_key(args)
     if isinstance(prepared, ExitCode):
         return prepared
     fleet, key = prepared
-    with progress('waiting for an answer'):
+    with progress('waiting for a response'):
         outcome = asyncio.run(
-            _send(fleet, key, args.member, path, body, {also_next})
+            _send(fleet, key, args.member, path, body, {next_status})
         )
-    return _tell(outcome)
+    return _report_outcome(outcome)
+
 
+def get_signed(args: Namespace, path: str) -> list[Any] | ExitCode:
+    """Send a signed GET request to all daemons.
 
-def read_signed(args: Namespace, path: str) -> list[Any] | ExitCode:
-    """Ask all daemons, for a job lives in one failure domain only.
+    All are queried since a job is known in one failure domain only.
 
-    :param args: with fleet, member and key.
-    :param path: what to get.
-    :returns: answers of those that know, or the exit code after a complaint.
+    :param args: parsed arguments with the fleet, member and key options.
+    :param path: path of the request.
+    :returns: decoded bodies of the responses with status 200; or the exit
+        code, after errors were printed, if there are errors only.
     """
-    prepared = _prepare(args)
+    prepared = _load_fleet_and_key(args)
     if isinstance(prepared, ExitCode):
         return prepared
     fleet, key = prepared
-    with progress(f'asking {len(fleet.daemons)} daemons'):
-        outcomes = ask_all(
+    with progress(f'querying {len(fleet.daemons)} daemons'):
+        outcomes = get_from_all(
             fleet,
             fleet.daemons,
             path,
             lambda: _headers(key, args.member, 'GET', path, b''),
         )
-    known = [
+    decoded = [
         msgspec.json.decode(outcome.body)
         for outcome in outcomes.values()
-        if isinstance(outcome, HttpAnswer) and outcome.status == OK
+        if isinstance(outcome, HttpResponse) and outcome.status == HTTP_OK
     ]
-    faults = {address: _fault(outcome) for address, outcome in outcomes.items()}
-    for address, fault in faults.items():
-        if fault:
-            complain(f'{address}: {fault}')
-    if known or not any(faults.values()):
-        return known
+    error_by_address = {
+        address: _error_text(outcome) for address, outcome in outcomes.items()
+    }
+    for address, error_text in error_by_address.items():
+        if error_text:
+            print_error(f'{address}: {error_text}')
+    if decoded or not any(error_by_address.values()):
+        return decoded
     is_refused = any(
-        isinstance(outcome, HttpAnswer) for outcome in outcomes.values()
+        isinstance(outcome, HttpResponse) for outcome in outcomes.values()
     )
     return ExitCode.findings if is_refused else ExitCode.unreachable
 
 
-def _fault(outcome: HttpOutcome) -> str:
+def _error_text(outcome: HttpOutcome) -> str:
     match outcome:
-        case NotReached(reason) | NoAnswer(reason):
+        case ConnectionFailed(reason) | NoResponse(reason):
             return reason
-        case HttpAnswer(status) if status in {OK, NOT_FOUND}:
+        case HttpResponse(status) if status in {HTTP_OK, HTTP_NOT_FOUND}:
             return ''
-        case HttpAnswer(status, body):
+        case HttpResponse(status, body):
             return f'{status} {body.decode(errors="replace")}'
 
 
-def _prepare(
+def _load_fleet_and_key(
     args: Namespace,
 ) -> tuple[Fleet, Ed25519PrivateKey] | ExitCode:
-    fleet = fleet_of(args)
+    fleet = load_fleet(args)
     if isinstance(fleet, ExitCode):
         return fleet
-    if not wanted(fleet, 'daemons'):
+    if not require_fields(fleet, 'daemons'):
         return ExitCode.usage
     key = read_key(args.key)
     if isinstance(key, str):
-        complain(key)
+        print_error(key)
         return ExitCode.usage
     return fleet, key
 
@@ -129,7 +140,7 @@
 def _headers(
     key: Ed25519PrivateKey, member: str, method: str, path: str, body: bytes
 ) -> dict[str, str]:
-    wall_ms = int(time.time() * _MS_IN_S)
+    wall_ms = int(time.time() * _MS_PER_S)
     return sign_request(key, member, method, path, body, wall_ms)
 
 
@@ -144,51 +155,53 @@
     outcomes: list[HttpOutcome] = []
     for address in fleet.daemons:
         headers = _headers(key, member, 'POST', path, body)
-        outcome = await call(fleet, address, 'POST', path, body, headers)
-        if not _asks_next(outcome, next_statuses | {_UNAVAILABLE}):
+        outcome = await send_request(
+            fleet, address, 'POST', path, body, headers
+        )
+        if not _should_try_next(outcome, next_statuses | {_HTTP_UNAVAILABLE}):
             return outcome
         outcomes.append(outcome)
-    return _most_telling(outcomes)
+    return _final_outcome(outcomes)
 
 
-def _asks_next(outcome: HttpOutcome, statuses: set[int]) -> bool:
+def _should_try_next(outcome: HttpOutcome, statuses: set[int]) -> bool:
     match outcome:
-        case NotReached():
+        case ConnectionFailed():
             return True
-        case HttpAnswer(status):
+        case HttpResponse(status):
             return status in statuses
-        case NoAnswer():
+        case NoResponse():
             return False
 
 
-def _most_telling(outcomes: Sequence[HttpOutcome]) -> HttpOutcome:
+def _final_outcome(outcomes: Sequence[HttpOutcome]) -> HttpOutcome:
     answers = [
-        outcome for outcome in outcomes if isinstance(outcome, HttpAnswer)
+        outcome for outcome in outcomes if isinstance(outcome, HttpResponse)
     ]
     return answers[-1] if answers else outcomes[-1]
 
 
-def _tell(outcome: HttpOutcome) -> ExitCode:
+def _report_outcome(outcome: HttpOutcome) -> ExitCode:
     match outcome:
-        case NotReached(reason):
-            complain(f'not sent: {reason}')
+        case ConnectionFailed(reason):
+            print_error(f'not sent: {reason}')
             return ExitCode.unreachable
-        case NoAnswer(reason):
-            complain(f'unknown, it may have taken effect: {reason}')
+        case NoResponse(reason):
+            print_error(f'unknown, it may have taken effect: {reason}')
             return ExitCode.unknown
-        case HttpAnswer(status, body, retry_after):
-            return _tell_answer(
+        case HttpResponse(status, body, retry_after):
+            return _report_response(
                 status, body.decode(errors='replace'), retry_after
             )
 
 
-def _tell_answer(status: int, text: str, retry_after: str) -> ExitCode:
-    if status < _MULTIPLE_CHOICES:
+def _report_response(status: int, text: str, retry_after: str) -> ExitCode:
+    if status < _HTTP_MULTIPLE_CHOICES:
         print(text.rstrip('\n'))
         return ExitCode.ok
-    if status in _UNKNOWN:
-        complain(f'unknown, it may have taken effect: {status} {text}')
+    if status in _OUTCOME_UNKNOWN_STATUSES:
+        print_error(f'unknown, it may have taken effect: {status} {text}')
         return ExitCode.unknown
-    hint = f' (again after {retry_after} s)' if retry_after else ''
-    complain(f'refused, nothing changed: {status} {text}{hint}')
+    hint = f' (retry after {retry_after} s)' if retry_after else ''
+    print_error(f'refused, nothing changed: {status} {text}{hint}')
     return ExitCode.findings
--- a/waxwingford/commands/bundle_rollout.py
+++ b/waxwingford/commands/bundle_rollout.py
@@ -1,4 +1,4 @@
-"""Commands that reach the log or daemons: bundle head, publish, status."""
+"""Commands ``bundle head``, ``bundle publish`` and ``bundle status``."""
 
 import asyncio
 from argparse import ArgumentParser, Namespace
@@ -18,42 +18,47 @@
     publish,
 )
 from waxwingford.commands._bundle_files import (
-    add_file,
+    add_source_argument,
+    load_source,
     source_digest,
-    source_of,
 )
 from waxwingford.commands._command import Command, ExitCode, commands
-from waxwingford.commands._fleet import Fleet, add_fleet, fleet_of, wanted
-from waxwingford.commands._http import HttpAnswer, ask_all
+from waxwingford.commands._fleet import (
+    Fleet,
+    add_fleet_options,
+    load_fleet,
+    require_fields,
+)
+from waxwingford.commands._http import HttpResponse, get_from_all
 from waxwingford.commands._output import (
-    add_json,
-    complain,
+    add_json_option,
+    format_table,
+    print_answer,
+    print_error,
     progress,
-    show,
-    table,
 )
 from waxwingford.commands._signatures import SignOff, read_sign_off
 from waxwingford.ports import LogUnavailable
 
 _LOG_TIMEOUT_MS = 5000
-_OK = 200
+_HTTP_OK = 200
 
 
 def _add_head(parser: ArgumentParser) -> None:
-    add_fleet(parser)
-    add_json(parser)
+    add_fleet_options(parser)
+    add_json_option(parser)
 
 
-def _head(args: Namespace) -> ExitCode:
-    fleet = fleet_of(args)
+def _show_head(args: Namespace) -> ExitCode:
+    fleet = load_fleet(args)
     if isinstance(fleet, ExitCode):
         return fleet
-    if not wanted(fleet, 'log_url', 'trust'):
+    if not require_fields(fleet, 'log_url', 'trust'):
         return ExitCode.usage
     with progress('reading the log'):
         located = asyncio.run(_locate(fleet))
     if isinstance(located, LogUnavailable):
-        complain(f'log: {located.reason}')
+        print_error(f'log: {located.reason}')
         return ExitCode.unreachable
     current = located.chain.current
     answer = {
@@ -61,7 +66,9 @@
         'digest': current.digest if current else '',
         'next_offset': located.next_offset,
     }
-    show(args, answer, '\n'.join(f'{key} {answer[key]}' for key in answer))
+    print_answer(
+        args, answer, '\n'.join(f'{key} {answer[key]}' for key in answer)
+    )
     return ExitCode.ok if current else ExitCode.findings
 
 
@@ -80,41 +87,43 @@
 
 
 def _add_publish(parser: ArgumentParser) -> None:
-    add_file(parser)
+    add_source_argument(parser)
     parser.add_argument(
-        '--signatures', required=True, help='signatures of every member'
+        '--signatures', required=True, help="file of all members' signatures"
     )
     parser.add_argument(
         '--restate',
         action='store_true',
-        help='the log has lost all proof of what governs: state it again',
+        help='publish the newest bundle again after the log lost it',
     )
-    add_fleet(parser)
-    add_json(parser)
+    add_fleet_options(parser)
+    add_json_option(parser)
 
 
 def _publish(args: Namespace) -> ExitCode:
-    fleet = fleet_of(args)
+    fleet = load_fleet(args)
     if isinstance(fleet, ExitCode):
         return fleet
-    if not wanted(fleet, 'log_url', 'trust'):
+    if not require_fields(fleet, 'log_url', 'trust'):
         return ExitCode.usage
-    bundle = source_of(args)
+    bundle = load_source(args)
     if bundle is None:
         return ExitCode.findings
     sign_off = read_sign_off(args.signatures)
     if isinstance(sign_off, str):
-        complain(sign_off)
+        print_error(sign_off)
         return ExitCode.usage
     if sign_off.digest != source_digest(bundle):
-        complain(f'{args.signatures}: signed other content than {args.file}')
+        print_error(f'{args.signatures}: signatures do not match {args.file}')
         return ExitCode.findings
     with progress('publishing'):
-        outcome = asyncio.run(_append(fleet, bundle, sign_off, args.restate))
-    return _tell(args, outcome)
+        outcome = asyncio.run(
+            _publish_to_log(fleet, bundle, sign_off, args.restate)
+        )
+    return _report_outcome(args, outcome)
 
 
-async def _append(
+async def _publish_to_log(
     fleet: Fleet, bundle: Bundle, sign_off: SignOff, restate: bool
 ) -> PublishOutcome:
     log = _open_log(fleet)
@@ -130,54 +139,63 @@
         await log.close()
 
 
-def _tell(args: Namespace, outcome: PublishOutcome) -> ExitCode:
+def _report_outcome(args: Namespace, outcome: PublishOutcome) -> ExitCode:
     match outcome:
         case Published(version, digest, offset):
             answer = {'version': version, 'digest': digest, 'offset': offset}
             place = f'offset {offset}' if offset >= 0 else 'before this call'
-            show(args, answer, f'version {version} in force since {place}')
+            print_answer(
+                args, answer, f'version {version} in force since {place}'
+            )
             return ExitCode.ok
         case PublishRefused(reason):
-            complain(f'refused, nothing changed: {reason}')
+            print_error(f'refused, nothing changed: {reason}')
             return ExitCode.findings
         case PublishUnavailable(reason):
-            complain(f'not published, try again: {reason}')
+            print_error(f'not published, try again: {reason}')
             return ExitCode.unreachable
         case PublishUnknown(reason):
-            complain(f'unknown, publish again (harmless if it did): {reason}')
+            print_error(f'outcome unknown, safe to publish again: {reason}')
             return ExitCode.unknown
 
 
 def _add_status(parser: ArgumentParser) -> None:
-    add_fleet(parser)
-    add_json(parser)
+    add_fleet_options(parser)
+    add_json_option(parser)
 
 
 def _status(args: Namespace) -> ExitCode:
-    fleet = fleet_of(args)
+    fleet = load_fleet(args)
     if isinstance(fleet, ExitCode):
         return fleet
-    if not wanted(fleet, 'daemons'):
+    if not require_fields(fleet, 'daemons'):
         return ExitCode.usage
-    with progress(f'asking {len(fleet.daemons)} daemons'):
-        answers = ask_all(fleet, fleet.daemons, '/v1/status')
-    told = {address: _bundle_in(answer) for address, answer in answers.items()}
+    with progress(f'querying {len(fleet.daemons)} daemons'):
+        outcomes = get_from_all(fleet, fleet.daemons, '/v1/status')
+    status_by_address = {
+        address: _bundle_status(outcome)
+        for address, outcome in outcomes.items()
+    }
     rows = [
         (address, row['version'], row['digest'], row['missing'])
-        for address, row in told.items()
+        for address, row in status_by_address.items()
     ]
-    show(args, told, table(('daemon', 'version', 'digest', 'missing'), rows))
-    if any(row['version'] is None for row in told.values()):
+    print_answer(
+        args,
+        status_by_address,
+        format_table(('daemon', 'version', 'digest', 'missing'), rows),
+    )
+    if any(row['version'] is None for row in status_by_address.values()):
         return ExitCode.unreachable
-    digests = {row['digest'] for row in told.values()}
+    digests = {row['digest'] for row in status_by_address.values()}
     return ExitCode.ok if len(digests) == 1 else ExitCode.findings
 
 
-def _bundle_in(answer) -> dict[str, object]:
-    if not (isinstance(answer, HttpAnswer) and answer.status == _OK):
-        reason = getattr(answer, 'reason', 'refused')
+def _bundle_status(outcome) -> dict[str, object]:
+    if not (isinstance(outcome, HttpResponse) and outcome.status == _HTTP_OK):
+        reason = getattr(outcome, 'reason', 'refused')
         return {'version': None, 'digest': '', 'missing': reason}
-    status = msgspec.json.decode(answer.body)
+    status = msgspec.json.decode(outcome.body)
     return {
         'version': status['bundle']['version'],
         'digest': status['bundle']['digest'],
@@ -186,11 +204,13 @@
 
 
 commands.register('bundle head')(
-    Command('show what the log says is in force', _add_head, _head)
+    Command(
+        'show the bundle in force according to the log', _add_head, _show_head
+    )
 )
 commands.register('bundle publish')(
     Command('publish a signed bundle', _add_publish, _publish)
 )
 commands.register('bundle status')(
-    Command('show the bundle in force by daemon', _add_status, _status)
+    Command('show the bundle in force at each daemon', _add_status, _status)
 )
--- a/waxwingford/commands/explain.py
+++ b/waxwingford/commands/explain.py
@@ -1,11 +1,15 @@
-"""Command ``explain``: the history of a job from log files."""
+"""Command ``explain``: prints the history of a job from log files."""
 
 import sys
 from argparse import ArgumentParser, Namespace
 from collections.abc import Iterator
 
 from waxwingford.commands._command import Command, ExitCode, commands
-from waxwingford.commands._output import add_json, complain, show
+from waxwingford.commands._output import (
+    add_json_option,
+    print_answer,
+    print_error,
+)
 from waxwingford.timeline import (
     about,
     events_of_lines,
@@ -16,8 +20,8 @@
 _STANDARD_INPUT = '-'
 
 
-def _add(parser: ArgumentParser) -> None:
-    parser.add_argument('id', metavar='ID', help='job, or a task of it')
+def _add_arguments(parser: ArgumentParser) -> None:
+    parser.add_argument('id', metavar='ID', help='job id or task id')
     parser.add_argument(
         'files',
         metavar='FILE',
@@ -25,20 +29,20 @@
         default=[_STANDARD_INPUT],
         help='log files of scheduler daemons, - for standard input (default)',
     )
-    add_json(parser)
+    add_json_option(parser)
 
 
 def _run(args: Namespace) -> ExitCode:
     try:
         lines = [line for name in args.files for line in _lines(name)]
     except OSError as error:
-        complain(f'{error.filename}: {error.strerror}, expected a log file')
+        print_error(f'{error.filename}: {error.strerror}, expected a log file')
         return ExitCode.usage
     merged = about(merge_events(events_of_lines(lines)), args.id)
     if not any(event.subject.startswith(args.id) for event in merged):
-        complain(f'{args.id}: no line is about it')
+        print_error(f'{args.id}: not found in the log files')
         return ExitCode.findings
-    show(args, merged, render_text(merged))
+    print_answer(args, merged, render_text(merged))
     return ExitCode.ok
 
 
@@ -51,5 +55,5 @@
 
 
 commands.register('explain')(
-    Command('print the history of a job from log files', _add, _run)
+    Command('print the history of a job from log files', _add_arguments, _run)
 )
--- a/waxwingford/commands/fleet_status.py
+++ b/waxwingford/commands/fleet_status.py
@@ -6,12 +6,25 @@
 import msgspec
 
 from waxwingford.commands._command import Command, ExitCode, commands
-from waxwingford.commands._fleet import add_fleet, fleet_of, wanted
-from waxwingford.commands._http import HttpAnswer, HttpOutcome, ask_all
-from waxwingford.commands._output import add_json, progress, show, table
-from waxwingford.commands._signed import OK, add_signer, send_signed
+from waxwingford.commands._fleet import (
+    add_fleet_options,
+    load_fleet,
+    require_fields,
+)
+from waxwingford.commands._http import HttpOutcome, HttpResponse, get_from_all
+from waxwingford.commands._output import (
+    add_json_option,
+    format_table,
+    print_answer,
+    progress,
+)
+from waxwingford.commands._signed import (
+    HTTP_OK,
+    add_signer_options,
+    post_signed,
+)
 
-_HEAD = (
+_COLUMNS = (
     'address',
     'daemon',
     'domain',
@@ -25,38 +38,39 @@
 
 
 def _add_status(parser: ArgumentParser) -> None:
-    add_fleet(parser)
-    add_json(parser)
+    add_fleet_options(parser)
+    add_json_option(parser)
 
 
 def _status(args: Namespace) -> ExitCode:
-    fleet = fleet_of(args)
+    fleet = load_fleet(args)
     if isinstance(fleet, ExitCode):
         return fleet
-    if not wanted(fleet, 'daemons'):
+    if not require_fields(fleet, 'daemons'):
         return ExitCode.usage
-    with progress(f'asking {len(fleet.daemons)} daemons'):
-        outcomes = ask_all(fleet, fleet.daemons, '/v1/status')
+    with progress(f'querying {len(fleet.daemons)} daemons'):
+        outcomes = get_from_all(fleet, fleet.daemons, '/v1/status')
     status_by_address = {
-        address: _status_in(outcome) for address, outcome in outcomes.items()
+        address: _decode_status(outcome)
+        for address, outcome in outcomes.items()
     }
     rows = [_row(*pair) for pair in status_by_address.items()]
-    show(args, status_by_address, table(_HEAD, rows))
-    if not all('daemon' in told for told in status_by_address.values()):
+    print_answer(args, status_by_address, format_table(_COLUMNS, rows))
+    if not all('daemon' in status for status in status_by_address.values()):
         return ExitCode.unreachable
-    is_ready = all(told['ready'] for told in status_by_address.values())
+    is_ready = all(status['ready'] for status in status_by_address.values())
     return ExitCode.ok if is_ready else ExitCode.findings
 
 
-def _status_in(outcome: HttpOutcome) -> dict[str, Any]:
-    if isinstance(outcome, HttpAnswer) and outcome.status == OK:
+def _decode_status(outcome: HttpOutcome) -> dict[str, Any]:
+    if isinstance(outcome, HttpResponse) and outcome.status == HTTP_OK:
         return msgspec.json.decode(outcome.body)
     return {'error': getattr(outcome, 'reason', 'refused')}
 
 
 def _row(address: str, status: dict[str, Any]) -> list[object]:
     cell_by_column = {'address': address, **_cells(status)}
-    return [cell_by_column.get(column, '') for column in _HEAD]
+    return [cell_by_column.get(column, '') for column in _COLUMNS]
 
 
 def _cells(status: dict[str, Any]) -> dict[str, object]:
@@ -75,19 +89,21 @@
 
 
 def _add_drain(parser: ArgumentParser) -> None:
-    parser.add_argument('daemon', metavar='ADDRESS:PORT', help='which daemon')
-    add_signer(parser)
-    add_fleet(parser)
+    parser.add_argument(
+        'daemon', metavar='ADDRESS:PORT', help='daemon to drain'
+    )
+    add_signer_options(parser)
+    add_fleet_options(parser)
 
 
 def _drain(args: Namespace) -> ExitCode:
     args.daemons = args.daemon
-    return send_signed(args, '/v1/drain', b'')
+    return post_signed(args, '/v1/drain', b'')
 
 
 commands.register('status')(
-    Command('show all daemons of a fleet', _add_status, _status)
+    Command('show the status of all daemons of a fleet', _add_status, _status)
 )
 commands.register('drain')(
-    Command('start the planned stop of a daemon', _add_drain, _drain)
+    Command('drain a daemon and stop it', _add_drain, _drain)
 )
--- a/waxwingford/commands/jobs.py
+++ b/waxwingford/commands/jobs.py
@@ -7,21 +7,21 @@
 import msgspec
 
 from waxwingford.commands._command import Command, ExitCode, commands
-from waxwingford.commands._fleet import add_fleet
+from waxwingford.commands._fleet import add_fleet_options
 from waxwingford.commands._output import (
-    add_json,
-    complain,
-    show,
-    table,
+    add_json_option,
+    format_table,
+    print_answer,
+    print_error,
 )
 from waxwingford.commands._signed import (
-    NOT_FOUND,
-    add_signer,
-    read_signed,
-    send_signed,
+    HTTP_NOT_FOUND,
+    add_signer_options,
+    get_signed,
+    post_signed,
 )
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 _TASK_COLUMNS = (
     'task_id',
     'stage',
@@ -30,8 +30,8 @@
     'waits_for',
     'detail',
 )
-#: Fields of a job that are numbers, with their defaults.
-_NUMBERS = (
+#: Integer options of ``jobs submit`` with their defaults.
+_INTEGER_OPTIONS = (
     ('tasks', 1),
     ('processors-milli', 1000),
     ('memory-mb', 1024),
@@ -44,14 +44,16 @@
 
 
 def _add_submit(parser: ArgumentParser) -> None:
-    parser.add_argument('name', help='unique among the jobs of the member')
+    parser.add_argument('name', help="unique among the member's jobs")
     parser.add_argument('--team', required=True)
     parser.add_argument('--kind', required=True, help='batch kind')
-    parser.add_argument('--payload', default='', help='for backend servers')
-    for name, default in _NUMBERS:
+    parser.add_argument(
+        '--payload', default='', help='passed to backend servers'
+    )
+    for name, default in _INTEGER_OPTIONS:
         parser.add_argument(f'--{name}', type=int, default=default)
-    add_signer(parser)
-    add_fleet(parser)
+    add_signer_options(parser)
+    add_fleet_options(parser)
 
 
 def _submit(args: Namespace) -> ExitCode:
@@ -71,28 +73,28 @@
         'finish_by_wall_ms': args.finish_by_wall_ms,
         'lost_after_ms': args.lost_after_ms,
         'payload': args.payload,
-        'submitted_wall_ms': int(time.time() * _MS_IN_S),
+        'submitted_wall_ms': int(time.time() * _MS_PER_S),
     }
-    return send_signed(args, '/v1/jobs', msgspec.json.encode(job))
+    return post_signed(args, '/v1/jobs', msgspec.json.encode(job))
 
 
 def _add_list(parser: ArgumentParser) -> None:
-    add_signer(parser)
-    add_fleet(parser)
-    add_json(parser)
+    add_signer_options(parser)
+    add_fleet_options(parser)
+    add_json_option(parser)
 
 
 def _list(args: Namespace) -> ExitCode:
-    answers = read_signed(args, '/v1/jobs')
+    answers = get_signed(args, '/v1/jobs')
     if isinstance(answers, ExitCode):
         return answers
-    # Every daemon of a failure domain lists the same jobs.
+    # Daemons of the same failure domain list the same jobs.
     job_by_id = {job['job_id']: job for jobs in answers for job in jobs}
     rows = [
         (job_id, job['state'], _counts(job))
         for job_id, job in sorted(job_by_id.items())
     ]
-    show(args, job_by_id, table(('job', 'state', 'tasks'), rows))
+    print_answer(args, job_by_id, format_table(('job', 'state', 'tasks'), rows))
     return ExitCode.ok
 
 
@@ -106,38 +108,38 @@
 
 def _add_show(parser: ArgumentParser) -> None:
     parser.add_argument('job', metavar='JOB', help='<member>.<name>')
-    add_signer(parser)
-    add_fleet(parser)
-    add_json(parser)
+    add_signer_options(parser)
+    add_fleet_options(parser)
+    add_json_option(parser)
 
 
 def _show(args: Namespace) -> ExitCode:
-    answers = read_signed(args, f'/v1/jobs/{args.job}')
+    answers = get_signed(args, f'/v1/jobs/{args.job}')
     if isinstance(answers, ExitCode):
         return answers
     if not answers:
-        complain(f'{args.job}: no daemon knows such a job of {args.member}')
+        print_error(f'{args.job}: no such job of {args.member} at any daemon')
         return ExitCode.findings
     job = answers[0]
     rows = [[task[column] for column in _TASK_COLUMNS] for task in job['tasks']]
     lines = [
         f'{job["job_id"]}: {job["state"]}, {_counts(job)}',
         *(f'failed: {reason}' for reason in job['reasons']),
-        table(_TASK_COLUMNS, rows),
+        format_table(_TASK_COLUMNS, rows),
     ]
-    show(args, job, '\n'.join(lines))
+    print_answer(args, job, '\n'.join(lines))
     return ExitCode.ok
 
 
 def _add_cancel(parser: ArgumentParser) -> None:
     parser.add_argument('job', metavar='JOB', help='<member>.<name>')
-    add_signer(parser)
-    add_fleet(parser)
+    add_signer_options(parser)
+    add_fleet_options(parser)
 
 
 def _cancel(args: Namespace) -> ExitCode:
-    # A daemon of another failure domain does not know the job: ask the next.
-    return send_signed(args, f'/v1/jobs/{args.job}/cancel', b'', NOT_FOUND)
+    # Daemons of other failure domains answer 404: try the next.
+    return post_signed(args, f'/v1/jobs/{args.job}/cancel', b'', HTTP_NOT_FOUND)
 
 
 commands.register('jobs submit')(
@@ -145,6 +147,6 @@
 )
 commands.register('jobs list')(Command('list batch jobs', _add_list, _list))
 commands.register('jobs show')(
-    Command('show a job and why its tasks wait', _add_show, _show)
+    Command('show a job and why its tasks are pending', _add_show, _show)
 )
-commands.register('jobs cancel')(Command('give a job up', _add_cancel, _cancel))
+commands.register('jobs cancel')(Command('cancel a job', _add_cancel, _cancel))
--- a/waxwingford/commands/keys.py
+++ b/waxwingford/commands/keys.py
@@ -12,24 +12,24 @@
 from waxwingford.commands._certificates import make_certificate
 from waxwingford.commands._command import Command, ExitCode, commands
 from waxwingford.commands._keys import private_pem, read_key, write_private
-from waxwingford.commands._output import complain
+from waxwingford.commands._output import print_error
 
-#: Keeps such a signature from passing as that of a bundle or a request.
-_DOMAIN = b'waxwingford statement v1\x00'
+#: Domain separation from the signatures of bundles and requests.
+_SIGNATURE_PREFIX = b'waxwingford statement v1\x00'
 
 
 def _add_make(parser: ArgumentParser) -> None:
-    whose = parser.add_mutually_exclusive_group(required=True)
-    whose.add_argument('--member', help='make the signing key of a member')
-    whose.add_argument(
+    owner = parser.add_mutually_exclusive_group(required=True)
+    owner.add_argument('--member', help='make the signing key of a member')
+    owner.add_argument(
         '--tls',
         metavar='DAEMON',
         help="make a daemon's certificate, and the authority if there is none",
     )
     parser.add_argument(
-        '--host', metavar='IP', default='', help='IP number of the daemon'
+        '--host', metavar='IP', default='', help='IP address of the daemon'
     )
-    parser.add_argument('--directory', required=True, help='where to put it')
+    parser.add_argument('--directory', required=True, help='output directory')
 
 
 def _make(args: Namespace) -> ExitCode:
@@ -40,7 +40,7 @@
     key = Ed25519PrivateKey.generate()
     path = directory / f'{args.member}.pem'
     if not write_private(path, private_pem(key)):
-        complain(f'{path}: is there already; a key is never overwritten')
+        print_error(f'{path}: already exists; keys are never overwritten')
         return ExitCode.findings
     (directory / f'{args.member}.pub').write_text(f'{public_text(key)}\n')
     print('[trust.public_key_by_member]')
@@ -52,9 +52,9 @@
     directory: pathlib.Path, name: str, host: str
 ) -> ExitCode:
     now = datetime.datetime.now(datetime.UTC)
-    fault = make_certificate(directory, name, host, now)
-    if fault:
-        complain(fault)
+    error = make_certificate(directory, name, host, now)
+    if error:
+        print_error(error)
         return ExitCode.findings
     print('[tls]')
     print(f'certificate_file = "{name}.crt"')
@@ -65,25 +65,27 @@
 
 def _add_sign(parser: ArgumentParser) -> None:
     parser.add_argument('--key', required=True, help='private key file')
-    parser.add_argument('file', metavar='FILE', help='statement; - for stdin')
+    parser.add_argument(
+        'file', metavar='FILE', help='statement to sign; - for stdin'
+    )
 
 
 def _sign(args: Namespace) -> ExitCode:
     key = read_key(args.key)
     if isinstance(key, str):
-        complain(key)
+        print_error(key)
         return ExitCode.usage
     statement = (
         sys.stdin.buffer.read()
         if args.file == '-'
         else pathlib.Path(args.file).read_bytes()
     )
-    print(base64.b64encode(key.sign(_DOMAIN + statement)).decode())
+    print(base64.b64encode(key.sign(_SIGNATURE_PREFIX + statement)).decode())
     return ExitCode.ok
 
 
 commands.register('keys make')(
-    Command("make a member's key, or a daemon's certificate", _add_make, _make)
+    Command("make a member's key or a daemon's certificate", _add_make, _make)
 )
 commands.register('keys sign')(
     Command("sign a statement with a member's key", _add_sign, _sign)
--- a/waxwingford/commands/main.py
+++ b/waxwingford/commands/main.py
@@ -25,27 +25,27 @@
 
 
 def build_parser() -> ArgumentParser:
-    """Build the parser from all commands that registered themselves.
+    """Build the parser of all registered commands.
 
-    :returns: the parser.
+    :returns: parser of the whole command line.
     """
     load_plugins(f'waxwingford.commands.{name}' for name in _MODULES)
     parser = ArgumentParser(prog='waxwingford', epilog=_EPILOG)
     top = parser.add_subparsers(required=True, metavar='COMMAND')
     groups: dict[str, Any] = {}
-    for words in commands.names():
-        group, _, name = words.partition(' ')
+    for full_name in commands.names():
+        group, _, name = full_name.partition(' ')
         if name and group not in groups:
             inner = top.add_parser(group, help=f'{group} commands')
             groups[group] = inner.add_subparsers(
                 required=True, metavar='COMMAND'
             )
-        _add(groups[group] if name else top, name or group, words)
+        _add_command(groups[group] if name else top, name or group, full_name)
     return parser
 
 
-def _add(parsers: Any, name: str, words: str) -> None:
-    command = commands.get(words)
+def _add_command(parsers: Any, name: str, full_name: str) -> None:
+    command = commands.get(full_name)
     parser = parsers.add_parser(
         name, help=command.about, description=command.about, epilog=_EPILOG
     )
@@ -54,20 +54,20 @@
 
 
 def run(arguments: Sequence[str]) -> ExitCode:
-    """Run one command.
+    """Parse a command line and run its command.
 
-    :param arguments: as typed, without the program's name.
-    :returns: exit code.
+    :param arguments: command line without the program name.
+    :returns: exit code of the command.
     """
     args: Namespace = build_parser().parse_args(arguments)
     command: Command = args.command
     try:
         return command.run(args)
     except KeyboardInterrupt:
-        # Nobody knows how far a change got.
+        # The command may have been interrupted after its request was sent.
         return ExitCode.unknown
 
 
 def main() -> None:
-    """Run the command that was typed and exit with its code."""
+    """Run the command given in ``sys.argv`` and exit with its code."""
     sys.exit(run(sys.argv[1:]))
--- a/waxwingford/commands/settings_files.py
+++ b/waxwingford/commands/settings_files.py
@@ -3,7 +3,7 @@
 from argparse import ArgumentParser, Namespace
 
 from waxwingford.commands._command import Command, ExitCode, commands
-from waxwingford.commands._output import add_json, show
+from waxwingford.commands._output import add_json_option, print_answer
 from waxwingford.settings import (
     SettingsInvalid,
     is_for_scheduler,
@@ -14,8 +14,8 @@
 
 
 def _add_check(parser: ArgumentParser) -> None:
-    parser.add_argument('file', metavar='FILE', help='settings of a daemon')
-    add_json(parser)
+    parser.add_argument('file', metavar='FILE', help='settings file, TOML')
+    add_json_option(parser)
 
 
 def _check(args: Namespace) -> ExitCode:
@@ -26,14 +26,14 @@
     if isinstance(loaded, SettingsInvalid):
         problems = [problem._asdict() for problem in loaded.problems]
         text = '\n'.join(map(str, loaded.problems))
-        show(args, {'problems': problems}, text)
+        print_answer(args, {'problems': problems}, text)
         return ExitCode.findings
-    show(args, {'problems': []}, f'{args.file}: no problems')
+    print_answer(args, {'problems': []}, f'{args.file}: no problems')
     return ExitCode.ok
 
 
 def _add_table(parser: ArgumentParser) -> None:
-    """Take no arguments.
+    """Add no arguments.
 
     :param parser: unused.
     """
@@ -48,5 +48,5 @@
     Command("check a daemon's settings file", _add_check, _check)
 )
 commands.register('settings table')(
-    Command('print the page of all settings', _add_table, _table)
+    Command('print the reference page of all settings', _add_table, _table)
 )
--- a/waxwingford/commands/tests/commands_steps.py
+++ b/waxwingford/commands/tests/commands_steps.py
@@ -33,8 +33,8 @@
 
 
 @fixture
-def served(context, application):
-    """Serve from a thread, for commands run their own loop."""
+def serve_application(context, application):
+    """Serve from a thread, since commands run their own event loop."""
     loop = asyncio.new_event_loop()
 
     async def start():
@@ -54,15 +54,15 @@
 
 
 @fixture
-def absent(context):
+def unused_port(context):
     with socket.socket() as unused:
-        # Bound, but not listening: a connection is refused.
+        # Bound but not listening: connections are refused.
         unused.bind(('127.0.0.1', 0))
         yield unused.getsockname()[1]
 
 
-def answering(context, kind):
-    """Make a daemon that checks the signature and answers one way."""
+def make_daemon_stub(context, kind):
+    """Make a daemon that verifies signatures and always responds alike."""
 
     async def answer(request):
         body = await request.read()
@@ -75,7 +75,7 @@
             SystemClock().wall_ms(),
             NonceCache(),
         )
-        context.asked.append(verdict)
+        context.verification_results.append(verdict)
         if kind == 'broken':
             request.transport.abort()
             return web.Response()
@@ -86,14 +86,16 @@
     return application
 
 
-@given('two daemons that answer "{first}" and "{second}"')
+@given('two daemons that respond with "{first}" and "{second}"')
 def two_daemons(context, first, second):
-    use_fixture(operators_directory, context)
-    context.asked = []
+    use_fixture(temporary_directory, context)
+    context.verification_results = []
     ports = [
-        use_fixture(absent, context)
+        use_fixture(unused_port, context)
         if kind == 'absent'
-        else use_fixture(served, context, answering(context, kind))
+        else use_fixture(
+            serve_application, context, make_daemon_stub(context, kind)
+        )
         for kind in (first, second)
     ]
     context.addresses = ','.join(f'127.0.0.1:{port}' for port in ports)
@@ -101,9 +103,9 @@
     key.write_bytes(private_pem(KEY_BY_MEMBER['qadri']))
 
 
-@when('qadri submits a job to both')
+@when('qadri submits a job to both daemons')
 def submit_job(context):
-    type_command(
+    run_command(
         context,
         'jobs submit night --team deposits --kind archive --member qadri --key',
         context.directory / 'qadri.pem',
@@ -112,20 +114,24 @@
     )
 
 
-@then('{count:d} daemons were asked with a signature that holds')
-def were_asked(context, count):
-    assert len(context.asked) == count, context.asked
-    assert set(context.asked) == {Verified('qadri')}, context.asked
+@then('{count:d} daemons received a request with a valid signature')
+def check_requested_daemons(context, count):
+    assert len(context.verification_results) == count, (
+        context.verification_results
+    )
+    assert set(context.verification_results) == {Verified('qadri')}, (
+        context.verification_results
+    )
 
 
 @fixture
-def operators_directory(context):
+def temporary_directory(context):
     with tempfile.TemporaryDirectory() as directory:
         context.directory = pathlib.Path(directory)
         yield
 
 
-def type_command(context, words, *arguments):
+def run_command(context, words, *arguments):
     output = io.StringIO()
     with (
         contextlib.redirect_stdout(output),
@@ -137,13 +143,13 @@
 
 
 def make_key(context, member):
-    return type_command(
+    return run_command(
         context, 'keys make --member', member, '--directory', context.directory
     )
 
 
 def sign(context, member):
-    type_command(
+    run_command(
         context,
         'bundle sign --member',
         member,
@@ -156,7 +162,7 @@
 
 
 def publish(context):
-    type_command(
+    run_command(
         context,
         'bundle publish',
         context.source,
@@ -168,11 +174,11 @@
 
 
 @given('keys of two members, a log, and the bundle of "{name}"')
-def operators(context, name):
+def make_operator_files(context, name):
     context.core = LogCore()
     service = PlatformService(context.core, VmListCore(), SystemClock())
-    port = use_fixture(served, context, service.application())
-    use_fixture(operators_directory, context)
+    port = use_fixture(serve_application, context, service.application())
+    use_fixture(temporary_directory, context)
     trust = '[trust.public_key_by_member]\n'
     for member in ('qadri', 'svatbena'):
         output = make_key(context, member)
@@ -184,22 +190,22 @@
 
 
 @when('both members sign it and it is published')
-def both_publish(context):
+def publish_with_both_signatures(context):
     sign(context, 'qadri')
     sign(context, 'svatbena')
     publish(context)
 
 
 @when('only qadri signs it and it is published')
-def one_publishes(context):
+def publish_with_one_signature(context):
     sign(context, 'qadri')
     publish(context)
 
 
-@when('the log goes away, both members sign it and it is published')
+@when('both members sign it and it is published while the log is unavailable')
 def publish_without_log(context):
     context.core.faults.outage = Outage.refuse
-    both_publish(context)
+    publish_with_both_signatures(context)
 
 
 @when('the same bundle is published again')
@@ -207,26 +213,26 @@
     publish(context)
 
 
-@when("the bundle's head is asked for")
-def ask_head(context):
-    type_command(context, 'bundle head --json --fleet', context.fleet)
+@when('the head of the log is requested')
+def show_bundle_head(context):
+    run_command(context, 'bundle head --json --fleet', context.fleet)
 
 
-def put(context, old, new):
+def replace_in_source(context, old, new):
     context.source.write_text(context.source.read_text().replace(old, new))
 
 
-@when('the source changes between two sign-offs')
-def change_between(context):
+@when('the source changes between two signatures')
+def change_source_between_signatures(context):
     sign(context, 'qadri')
-    put(context, 'target_p99_ms = 120', 'target_p99_ms = 900')
+    replace_in_source(context, 'target_p99_ms = 120', 'target_p99_ms = 900')
     sign(context, 'svatbena')
 
 
-@when('a share of 7 is put into it and it is checked')
-def check_bad(context):
-    put(context, 'qadri.share = 0.7', 'qadri.share = 7')
-    type_command(context, 'bundle check', context.source)
+@when('a bundle with a share of 7 is checked')
+def check_invalid_bundle(context):
+    replace_in_source(context, 'qadri.share = 0.7', 'qadri.share = 7')
+    run_command(context, 'bundle check', context.source)
 
 
 @when("qadri's key is made again")
@@ -234,21 +240,21 @@
     make_key(context, 'qadri')
 
 
-@when('the status of a daemon that is not there is asked for')
-def ask_absent(context):
-    port = use_fixture(absent, context)
-    type_command(context, 'status --daemons', f'127.0.0.1:{port}')
+@when('the status of an unreachable daemon is requested')
+def show_status_of_absent_daemon(context):
+    port = use_fixture(unused_port, context)
+    run_command(context, 'status --daemons', f'127.0.0.1:{port}')
 
 
-@then('the command ends with {code:d} and says: {text}')
-def ends_with(context, code, text):
+@then('the command exits with {code:d} and prints: {text}')
+def check_exit_code_and_output(context, code, text):
     assert context.code == code, (context.code, context.output)
     assert text in context.output, context.output
 
 
 @given('a request that qadri signed')
 def signed_request(context):
-    context.call = {
+    context.request_arguments = {
         'headers': sign_request(
             KEY_BY_MEMBER['qadri'], 'qadri', 'POST', '/v1/jobs', b'{}', NOW_MS
         ),
@@ -260,9 +266,12 @@
     }
 
 
-def in_name_of(context, member):
-    headers = {**context.call['headers'], 'X-Waxwingford-Member': member}
-    context.call['headers'] = headers
+def claim_member(context, member):
+    headers = {
+        **context.request_arguments['headers'],
+        'X-Waxwingford-Member': member,
+    }
+    context.request_arguments['headers'] = headers
 
 
 def full_cache():
@@ -271,26 +280,30 @@
     return cache
 
 
-ARRIVALS = {
-    'as it was sent': lambda context: None,
-    'twice': lambda context: verify_request(TRUST, **context.call),
-    '61 seconds late': lambda context: context.call.update(
+REQUEST_CHANGES = {
+    'unchanged': lambda context: None,
+    'twice': lambda context: verify_request(TRUST, **context.request_arguments),
+    '61 seconds late': lambda context: context.request_arguments.update(
         now_wall_ms=NOW_MS + FRESH_MS + 1000
     ),
-    'with another body': lambda context: context.call.update(body=b'[]'),
-    'for another path': lambda context: context.call.update(path='/v1/drain'),
-    "in svatbena's name": lambda context: in_name_of(context, 'svatbena'),
-    "in a stranger's name": lambda context: in_name_of(context, 'stranger'),
-    'when the cache is full of fresh ones': lambda context: context.call.update(
+    'with another body': lambda context: context.request_arguments.update(
+        body=b'[]'
+    ),
+    'for another path': lambda context: context.request_arguments.update(
+        path='/v1/drain'
+    ),
+    'as svatbena': lambda context: claim_member(context, 'svatbena'),
+    'as an unknown member': lambda context: claim_member(context, 'stranger'),
+    'with a full nonce cache': lambda context: context.request_arguments.update(
         nonces=full_cache()
     ),
 }
 
 
-@when('the signed request arrives {how}')
-def arrives(context, how):
-    ARRIVALS[how](context)
-    context.verdict = verify_request(TRUST, **context.call)
+@when('the signed request is received {how}')
+def verify_changed_request(context, how):
+    REQUEST_CHANGES[how](context)
+    context.verdict = verify_request(TRUST, **context.request_arguments)
 
 
 @then('the signed request is verified')
--- a/waxwingford/commands/time_line.py
+++ b/waxwingford/commands/time_line.py
@@ -1,14 +1,23 @@
-"""Command ``timeline``: events of all daemons in causal order."""
+"""Command ``timeline``: prints events of all daemons in causal order."""
 
 from argparse import ArgumentParser, Namespace
 
 import msgspec
 
 from waxwingford.commands._command import Command, ExitCode, commands
-from waxwingford.commands._fleet import add_fleet, fleet_of, wanted
-from waxwingford.commands._http import HttpAnswer, HttpOutcome, ask_all
-from waxwingford.commands._output import add_json, complain, progress, show
-from waxwingford.commands._signed import OK
+from waxwingford.commands._fleet import (
+    add_fleet_options,
+    load_fleet,
+    require_fields,
+)
+from waxwingford.commands._http import HttpOutcome, HttpResponse, get_from_all
+from waxwingford.commands._output import (
+    add_json_option,
+    print_answer,
+    print_error,
+    progress,
+)
+from waxwingford.commands._signed import HTTP_OK
 from waxwingford.timeline import (
     Event,
     filter_events,
@@ -21,50 +30,52 @@
 _decoder = msgspec.json.Decoder(list[Event])
 
 
-def _add(parser: ArgumentParser) -> None:
+def _add_arguments(parser: ArgumentParser) -> None:
     for subject in _SUBJECTS:
         parser.add_argument(
             f'--{subject}',
             action='append',
             default=[],
-            help=f'only this {subject}, and faults; may be repeated',
+            help=f'only events of this {subject} and faults; repeatable',
         )
-    parser.add_argument('--picture', metavar='FILE', help='draw it, too')
-    add_fleet(parser)
-    add_json(parser)
+    parser.add_argument(
+        '--picture', metavar='FILE', help='also draw it to FILE'
+    )
+    add_fleet_options(parser)
+    add_json_option(parser)
 
 
 def _run(args: Namespace) -> ExitCode:
-    fleet = fleet_of(args)
+    fleet = load_fleet(args)
     if isinstance(fleet, ExitCode):
         return fleet
-    if not wanted(fleet, 'daemons'):
+    if not require_fields(fleet, 'daemons'):
         return ExitCode.usage
-    with progress(f'asking {len(fleet.daemons)} daemons'):
-        outcomes = ask_all(fleet, fleet.daemons, '/v1/timeline')
-    silent = [
+    with progress(f'querying {len(fleet.daemons)} daemons'):
+        outcomes = get_from_all(fleet, fleet.daemons, '/v1/timeline')
+    failed_addresses = [
         address
         for address, outcome in outcomes.items()
-        if not _answered(outcome)
+        if not _is_success(outcome)
     ]
-    if silent:
-        complain(f'not in this time line: {", ".join(silent)}')
+    if failed_addresses:
+        print_error(f'no timeline from: {", ".join(failed_addresses)}')
     events = [
         event
         for outcome in outcomes.values()
-        if _answered(outcome)
+        if _is_success(outcome)
         for event in _decoder.decode(outcome.body)
     ]
     merged = filter_events(merge_events(events), _subjects(args))
-    show(args, merged, render_text(merged))
+    print_answer(args, merged, render_text(merged))
     if args.picture:
         with progress('drawing'):
             render_picture(merged, args.picture)
-    return ExitCode.unreachable if silent else ExitCode.ok
+    return ExitCode.unreachable if failed_addresses else ExitCode.ok
 
 
-def _answered(outcome: HttpOutcome) -> bool:
-    return isinstance(outcome, HttpAnswer) and outcome.status == OK
+def _is_success(outcome: HttpOutcome) -> bool:
+    return isinstance(outcome, HttpResponse) and outcome.status == HTTP_OK
 
 
 def _subjects(args: Namespace) -> frozenset[str]:
@@ -76,5 +87,5 @@
 
 
 commands.register('timeline')(
-    Command('merge the time lines of all daemons', _add, _run)
+    Command('merge the timelines of all daemons', _add_arguments, _run)
 )
