--- a/waxwingford/commands/_signed.py
+++ b/waxwingford/commands/_signed.py
@@ -29,7 +29,7 @@
 _HTTP_UNAVAILABLE = 503
 #: HTTP statuses that leave open whether the request was executed.
 _OUTCOME_UNKNOWN_STATUSES = frozenset((500, 502, 504))
-_MS_PER_S = 1000
+_MS_IN_S = 1000
 
 
 def add_signer_options(parser: ArgumentParser) -> None:
@@ -140,7 +140,7 @@
 def _headers(
     key: Ed25519PrivateKey, member: str, method: str, path: str, body: bytes
 ) -> dict[str, str]:
-    wall_ms = int(time.time() * _MS_PER_S)
+    wall_ms = int(time.time() * _MS_IN_S)
     return sign_request(key, member, method, path, body, wall_ms)
 
 
--- a/waxwingford/commands/jobs.py
+++ b/waxwingford/commands/jobs.py
@@ -21,7 +21,7 @@
     post_signed,
 )
 
-_MS_PER_S = 1000
+_MS_IN_S = 1000
 _TASK_COLUMNS = (
     'task_id',
     'stage',
@@ -73,7 +73,7 @@
         'finish_by_wall_ms': args.finish_by_wall_ms,
         'lost_after_ms': args.lost_after_ms,
         'payload': args.payload,
-        'submitted_wall_ms': int(time.time() * _MS_PER_S),
+        'submitted_wall_ms': int(time.time() * _MS_IN_S),
     }
     return post_signed(args, '/v1/jobs', msgspec.json.encode(job))
 
@@ -118,7 +118,9 @@
     if isinstance(answers, ExitCode):
         return answers
     if not answers:
-        print_error(f'{args.job}: no such job of {args.member} at any daemon')
+        print_error(
+            f'{args.job}: no daemon has this job of member {args.member}'
+        )
         return ExitCode.findings
     job = answers[0]
     rows = [[task[column] for column in _TASK_COLUMNS] for task in job['tasks']]
