--- a/waxwingford/commands/main.py
+++ b/waxwingford/commands/main.py
@@ -16,7 +16,7 @@
     'jobs',
     'keys',
     'settings_files',
-    'time_line',
+    'timeline',
 )
 _EPILOG = (
     'exit codes: 0 done, 1 findings or refused, 2 usage, 3 unreachable, '
--- a/waxwingford/commands/time_line.py
+++ b/waxwingford/commands/timeline.py
@@ -69,7 +69,7 @@
     merged = filter_events(merge_events(events), _subjects(args))
     print_answer(args, merged, render_text(merged))
     if args.picture:
-        with progress('drawing'):
+        with progress('drawing the timeline'):
             render_picture(merged, args.picture)
     return ExitCode.unreachable if failed_addresses else ExitCode.ok
 
--- a/waxwingford/timeline/__init__.py
+++ b/waxwingford/timeline/__init__.py
@@ -1,21 +1,21 @@
-"""Time line of events over all processes: ring, merge, text and picture."""
+"""Timeline of events of all processes: recording, merging and rendering."""
 
 from waxwingford.timeline._events import Event, EventId, TimeLine
 from waxwingford.timeline._from_logs import about, events_of_lines
 from waxwingford.timeline._merge import (
-    Placed,
+    PlacedEvent,
     filter_events,
     merge_events,
     place_events,
     render_text,
 )
-from waxwingford.timeline._picture import LeaseBar, lease_bars, render_picture
+from waxwingford.timeline._plot import LeaseBar, lease_bars, render_picture
 
 __all__ = (
     'Event',
     'EventId',
     'LeaseBar',
-    'Placed',
+    'PlacedEvent',
     'TimeLine',
     'about',
     'events_of_lines',
--- a/waxwingford/timeline/_events.py
+++ b/waxwingford/timeline/_events.py
@@ -1,4 +1,4 @@
-"""Events of the time line and the bounded ring that keeps them."""
+"""Timeline events and the ring buffer that holds the newest ones."""
 
 import collections
 import itertools
@@ -7,16 +7,16 @@
 
 from waxwingford.kernel import Clock
 
-#: Key of the event field that names what an event is about.
+#: Subject of an event as ``TYPE:ID``, for example ``task:qadri.night/0``.
 Subject = str
 
 
 class EventId(NamedTuple):
-    """Identity of an event over all processes.
+    """Identity of an event, unique over all processes.
 
     :ivar daemon: daemon id.
-    :ivar incarnation: random at each start of the process.
-    :ivar sequence: counts up within the incarnation.
+    :ivar incarnation: random id of one run of the process.
+    :ivar sequence: sequence number within the incarnation, from 1.
     """
 
     daemon: str
@@ -25,15 +25,16 @@
 
 
 class Event(NamedTuple):
-    """One thing that happened in one process.
-
-    :ivar event_id: daemon, incarnation, sequence.
-    :ivar monotonic_ms: time on the daemon's monotonic clock, milliseconds.
-    :ivar wall_ms: time on the daemon's wall clock, milliseconds since epoch.
-    :ivar kind: what happened, for example ``lease.acquired``.
-    :ivar subject: what it is about: ``task:..``, ``request:..``,
+    """Event in one process.
+
+    :ivar event_id: identity of the event.
+    :ivar monotonic_ms: time on the daemon's monotonic clock, in milliseconds.
+    :ivar wall_ms: time on the daemon's wall clock, in milliseconds since the
+        epoch.
+    :ivar kind: kind of event, for example ``lease.acquired``.
+    :ivar subject: affected object: ``task:..``, ``request:..``,
         ``server:..``, ``bundle:..``, ``daemon:..``.
-    :ivar detail: for people.
+    :ivar detail: human-readable description.
     :ivar parent: event in another process that caused it, if known.
     """
 
@@ -47,7 +48,7 @@
 
 
 class TimeLine:
-    """Bounded ring of a daemon's events; the oldest fall out, counted."""
+    """Ring buffer of a daemon's events, which drops the oldest when full."""
 
     def __init__(
         self,
@@ -57,13 +58,13 @@
         capacity: int,
         on_event: Callable[[Event], None] | None = None,
     ) -> None:
-        """Start an empty ring.
+        """Create an empty ring buffer.
 
         :param daemon: daemon id.
-        :param incarnation: of this process.
-        :param clock: source of both times.
-        :param capacity: events kept at most.
-        :param on_event: hears of each event, to log it.
+        :param incarnation: random id of this run of the process.
+        :param clock: source of monotonic and wall time.
+        :param capacity: maximum number of events kept.
+        :param on_event: callback for each recorded event.
         """
         self._daemon = daemon
         self._incarnation = incarnation
@@ -81,13 +82,14 @@
         detail: str = '',
         parent: EventId | None = None,
     ) -> EventId:
-        """Add an event.
-
-        :param kind: what happened.
-        :param subject: what it is about.
-        :param detail: for people.
-        :param parent: cause in another process, if known.
-        :returns: id to hand on as the parent of what follows elsewhere.
+        """Record an event.
+
+        :param kind: kind of event.
+        :param subject: affected object.
+        :param detail: human-readable description.
+        :param parent: event in another process that caused it, if known.
+        :returns: id of the event, for use as the parent of its effects in
+            other processes.
         """
         event_id = EventId(
             self._daemon, self._incarnation, next(self._sequence)
@@ -107,10 +109,10 @@
         return event_id
 
     def since(self, sequence: int) -> list[Event]:
-        """Read events after a sequence number.
+        """Return the buffered events after a sequence number.
 
-        :param sequence: last one already known, 0 for all.
-        :returns: events in order.
+        :param sequence: last sequence number already read, 0 for all.
+        :returns: events in the order of their sequence numbers.
         """
         return [
             event for event in self._ring if event.event_id.sequence > sequence
--- a/waxwingford/timeline/_from_logs.py
+++ b/waxwingford/timeline/_from_logs.py
@@ -1,4 +1,4 @@
-"""Events of the time line from log lines of scheduler daemons."""
+"""Conversion of log lines of scheduler daemons into timeline events."""
 
 import datetime
 from collections.abc import Iterable, Iterator
@@ -8,8 +8,8 @@
 
 from waxwingford.timeline._events import Event, EventId
 
-#: Fields of a line that every event has; the others are its detail.
-_COMMON = frozenset(
+#: Fields common to all log lines; other fields go into the event's detail.
+_COMMON_FIELDS = frozenset(
     (
         'time',
         'daemon',
@@ -21,8 +21,9 @@
         'level',
     )
 )
-#: Events that concern all jobs: the owner, the store, the life of daemons.
-_COMMON_EVENTS = (
+#: Prefixes of event kinds that concern all jobs: ownership of the shard,
+#: the store, start and stop of daemons.
+_GLOBAL_EVENT_PREFIXES = (
     'owner.',
     'shard.',
     'claim.',
@@ -35,69 +36,73 @@
 
 
 def events_of_lines(lines: Iterable[str]) -> Iterator[Event]:
-    """Read events; anything that isn't a log line is passed over.
+    """Parse log lines into events, skipping lines that are not log entries.
 
-    What follows in another process names its cause: a job that the owner took
-    in comes after its submission, a run after the one before it, an epoch after
-    the one before it.
+    Causes in other processes become parents: a job known to the owner has its
+    submission as parent, a run the previous run of the task, and a claim of
+    the shard that of the previous epoch.
 
-    :param lines: of any daemons, in any order between daemons.
-    :returns: events.
+    :param lines: log lines of any number of daemons.
+    :returns: events in the order of the lines.
     """
     cause_by_key: dict[tuple[str, str, int], dict[str, Any]] = {}
-    fields_of = [fields for line in lines if (fields := _fields(line))]
-    for fields in fields_of:
+    entries = [fields for line in lines if (fields := _parse_fields(line))]
+    for fields in entries:
         key = _effect_key(fields)
         if key is not None:
             cause_by_key[key] = fields
-    for fields in fields_of:
+    for fields in entries:
         cause = cause_by_key.get(_cause_key(fields))
-        if cause is None or _meanwhile(fields, cause):
-            yield _event(fields, None)
+        if cause is None or _is_cause_in_progress(fields, cause):
+            yield _make_event(fields, None)
         else:
-            yield _event(fields, _event_id(cause))
+            yield _make_event(fields, _event_id(cause))
 
 
-def _meanwhile(fields: dict[str, Any], cause: dict[str, Any]) -> bool:
-    """Tell whether something happened while its cause was still going on.
+def _is_cause_in_progress(
+    fields: dict[str, Any], cause: dict[str, Any]
+) -> bool:
+    """Tell whether an event happened while its cause was in progress.
 
-    The line of a request is written with its answer, often after what it led to:
-    taken for earlier, it would hold up all that its process tells.
+    A request is logged when it is answered, often after its effects.  Ordering
+    these after it would delay all later events of their process.
 
-    :param fields: of a line.
-    :param cause: fields of the line that it names as its cause.
-    :returns: whether the cause's line is later, by no more than it took.
+    :param fields: fields of the effect's log line.
+    :param cause: fields of the cause's log line.
+    :returns: whether the cause was logged later than the effect, by no more
+        than its duration.
     """
-    later_ms = _wall_ms(cause) - _wall_ms(fields)
-    return 0 <= later_ms <= cause.get('took_ms', -1)
+    delay_ms = _wall_ms(cause) - _wall_ms(fields)
+    return 0 <= delay_ms <= cause.get('took_ms', -1)
 
 
 def about(events: Iterable[Event], job_id: str) -> list[Event]:
-    """Keep what concerns a job.
+    """Select the events that concern a job.
 
-    :param events: in any order.
-    :param job_id: id of the job, or the name of a task of it.
-    :returns: events of the job and its tasks, of the servers that these ran
-        on, of the owner, the store and the daemons' lives.
+    :param events: events in any order.
+    :param job_id: id of a job, or of one of its tasks.
+    :returns: events of the job and its tasks, of the backend servers on which
+        these ran, of the shard's ownership, the store, and starts and stops of
+        daemons; in the same order.
     """
-    kept = list(events)
-    servers = {
+    all_events = list(events)
+    server_ids = {
         word.removeprefix('server=')
-        for event in kept
+        for event in all_events
         if event.subject.startswith(job_id)
         for word in event.detail.split()
         if word.startswith('server=')
     }
     return [
         event
-        for event in kept
+        for event in all_events
         if event.subject.startswith(job_id)
-        or event.subject in servers
-        or event.kind.startswith(_COMMON_EVENTS)
+        or event.subject in server_ids
+        or event.kind.startswith(_GLOBAL_EVENT_PREFIXES)
     ]
 
 
-def _fields(line: str) -> dict[str, Any] | None:
+def _parse_fields(line: str) -> dict[str, Any] | None:
     start = line.find('{')
     if start < 0:
         return None
@@ -125,8 +130,8 @@
 
 
 def _wall_ms(fields: dict[str, Any]) -> int:
-    stamp = datetime.datetime.fromisoformat(fields['time'])
-    utc = stamp.replace(tzinfo=datetime.UTC)
+    timestamp = datetime.datetime.fromisoformat(fields['time'])
+    utc = timestamp.replace(tzinfo=datetime.UTC)
     return int(utc.timestamp() * _MS_IN_S)
 
 
@@ -142,12 +147,12 @@
             return None
 
 
-def _event(fields: dict[str, Any], parent: EventId | None) -> Event:
+def _make_event(fields: dict[str, Any], parent: EventId | None) -> Event:
     wall_ms = _wall_ms(fields)
     detail = ' '.join(
         f'{name}={value}'
         for name, value in fields.items()
-        if name not in _COMMON
+        if name not in _COMMON_FIELDS
     )
     return Event(
         _event_id(fields),
--- a/waxwingford/timeline/_merge.py
+++ b/waxwingford/timeline/_merge.py
@@ -1,4 +1,4 @@
-"""Merge of the rings of many daemons into one time line in causal order."""
+"""Merge of the events of many daemons into one timeline in causal order."""
 
 import itertools
 from collections import deque
@@ -7,18 +7,19 @@
 
 from waxwingford.timeline._events import Event, EventId
 
-#: Smallest step between cause and effect on the drawn axis, in milliseconds.
+#: Minimum distance of cause and effect on the common axis, in milliseconds.
 _CAUSAL_STEP_MS = 1
-#: How much later than an event others may be before it no longer waits for its
-#: cause, in milliseconds: more than the clocks of VMs are ever apart.
-PATIENCE_MS = 8000
+#: An event waits for its cause until events of other processes are later by
+#: this, in milliseconds. Exceeds the clock skew between VMs.
+CAUSE_WAIT_LIMIT_MS = 8000
 
 
-class Placed(NamedTuple):
-    """An event with its place on the common axis.
+class PlacedEvent(NamedTuple):
+    """An event with its position on the common time axis.
 
     :ivar event: the event.
-    :ivar at_ms: milliseconds since the first event; never before its causes.
+    :ivar at_ms: milliseconds since the first event; greater than that of its
+        cause, if the cause precedes the event in the timeline.
     """
 
     event: Event
@@ -26,29 +27,28 @@
 
 
 def merge_events(events: Iterable[Event]) -> list[Event]:
-    """Order events so that no event stands before its cause.
+    """Order events causally, and concurrent events by wall time.
 
-    Wall clocks of VMs disagree: by them alone an answer can stand before its
-    question.  Causes go first; wall time only orders what is concurrent.
+    Wall time alone is not enough: with clock skew between VMs a response can
+    precede its request.
 
-    :param events: of all processes, doubles allowed (rings read twice).
+    :param events: events of all processes; duplicates are removed.
     :returns: events in causal order.
     """
-    return list(_CausalOrder(events).events())
+    return list(_CausalMerge(events).events())
 
 
-class _CausalOrder:
-    """Events that wait for the cause that they name.
+class _CausalMerge:
+    """Merge of the event queues of all processes.
 
-    A line may be written after its effect: that of a request comes with the
-    answer.  Causes can then form a circle, and whatever waits in it would never
-    be shown, or after all others.  So an event waits for its cause only while
-    others are not much later than it.
+    Causes can form a cycle, since a request is logged with its response, after
+    its effects.  An event therefore waits for its cause only for a limited
+    time, ``CAUSE_WAIT_LIMIT_MS``.
     """
 
     def __init__(self, events: Iterable[Event]) -> None:
         event_by_id = {event.event_id: event for event in events}
-        self._left = set(event_by_id)
+        self._unmerged_ids = set(event_by_id)
         self._queues = [
             deque(group)
             for _, group in itertools.groupby(
@@ -57,31 +57,34 @@
         ]
 
     def events(self) -> Iterator[Event]:
-        """Go through the events.
+        """Iterate over the events in causal order.
 
-        :yields: all of them, causes first.
+        :yields: each event once.
         """
         while self._queues:
-            queue = self._next()
+            queue = self._next_queue()
             event = queue.popleft()
-            self._left.discard(event.event_id)
+            self._unmerged_ids.discard(event.event_id)
             if not queue:
                 self._queues.remove(queue)
             yield event
 
-    def _next(self) -> deque[Event]:
+    def _next_queue(self) -> deque[Event]:
         """Choose the process whose event comes next.
 
-        :returns: its events.
+        :returns: queue of that process.
         """
-        oldest = min(self._queues, key=_head_order)
-        free = (queue for queue in self._queues if self._is_free(queue[0]))
-        first = min(free, key=_head_order, default=oldest)
-        waited_ms = first[0].wall_ms - oldest[0].wall_ms
-        return oldest if waited_ms > PATIENCE_MS else first
-
-    def _is_free(self, event: Event) -> bool:
-        return event.parent not in self._left or event.parent == event.event_id
+        oldest_queue = min(self._queues, key=_head_sort_key)
+        ready = (queue for queue in self._queues if self._is_ready(queue[0]))
+        next_queue = min(ready, key=_head_sort_key, default=oldest_queue)
+        waited_ms = next_queue[0].wall_ms - oldest_queue[0].wall_ms
+        return oldest_queue if waited_ms > CAUSE_WAIT_LIMIT_MS else next_queue
+
+    def _is_ready(self, event: Event) -> bool:
+        return (
+            event.parent not in self._unmerged_ids
+            or event.parent == event.event_id
+        )
 
 
 def _event_id(event: Event) -> EventId:
@@ -92,15 +95,15 @@
     return event.event_id[:2]
 
 
-def _head_order(queue: deque[Event]) -> tuple[int, EventId]:
+def _head_sort_key(queue: deque[Event]) -> tuple[int, EventId]:
     return queue[0].wall_ms, queue[0].event_id
 
 
-def place_events(merged: Sequence[Event]) -> list[Placed]:
-    """Give events of a merged time line places on one axis.
+def place_events(merged: Sequence[Event]) -> list[PlacedEvent]:
+    """Place merged events on a common time axis.
 
-    :param merged: in causal order.
-    :returns: events with milliseconds since the first.
+    :param merged: events in causal order.
+    :returns: events with their positions, in the same order.
     """
     if not merged:
         return []
@@ -117,18 +120,19 @@
         )
         at_by_id[event.event_id] = at_ms
         last_by_process[process] = at_ms
-        placed.append(Placed(event, at_ms))
+        placed.append(PlacedEvent(event, at_ms))
     return placed
 
 
 def filter_events(
     events: Iterable[Event], subjects: frozenset[str]
 ) -> list[Event]:
-    """Keep events about some subjects, and faults, which concern all.
+    """Select the events of some subjects, and all faults.
 
-    :param events: any events.
-    :param subjects: for example ``task:qadri.night/0``; empty keeps all.
-    :returns: events in the same order.
+    :param events: events in any order.
+    :param subjects: subjects such as ``task:qadri.night/0``; empty selects
+        all events.
+    :returns: selected events in the same order.
     """
     if not subjects:
         return list(events)
@@ -142,10 +146,10 @@
 
 
 def render_text(merged: Sequence[Event]) -> str:
-    """Write a time line for people.
+    """Format a timeline as text.
 
-    :param merged: in causal order.
-    :returns: one line an event: milliseconds, process, kind, subject, detail.
+    :param merged: events in causal order.
+    :returns: one line per event: milliseconds, process, kind, subject, detail.
     """
     return ''.join(
         f'{at_ms:>9} ms  {event.event_id.daemon}#'
--- a/waxwingford/timeline/_picture.py
+++ b/waxwingford/timeline/_plot.py
@@ -1,4 +1,4 @@
-"""Picture of a time line: lanes by process, leases as bars, faults marked."""
+"""Plot of a timeline: one lane per process, leases as bars, faults marked."""
 
 import itertools
 from collections import defaultdict
@@ -6,16 +6,16 @@
 from typing import Any, NamedTuple
 
 from waxwingford.timeline._events import Event
-from waxwingford.timeline._merge import Placed, place_events
+from waxwingford.timeline._merge import PlacedEvent, place_events
 
 _MS_IN_S = 1000
 _LANE_INCHES = 0.55
 _WIDTH_INCHES = 14
 _MARGIN_INCHES = 1.8
 _BAR_HEIGHT = 0.6
-_MOST_KINDS = 10
-_FILLED_SHARE = 0.8
-_UPRIGHT_DEGREES = 90
+_MAX_KINDS = 10
+_BAR_FILL_FRACTION = 0.8
+_LABEL_ROTATION_DEGREES = 90
 #: Prefixes of event kinds that are drawn as faults.
 FAULT_PREFIXES = (
     'fault.',
@@ -25,16 +25,16 @@
     'control.unknown',
     'forward.lost',
 )
-#: Pairs of kinds that open and close a lease bar.
-LEASE_OPENS = 'lease.acquired'
-LEASE_CLOSES = frozenset(('lease.lost', 'lease.given_up'))
+#: Event kinds at which a lease bar starts and ends.
+LEASE_START_KIND = 'lease.acquired'
+LEASE_END_KINDS = frozenset(('lease.lost', 'lease.given_up'))
 
 
 class LeaseBar(NamedTuple):
-    """A time during which a process held a control lease.
+    """Interval in which a process held a control lease.
 
-    :ivar process: ``<daemon>#<incarnation>``.
-    :ivar subject: the backend server.
+    :ivar process: holder as ``<daemon>#<incarnation>``.
+    :ivar subject: leased backend server as ``server:ID``.
     :ivar from_ms: start on the common axis, in milliseconds.
     :ivar until_ms: end on the common axis, in milliseconds.
     """
@@ -45,34 +45,38 @@
     until_ms: int
 
 
-def lease_bars(placed: Sequence[Placed]) -> list[LeaseBar]:
-    """Pair acquisitions with losses; an open one lasts to the end.
+def lease_bars(placed: Sequence[PlacedEvent]) -> list[LeaseBar]:
+    """Pair lease acquisitions with the ends of the leases.
 
-    :param placed: events with places.
+    A lease without an end lasts to the last event.
+
+    :param placed: events with positions on the common axis.
     :returns: bars in order of their end.
     """
     if not placed:
         return []
-    opened: dict[tuple[str, str], int] = {}
+    start_by_lease: dict[tuple[str, str], int] = {}
     bars = []
     for event, at_ms in placed:
-        lane = _process(event), event.subject
-        if event.kind == LEASE_OPENS:
-            opened.setdefault(lane, at_ms)
-        elif event.kind in LEASE_CLOSES and lane in opened:
-            bars.append(LeaseBar(*lane, opened.pop(lane), at_ms))
+        lease = _process(event), event.subject
+        if event.kind == LEASE_START_KIND:
+            start_by_lease.setdefault(lease, at_ms)
+        elif event.kind in LEASE_END_KINDS and lease in start_by_lease:
+            bars.append(LeaseBar(*lease, start_by_lease.pop(lease), at_ms))
     last_ms = placed[-1].at_ms
     still_open = (
-        LeaseBar(*lane, from_ms, last_ms) for lane, from_ms in opened.items()
+        LeaseBar(*lease, from_ms, last_ms)
+        for lease, from_ms in start_by_lease.items()
     )
     return [*bars, *still_open]
 
 
 def render_picture(merged: Sequence[Event], path: str) -> None:
-    """Draw a merged time line.
+    """Plot a merged timeline.
 
     :param merged: events in causal order.
-    :param path: file to write; its ending chooses SVG or PNG.
+    :param path: file to write; its extension selects the format, such as
+        SVG or PNG.
     :raises ImportError: if the ``report`` extra is not installed.
     """
     from matplotlib.figure import Figure
@@ -87,8 +91,8 @@
     _draw_events(axes, placed, lane_by_process)
     _draw_faults(axes, placed)
     axes.set_yticks(range(len(processes)), processes)
-    axes.set_xlabel('seconds since the first event (causal order kept)')
-    axes.set_title('waxwingford time line: bars are control leases')
+    axes.set_xlabel('seconds since the first event, adjusted to causal order')
+    axes.set_title('waxwingford timeline (bars: control leases)')
     axes.legend(loc='upper left', bbox_to_anchor=(1, 1), fontsize='small')
     figure.savefig(path)
 
@@ -100,18 +104,20 @@
 def _draw_leases(
     axes: Any, bars: Sequence[LeaseBar], lane_by_process: dict[str, int]
 ) -> None:
-    by_process: dict[str, list[LeaseBar]] = defaultdict(list)
+    leases_by_process: dict[str, list[LeaseBar]] = defaultdict(list)
     for lease in bars:
-        by_process[lease.process].append(lease)
-    for process, own in by_process.items():
-        subjects = sorted({lease.subject for lease in own})
+        leases_by_process[lease.process].append(lease)
+    for process, process_leases in leases_by_process.items():
+        subjects = sorted({lease.subject for lease in process_leases})
         thickness = _BAR_HEIGHT / len(subjects)
         bottom = lane_by_process[process] - _BAR_HEIGHT / 2
-        for lease in own:
+        for lease in process_leases:
             row = bottom + thickness * subjects.index(lease.subject)
             span = (lease.from_ms / _MS_IN_S, _length_s(lease))
             axes.broken_barh(
-                [span], (row, thickness * _FILLED_SHARE), facecolors='#cfe0f3'
+                [span],
+                (row, thickness * _BAR_FILL_FRACTION),
+                facecolors='#cfe0f3',
             )
 
 
@@ -120,7 +126,7 @@
 
 
 def _draw_events(
-    axes: Any, placed: Sequence[Placed], lane_by_process: dict[str, int]
+    axes: Any, placed: Sequence[PlacedEvent], lane_by_process: dict[str, int]
 ) -> None:
     for kind, group in _by_kind(placed):
         axes.plot(
@@ -134,14 +140,16 @@
 
 
 def _by_kind(
-    placed: Sequence[Placed],
-) -> Iterator[tuple[str, list[Placed]]]:
-    by_kind: dict[str, list[Placed]] = defaultdict(list)
-    for spot in placed:
-        by_kind[spot.event.kind].append(spot)
-    commonest = sorted(by_kind.items(), key=lambda pair: -len(pair[1]))
+    placed: Sequence[PlacedEvent],
+) -> Iterator[tuple[str, list[PlacedEvent]]]:
+    events_by_kind: dict[str, list[PlacedEvent]] = defaultdict(list)
+    for placed_event in placed:
+        events_by_kind[placed_event.event.kind].append(placed_event)
+    most_frequent = sorted(
+        events_by_kind.items(), key=lambda pair: -len(pair[1])
+    )
     return itertools.islice(
-        (pair for pair in commonest if not _is_fault(pair[0])), _MOST_KINDS
+        (pair for pair in most_frequent if not _is_fault(pair[0])), _MAX_KINDS
     )
 
 
@@ -149,7 +157,7 @@
     return kind.startswith(FAULT_PREFIXES)
 
 
-def _draw_faults(axes: Any, placed: Sequence[Placed]) -> None:
+def _draw_faults(axes: Any, placed: Sequence[PlacedEvent]) -> None:
     for event, at_ms in placed:
         if _is_fault(event.kind):
             axes.axvline(at_ms / _MS_IN_S, color='#c0392b', linewidth=1)
@@ -157,7 +165,7 @@
                 f'{event.kind} {event.subject}',
                 (at_ms / _MS_IN_S, 1),
                 xycoords=('data', 'axes fraction'),
-                rotation=_UPRIGHT_DEGREES,
+                rotation=_LABEL_ROTATION_DEGREES,
                 fontsize='x-small',
                 color='#c0392b',
                 va='top',
--- a/waxwingford/timeline/tests/logs.feature
+++ b/waxwingford/timeline/tests/logs.feature
@@ -1,14 +1,11 @@
-Feature: the history of a job from log lines
+Feature: Job history from log lines
 
-  Scenario: clocks of two daemons disagree
-    # Symptom: in the history a job is taken in before it was submitted, and its
-    # second run is planned before the first has ended.
-    # Sequence: the daemon that took the submission is 5 s ahead of the owner,
-    # the second owner is 3 s behind the first.
-    # Cause: ordering by calendar clocks alone.
+  Scenario: Effects follow their causes despite clock skew
+    # Fails if events are ordered by wall clocks alone: the submitting daemon is
+    # 5 s ahead of the first owner, the second owner 3 s behind it.
     Given log lines of three daemons whose clocks disagree
-    When the history of the job is made
-    Then the events stand in the order
+    When the history of the job is built
+    Then causes precede their effects among the events
       | event           |
       | request.submit  |
       | shard.claimed   |
@@ -18,32 +15,25 @@
       | run.settled     |
       | shard.claimed   |
       | run.planned     |
-    And nothing of another job stands in it
+    And the history contains no events of other jobs
 
-  Scenario: a line that is written after its effect
-    # Symptom: the history of a job breaks off while it runs.
-    # Sequence: the owner itself takes the submission; its line is written with
-    # the answer, after the job was taken in.
-    # Cause: an event that waits for one behind it in its own process, and with
-    # it all that follow there, is left out.
-    Given log lines of an owner that answers after it has taken the job in
-    When the history of the job is made
-    Then the events are, in this order
+  Scenario: A cause logged after its effect in the same process drops no events
+    # Fails if an event waits for a later event of its own process.
+    Given log lines of an owner that logs the submission after reading the job
+    When the history of the job is built
+    Then the history consists of, in this order
       | event          |
       | job.known      |
       | request.submit |
       | run.planned    |
       | run.settled    |
 
-  Scenario: a submission is answered after its job has run for a while
-    # Symptom: the history goes back in time: the end of a run stands behind the
-    # change of owner two seconds later.
-    # Sequence: the store is slow, and the line of the submission is written 900
-    # ms after the owner has read the job.
-    # Cause: holding the owner's events up until that line.
-    Given log lines of a submission that took 900 ms, answered after a run
-    When the history of the job is made
-    Then the events are, in this order
+  Scenario: A slow submission does not delay the owner's events
+    # Fails if the owner's events wait for the submission, which is logged with
+    # its response, 800 ms after the owner has read the job.
+    Given log lines of a 900 ms submission that is logged after a run
+    When the history of the job is built
+    Then the history consists of, in this order
       | event          |
       | job.known      |
       | run.planned    |
--- a/waxwingford/timeline/tests/timeline.feature
+++ b/waxwingford/timeline/tests/timeline.feature
@@ -1,22 +1,20 @@
-Feature: Time line over all processes
-  Symptom: a merged time line shows an answer before its question, so that the
-  reader blames the wrong process.
-  Sequence: a daemon whose wall clock is 5 s behind answers another one.
-  Cause: ordering by wall time alone.
+Feature: Timeline of events of all processes
+  Guards against a merged timeline that shows effects before their causes,
+  lists events twice or omits leases that are still held.
 
-  Scenario: An effect never stands before its cause when clocks disagree
+  Scenario: An effect never precedes its cause despite clock skew
     Given a daemon "a" and a daemon "b" whose wall clock is 5000 ms behind
-    When "a" notes "forward.sent" and "b" notes "forward.taken" because of it
-    And "b" notes "forward.answered" and "a" notes "forward.done" because of it
+    When "a" records "forward.sent" and "b" records its effect "forward.taken"
+    And "b" records "forward.answered" and "a" records its effect "forward.done"
     Then the merged order is "forward.sent, forward.taken, forward.answered, forward.done"
-    And places on the axis never go back
+    And positions on the axis never decrease
 
-  Scenario: A ring is bounded and rings that were read twice give no doubles
+  Scenario: Ring buffers are bounded and events read twice are merged once
     Given a daemon "a" and a daemon "b" whose wall clock is 0 ms behind
-    When "a" notes 100 events into its ring of 64
-    Then the merged time line of two readings has 64 events
+    When "a" records 100 events in a ring buffer of 64
+    Then the merged timeline of two reads has 64 events
 
-  Scenario: A lease that is never closed is drawn to the end
+  Scenario: A lease without an end lasts to the last event
     Given a daemon "a" and a daemon "b" whose wall clock is 0 ms behind
     When "a" acquires a lease, loses it 40 ms later and acquires it again
-    Then there are 2 lease bars and a picture can be drawn
+    Then there are 2 lease bars and the timeline can be plotted
--- a/waxwingford/timeline/tests/timeline_steps.py
+++ b/waxwingford/timeline/tests/timeline_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the time line's feature."""
+"""Steps for timelines of several daemons."""
 
 import itertools
 import pathlib
@@ -16,87 +16,90 @@
 )
 
 START_MS = 1_000_000
-RING = 64
+RING_CAPACITY = 64
 
 
 @given(
     'a daemon "{first}" and a daemon "{second}" whose wall clock is'
-    ' {behind:d} ms behind'
+    ' {lag_ms:d} ms behind'
 )
-def two_daemons(context, first, second, behind):
+def two_daemons(context, first, second, lag_ms):
     context.clock_by_name = {
         first: ManualClock(START_MS),
-        second: ManualClock(START_MS - behind),
+        second: ManualClock(START_MS - lag_ms),
     }
-    context.line_by_name = {
-        name: TimeLine(name, 'x1', clock, RING)
+    context.timeline_by_name = {
+        name: TimeLine(name, 'x1', clock, RING_CAPACITY)
         for name, clock in context.clock_by_name.items()
     }
     context.last_id = None
 
 
-def note_chain(context, name, kind):
+def record_with_parent(context, name, kind):
     for clock in context.clock_by_name.values():
         clock.advance(1)
-    context.last_id = context.line_by_name[name].note(
+    context.last_id = context.timeline_by_name[name].note(
         kind, 'request:r1', parent=context.last_id
     )
 
 
-@when('"{first}" notes "{cause}" and "{second}" notes "{effect}" because of it')
-def note_pair(context, first, cause, second, effect):
-    note_chain(context, first, cause)
-    note_chain(context, second, effect)
+@when(
+    '"{first}" records "{cause}" and "{second}" records its effect "{effect}"'
+)
+def record_cause_and_effect(context, first, cause, second, effect):
+    record_with_parent(context, first, cause)
+    record_with_parent(context, second, effect)
 
 
 def all_events(context):
     return list(
         itertools.chain.from_iterable(
-            line.since(0) for line in context.line_by_name.values()
+            timeline.since(0) for timeline in context.timeline_by_name.values()
         )
     )
 
 
 @then('the merged order is "{kinds}"')
-def merged_order(context, kinds):
+def check_merged_order(context, kinds):
     merged = merge_events(all_events(context))
     assert [event.kind for event in merged] == kinds.split(', ')
 
 
-@then('places on the axis never go back')
-def places_in_order(context):
-    places = [
-        spot.at_ms for spot in place_events(merge_events(all_events(context)))
+@then('positions on the axis never decrease')
+def check_offsets_do_not_decrease(context):
+    offsets = [
+        placed_event.at_ms
+        for placed_event in place_events(merge_events(all_events(context)))
     ]
-    assert places == sorted(places), places
+    assert offsets == sorted(offsets), offsets
 
 
-@when('"{name}" notes {count:d} events into its ring of 64')
-def note_many(context, name, count):
+@when('"{name}" records {count:d} events in a ring buffer of 64')
+def record_many(context, name, count):
     for index in range(count):
-        context.line_by_name[name].note('tick', f'task:{index}')
+        context.timeline_by_name[name].note('tick', f'task:{index}')
 
 
-@then('the merged time line of two readings has {count:d} events')
-def merged_count(context, count):
-    doubled = all_events(context) + all_events(context)
-    assert len(merge_events(doubled)) == count
+@then('the merged timeline of two reads has {count:d} events')
+def check_merged_count(context, count):
+    events_read_twice = all_events(context) + all_events(context)
+    assert len(merge_events(events_read_twice)) == count
 
 
 @when(
-    '"{name}" acquires a lease, loses it {later:d} ms later and'
+    '"{name}" acquires a lease, loses it {delay_ms:d} ms later and'
     ' acquires it again'
 )
-def lease_history(context, name, later):
-    line = context.line_by_name[name]
-    line.note('lease.acquired', 'server:s1')
-    context.clock_by_name[name].advance(later)
-    line.note('lease.lost', 'server:s1')
-    line.note('lease.acquired', 'server:s1')
+def record_lease_events(context, name, delay_ms):
+    timeline = context.timeline_by_name[name]
+    timeline.note('lease.acquired', 'server:s1')
+    context.clock_by_name[name].advance(delay_ms)
+    timeline.note('lease.lost', 'server:s1')
+    timeline.note('lease.acquired', 'server:s1')
 
 
-@then('there are {count:d} lease bars and a picture can be drawn')
-def bars_and_picture(context, count):
+@then('there are {count:d} lease bars and the timeline can be plotted')
+def check_bars_and_plot(context, count):
     merged = merge_events(all_events(context))
     assert len(lease_bars(place_events(merged))) == count
     with tempfile.TemporaryDirectory() as directory:
