--- a/waxwingford/daemon/__init__.py
+++ b/waxwingford/daemon/__init__.py
@@ -1,6 +1,6 @@
-"""The daemon: assembly of its parts, life cycle, health and status."""
+"""Daemon process: assembly of its components, lifecycle, health and status."""
 
-from waxwingford.daemon._life import Life
-from waxwingford.daemon._logging import LineFormat, log_handler
+from waxwingford.daemon._lifecycle import Lifecycle
+from waxwingford.daemon._logging import LineFormatter, log_handler
 
-__all__ = ('Life', 'LineFormat', 'log_handler')
+__all__ = ('Lifecycle', 'LineFormatter', 'log_handler')
--- a/waxwingford/daemon/_admin.py
+++ b/waxwingford/daemon/_admin.py
@@ -1,4 +1,4 @@
-"""HTTP for operators and the balancer: health, status, metrics, time line."""
+"""HTTP routes for operators and the balancer."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -7,7 +7,7 @@
 import msgspec
 from aiohttp import web
 
-from waxwingford.daemon._life import Life
+from waxwingford.daemon._lifecycle import Lifecycle
 from waxwingford.metrics import Metrics
 from waxwingford.timeline import TimeLine
 
@@ -15,7 +15,7 @@
 class BundleStatus(TypedDict):
     """Bundle in force.
 
-    ``version`` is 0 without one; ``digest`` is hexadecimal.
+    ``version`` is 0 if there is none; ``digest`` is hexadecimal.
     """
 
     version: int
@@ -23,14 +23,17 @@
 
 
 class JobsStatus(TypedDict):
-    """Counts of tasks in the failure domain."""
+    """Numbers of tasks in the failure domain."""
 
     pending: int
     running: int
 
 
 class PeerStatus(TypedDict):
-    """A peer as last heard of; ``distance_ms`` is a round trip."""
+    """State of a peer.
+
+    ``distance_ms`` is the round-trip time in milliseconds.
+    """
 
     daemon_id: str
     alive: bool
@@ -38,7 +41,7 @@
 
 
 class Status(TypedDict):
-    """What ``GET /v1/status`` answers."""
+    """Response body of ``GET /v1/status``."""
 
     daemon: str
     incarnation: str
@@ -53,41 +56,42 @@
 
 
 class Admin:
-    """Routes that only read, and the one that drains."""
+    """Handlers of health, metrics, status, timeline and drain requests."""
 
     def __init__(
         self,
         *,
-        life: Life,
+        lifecycle: Lifecycle,
         metrics: Metrics,
         time_line: TimeLine,
         status: Callable[[], Status],
         refresh: Callable[[], None],
         drain: Callable[[], None],
-        member_of: Callable[[web.Request, bytes], str | None],
+        signing_member: Callable[[web.Request, bytes], str | None],
     ) -> None:
-        """Wire the routes.
+        """Store the sources of the responses.
 
-        :param life: readiness.
-        :param metrics: what ``/metrics`` writes.
-        :param time_line: what ``/v1/timeline`` writes.
-        :param status: makes the status.
-        :param refresh: sets gauges before they are written.
+        :param lifecycle: source of ``/readyz``.
+        :param metrics: source of ``/metrics``.
+        :param time_line: source of ``/v1/timeline``.
+        :param status: returns the response body of ``/v1/status``.
+        :param refresh: updates gauges before metrics are rendered.
         :param drain: starts a planned stop.
-        :param member_of: member that signed an operator's request, or None.
+        :param signing_member: returns the member that signed a request with
+            the given body, or None if its signature is not valid.
         """
-        self._life = life
+        self._lifecycle = lifecycle
         self._metrics = metrics
         self._time_line = time_line
         self._status = status
         self._refresh = refresh
         self._drain = drain
-        self._member_of = member_of
+        self._signing_member = signing_member
 
     def routes(self) -> list[web.RouteDef]:
         """List the routes.
 
-        :returns: for ``aiohttp.web.Application.add_routes``.
+        :returns: routes for ``aiohttp.web.Application.add_routes``.
         """
         return [
             web.get('/healthz', self._healthz),
@@ -102,7 +106,7 @@
         return web.Response(text='alive\n')
 
     async def _readyz(self, request: web.Request) -> web.Response:
-        missing = self._life.missing()
+        missing = self._lifecycle.missing()
         if missing:
             text = ''.join(f'{reason}\n' for reason in missing)
             return web.Response(
@@ -125,7 +129,7 @@
         return _json(self._time_line.since(int(after)))
 
     async def _start_drain(self, request: web.Request) -> web.Response:
-        if self._member_of(request, await request.read()) is None:
+        if self._signing_member(request, await request.read()) is None:
             return web.Response(
                 status=HTTPStatus.UNAUTHORIZED, text='not signed by a member\n'
             )
--- a/waxwingford/daemon/_application.py
+++ b/waxwingford/daemon/_application.py
@@ -1,4 +1,4 @@
-"""The HTTP application of a daemon: services, jobs, health and status."""
+"""HTTP application of a daemon: services, jobs, health and status."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 
 from waxwingford.bundles import Verified
 from waxwingford.daemon._admin import Admin
-from waxwingford.daemon._parts import Parts
+from waxwingford.daemon._components import Components
 from waxwingford.daemon._status import make_status, refresh_gauges
 from waxwingford.entry import (
     EntryLimits,
@@ -19,28 +19,30 @@
 
 
 def make_application(
-    parts: Parts, ask_stop: Callable[[], None]
+    components: Components, request_stop: Callable[[], None]
 ) -> web.Application:
-    """Make the application with all routes.
+    """Create the application with all routes.
 
-    :param parts: of the daemon.
-    :param ask_stop: begins a planned stop.
-    :returns: the application; nothing listens yet.
+    :param components: components of the daemon.
+    :param request_stop: callback that starts a planned stop.
+    :returns: the application, not yet serving.
     """
-    limits = entry_limits(parts.settings)
+    limits = entry_limits(components.settings)
     app = web.Application(client_max_size=limits.body_bytes)
-    app.add_routes(_admin(parts, ask_stop).routes())
-    app.add_routes(service_routes(_service_entry(parts, limits)))
-    job_entry = JobEntry(parts.batch, parts.verify, parts.clock, limits)
+    app.add_routes(_admin(components, request_stop).routes())
+    app.add_routes(service_routes(_service_entry(components, limits)))
+    job_entry = JobEntry(
+        components.batch, components.verify, components.clock, limits
+    )
     app.add_routes(job_routes(job_entry))
     return app
 
 
 def entry_limits(settings: Settings) -> EntryLimits:
-    """Extract the bounds of the HTTP entry.
+    """Extract the limits of the HTTP entry.
 
-    :param settings: of the daemon.
-    :returns: the bounds.
+    :param settings: settings of the daemon.
+    :returns: limits on size, connections and deadlines.
     """
     return EntryLimits(
         body_bytes=settings.limits.body_bytes,
@@ -50,37 +52,43 @@
     )
 
 
-def _admin(parts: Parts, ask_stop: Callable[[], None]) -> Admin:
+def _admin(components: Components, request_stop: Callable[[], None]) -> Admin:
     return Admin(
-        life=parts.life,
-        metrics=parts.metrics,
-        time_line=parts.time_line,
-        status=lambda: make_status(parts),
-        refresh=lambda: refresh_gauges(parts),
-        drain=ask_stop,
-        member_of=lambda request, body: _member_of(parts, request, body),
+        lifecycle=components.lifecycle,
+        metrics=components.metrics,
+        time_line=components.time_line,
+        status=lambda: make_status(components),
+        refresh=lambda: refresh_gauges(components),
+        drain=request_stop,
+        signing_member=lambda request, body: _signing_member(
+            components, request, body
+        ),
     )
 
 
-def _service_entry(parts: Parts, limits: EntryLimits) -> ServiceEntry:
+def _service_entry(components: Components, limits: EntryLimits) -> ServiceEntry:
     return ServiceEntry(
-        daemon_id=parts.settings.identity.daemon_id,
-        incarnation=parts.incarnation,
-        dispatcher=parts.dispatcher,
-        clock=parts.clock,
-        members_by_service=parts.members_by_service,
-        not_ready=lambda: _not_ready(parts),
+        daemon_id=components.settings.identity.daemon_id,
+        incarnation=components.incarnation,
+        dispatcher=components.dispatcher,
+        clock=components.clock,
+        members_by_service=components.members_by_service,
+        not_ready=lambda: _not_ready(components),
         limits=limits,
     )
 
 
-def _not_ready(parts: Parts) -> str:
-    # A draining daemon still takes requests while the balancer notices.
-    if parts.reader.current is None:
+def _not_ready(components: Components) -> str:
+    # A draining daemon still accepts requests until the balancer stops sending.
+    if components.reader.current is None:
         return 'no bundle is in force here'
     return ''
 
 
-def _member_of(parts: Parts, request: web.Request, body: bytes) -> str | None:
-    check = parts.verify(request.headers, request.method, request.path_qs, body)
+def _signing_member(
+    components: Components, request: web.Request, body: bytes
+) -> str | None:
+    check = components.verify(
+        request.headers, request.method, request.path_qs, body
+    )
     return check.member if isinstance(check, Verified) else None
--- a/waxwingford/daemon/_assembly.py
+++ b/waxwingford/daemon/_assembly.py
@@ -1,4 +1,4 @@
-"""Makes the parts of a daemon from its settings and wires them."""
+"""Construction of the components of a daemon from its settings."""
 
 import random
 import secrets
@@ -11,10 +11,10 @@
     NonceCache,
     ReaderSetup,
 )
-from waxwingford.daemon._bundle_terms import batch_terms, service_limits
+from waxwingford.daemon._bundle_settings import bundle_settings, service_limits
+from waxwingford.daemon._components import Components, own_address
 from waxwingford.daemon._logging import log_event
-from waxwingford.daemon._parts import Parts, own_address
-from waxwingford.daemon._readiness import make_life
+from waxwingford.daemon._readiness import make_lifecycle
 from waxwingford.kernel import SystemClock, load_plugins
 from waxwingford.metrics import Metrics
 from waxwingford.peers import Membership, PeerLinks
@@ -22,22 +22,22 @@
 from waxwingford.settings import Alpn, Settings, client_context
 from waxwingford.timeline import TimeLine
 
-#: Modules whose plug-ins register themselves at import.
+#: Modules that register plug-ins when imported.
 PLUGINS = (
     'waxwingford.adapters',
     'waxwingford.batch',
     'waxwingford.colocation',
 )
 _INCARNATION_BYTES = 4
-#: Signed operators' requests that are remembered against replay.
-_NONCES = 20_000
+#: Number of signed requests remembered for replay protection.
+_NONCE_CACHE_CAPACITY = 20_000
 
 
-def make_parts(settings: Settings) -> Parts:
-    """Make and wire all parts; nothing runs yet.
+def make_components(settings: Settings) -> Components:
+    """Create and connect all components without starting them.
 
-    :param settings: checked settings.
-    :returns: the parts.
+    :param settings: validated settings.
+    :returns: the components.
     """
     load_plugins(PLUGINS)
     incarnation = secrets.token_hex(_INCARNATION_BYTES)
@@ -94,7 +94,7 @@
                 if peer.failure_domain == identity.failure_domain
                 and peer.daemon_id != identity.daemon_id
             ),
-            on_in_force=lambda in_force: _put_in_force(
+            on_in_force=lambda in_force: _apply_bundle(
                 in_force, batch, dispatcher
             ),
             note=time_line.note,
@@ -103,11 +103,11 @@
         )
     )
     membership = Membership(own_address(settings), settings.peers)
-    return Parts(
+    return Components(
         settings=settings,
         incarnation=incarnation,
         clock=clock,
-        life=make_life(batch, reader, membership, clock),
+        lifecycle=make_lifecycle(batch, reader, membership, clock),
         metrics=metrics,
         time_line=time_line,
         platform=platform,
@@ -116,7 +116,7 @@
         batch=batch,
         dispatcher=dispatcher,
         reader=reader,
-        nonces=NonceCache(_NONCES),
+        nonces=NonceCache(_NONCE_CACHE_CAPACITY),
     )
 
 
@@ -135,8 +135,8 @@
     )
 
 
-def _put_in_force(
+def _apply_bundle(
     in_force: BundleInForce, batch: BatchTask, dispatcher: RequestDispatcher
 ) -> None:
-    batch.set_bundle(batch_terms(in_force.bundle))
+    batch.set_bundle(bundle_settings(in_force.bundle))
     dispatcher.set_limits(service_limits(in_force.bundle))
--- a/waxwingford/daemon/_bundle_terms.py
+++ b/waxwingford/daemon/_bundle_settings.py
@@ -1,4 +1,4 @@
-"""What a bundle means for each part of the daemon."""
+"""Conversion of a bundle into settings for batch scheduling and routing."""
 
 from collections.abc import Mapping
 
@@ -9,11 +9,11 @@
 from waxwingford.routing import ServiceLimits
 
 
-def batch_terms(bundle: Bundle) -> BundleSettings:
-    """Extract what governs batch work.
+def bundle_settings(bundle: Bundle) -> BundleSettings:
+    """Extract the settings for batch scheduling.
 
-    :param bundle: in force.
-    :returns: quotas, weights, reserves and the policy's name.
+    :param bundle: bundle in force.
+    :returns: quotas, policy weights, reserved resources and the policy name.
     """
     return BundleSettings(
         quota_by_team={
@@ -36,20 +36,20 @@
             name for name, quota in bundle.teams.items() if quota.may_borrow
         ),
         share_by_member={
-            name: terms.share for name, terms in bundle.members.items()
+            name: member.share for name, member in bundle.members.items()
         },
         quarantine=_quarantine_limits(bundle),
     )
 
 
 def service_limits(bundle: Bundle) -> Mapping[str, ServiceLimits]:
-    """Extract what governs requests.
+    """Extract the limits for request routing.
 
-    :param bundle: in force.
+    :param bundle: bundle in force.
     :returns: limits by service.
     """
     weight_by_member = {
-        name: terms.share for name, terms in bundle.members.items()
+        name: member.share for name, member in bundle.members.items()
     }
     return {
         name: ServiceLimits(
@@ -64,10 +64,10 @@
 
 
 def members_by_service(bundle: Bundle) -> dict[str, frozenset[str]]:
-    """Find who may use which service.
+    """List the members that may call each service.
 
-    :param bundle: in force.
-    :returns: the service's member, and those that have a limit for it.
+    :param bundle: bundle in force.
+    :returns: by service, its owner and all members with a concurrency limit.
     """
     return {
         name: frozenset((service.member, *service.concurrency_by_member))
@@ -76,8 +76,8 @@
 
 
 def _quarantine_limits(bundle: Bundle) -> QuarantineLimits | None:
-    # ``attempts`` is left to the fold's own limit: daemons take a bundle at
-    # different times, and must agree at each offset on which task is over.
+    # ``attempts`` is not taken from the bundle: daemons apply a bundle at
+    # different times, but must agree at each offset on which tasks have ended.
     if not bundle.switches.quarantine:
         return None
     return QuarantineLimits(
--- a/waxwingford/daemon/_parts.py
+++ b/waxwingford/daemon/_components.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon, and what they answer together."""
+"""Components of a daemon and operations that combine several of them."""
 
 import dataclasses
 
@@ -11,10 +11,10 @@
     Verified,
     verify_request,
 )
-from waxwingford.daemon._bundle_terms import (
+from waxwingford.daemon._bundle_settings import (
     members_by_service,
 )
-from waxwingford.daemon._life import Life
+from waxwingford.daemon._lifecycle import Lifecycle
 from waxwingford.kernel import SystemClock
 from waxwingford.metrics import Metrics
 from waxwingford.peers import Membership, PeerBeat, PeerLinks
@@ -24,28 +24,28 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Parts:
-    """All parts of one daemon.
-
-    :ivar settings: checked settings.
-    :ivar incarnation: random at each start.
-    :ivar clock: the machine's clocks.
-    :ivar life: life cycle and readiness.
-    :ivar metrics: counters and histograms.
-    :ivar time_line: ring of events.
-    :ivar platform: log, list of VMs, backend servers.
-    :ivar links: calls to peers.
-    :ivar membership: who was heard of.
+class Components:
+    """All components of one daemon.
+
+    :ivar settings: validated settings.
+    :ivar incarnation: random id of this run of the process.
+    :ivar clock: monotonic and wall clock of the VM.
+    :ivar lifecycle: lifecycle and readiness.
+    :ivar metrics: counters, gauges and histograms.
+    :ivar time_line: ring buffer of events.
+    :ivar platform: clients of the log, the VM list and the backend servers.
+    :ivar links: connections to peers.
+    :ivar membership: latest heartbeats of the peers.
     :ivar batch: batch task.
     :ivar dispatcher: request dispatcher.
     :ivar reader: bundle reader.
-    :ivar nonces: signed requests taken before.
+    :ivar nonces: nonces of signed requests, for replay protection.
     """
 
     settings: Settings
     incarnation: str
     clock: SystemClock
-    life: Life
+    lifecycle: Lifecycle
     metrics: Metrics
     time_line: TimeLine
     platform: PlatformPorts
@@ -56,10 +56,10 @@
     reader: BundleReader
     nonces: NonceCache
 
-    def own_beat(self) -> PeerBeat:
-        """Make the own heartbeat.
+    def own_heartbeat(self) -> PeerBeat:
+        """Make this daemon's heartbeat.
 
-        :returns: what peers should know.
+        :returns: heartbeat with the current state of the daemon.
         """
         current = self.reader.current
         return PeerBeat(
@@ -69,31 +69,32 @@
             bundle_version=current.version if current else 0,
             spare_by_service=self.dispatcher.spare_by_service(),
             expected_ms_by_service=self.dispatcher.expected_ms_by_service(),
-            draining=self.life.state == 'draining',
+            draining=self.lifecycle.state == 'draining',
         )
 
-    def exchange(self, beat: PeerBeat) -> PeerBeat:
-        """Take a peer's heartbeat and answer with the own one.
+    def exchange_heartbeats(self, heartbeat: PeerBeat) -> PeerBeat:
+        """Process a peer's heartbeat and respond with this daemon's.
 
-        :param beat: the peer's.
-        :returns: the own one.
+        :param heartbeat: heartbeat of the peer.
+        :returns: heartbeat of this daemon.
         """
-        self.membership.heard(beat, self.clock.monotonic_ms())
-        self.take_beat(beat)
-        return self.own_beat()
+        self.membership.heard(heartbeat, self.clock.monotonic_ms())
+        self.handle_heartbeat(heartbeat)
+        return self.own_heartbeat()
 
-    def take_beat(self, beat: PeerBeat) -> None:
-        """Act on what a peer's heartbeat tells.
+    def handle_heartbeat(self, heartbeat: PeerBeat) -> None:
+        """Process the released servers in a peer's heartbeat.
 
-        :param beat: the peer's.
+        :param heartbeat: heartbeat of the peer.
         """
-        if beat.released:
-            # The peer may have begun to drain: rank without it first.
-            self.spread_membership()
-            self.batch.note_released(beat.released)
-
-    def spread_membership(self) -> None:
-        """Hand views of peers to the parts that need them."""
+        if heartbeat.released:
+            # The peer may be draining: exclude it before its servers are
+            # assigned.
+            self.publish_peer_views()
+            self.batch.note_released(heartbeat.released)
+
+    def publish_peer_views(self) -> None:
+        """Pass the current state of the peers to the dispatcher and batch."""
         now_ms = self.clock.monotonic_ms()
         self.dispatcher.set_peers(self.membership.peer_views(now_ms))
         self.batch.set_alive(self.membership.alive_in_domain(now_ms))
@@ -101,10 +102,11 @@
     def bundle_payloads(
         self, after_version: int
     ) -> tuple[int, tuple[bytes, ...]]:
-        """Hand the bundle in force to a peer.
+        """Return the bundle in force for a peer.
 
         :param after_version: version that the peer has.
-        :returns: version in force, and its record if it is newer.
+        :returns: version in force, 0 if there is none, and its encoded record
+            if it is newer than the peer's.
         """
         current = self.reader.current
         if current is None:
@@ -114,9 +116,9 @@
         return current.version, (self.reader.whole_record(),)
 
     def members_by_service(self) -> dict[str, frozenset[str]]:
-        """Find who may use which service.
+        """List the members that may call each service.
 
-        :returns: members by service; empty without a bundle.
+        :returns: members by service; empty without a bundle in force.
         """
         current = self.reader.current
         return members_by_service(current.bundle) if current else {}
@@ -124,13 +126,13 @@
     def verify(
         self, headers: dict[str, str], method: str, path: str, body: bytes
     ) -> Verified | Unverified:
-        """Check which member signed an operator's request.
+        """Verify the signature of an operator's request.
 
-        :param headers: of the request.
+        :param headers: headers of the request.
         :param method: HTTP method.
         :param path: path with query.
-        :param body: whole body.
-        :returns: the member, or why there is none.
+        :param body: complete body.
+        :returns: the member that signed, or why verification failed.
         """
         return verify_request(
             self.settings.trust.public_key_by_member,
@@ -144,10 +146,10 @@
 
 
 def own_address(settings: Settings) -> PeerAddress:
-    """Describe this daemon as its peers know it.
+    """Return the address at which peers reach this daemon.
 
-    :param settings: its settings.
-    :returns: its address.
+    :param settings: settings of this daemon.
+    :returns: address and failure domain of this daemon.
     """
     return PeerAddress(
         daemon_id=settings.identity.daemon_id,
--- a/waxwingford/daemon/_daemon.py
+++ b/waxwingford/daemon/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: runs its parts, and stops them in an order that loses nothing."""
+"""Start, drain and shutdown of the daemon's tasks and servers."""
 
 import asyncio
 import signal
@@ -8,121 +8,122 @@
 from logbook import Logger
 
 from waxwingford.daemon._application import entry_limits, make_application
-from waxwingford.daemon._feed import feed_routing
-from waxwingford.daemon._heartbeats import BeatHooks, HeartbeatTask
-from waxwingford.daemon._parts import Parts, own_address
+from waxwingford.daemon._components import Components, own_address
+from waxwingford.daemon._heartbeats import HeartbeatHooks, HeartbeatTask
+from waxwingford.daemon._load_sync import sync_batch_and_dispatcher
 from waxwingford.entry import HttpSite
 from waxwingford.kernel import Invariant, on_broken
 from waxwingford.peers import PeerService, beat_targets
 from waxwingford.settings import Alpn, server_context
 
 _MS_IN_S = 1000
-#: Requests are still taken for this time after the daemon says that it is
-#: not ready, so that the balancer can notice, in milliseconds.
-_NOTICE_MS = 1500
+#: Time in milliseconds for which requests are still accepted after a drain
+#: starts, until the balancer has seen that the daemon is not ready.
+_DRAIN_NOTICE_MS = 1500
 EXIT_STOPPED = 0
-#: A broken invariant or a fault in the program.
+#: Exit code after an invariant violation or an internal error.
 EXIT_FAULT = 70
 
 _log = Logger('daemon')
 
 
 class Daemon:
-    """Owns the tasks of one process."""
+    """Runs the tasks and servers of one daemon process."""
 
-    def __init__(self, parts: Parts) -> None:
-        """Prepare; nothing runs yet.
+    def __init__(self, components: Components) -> None:
+        """Create the servers and the heartbeat task without starting them.
 
-        :param parts: made from settings.
+        :param components: components of the daemon.
         """
-        self._parts = parts
-        self._stop = asyncio.Event()
-        self._hurry = asyncio.Event()
+        self._components = components
+        self._stop_requested = asyncio.Event()
+        self._immediate_stop_requested = asyncio.Event()
         self._exit_code = EXIT_STOPPED
         self._tasks: list[asyncio.Task[None]] = []
         self._site = HttpSite(
-            make_application(parts, self.ask_stop),
-            entry_limits(parts.settings),
+            make_application(components, self.request_stop),
+            entry_limits(components.settings),
         )
         self._heartbeats = self._make_heartbeats()
         self._rpc = Server(
             [
                 PeerService(
-                    parts.dispatcher,
-                    parts.exchange,
-                    parts.bundle_payloads,
-                    parts.time_line,
+                    components.dispatcher,
+                    components.exchange_heartbeats,
+                    components.bundle_payloads,
+                    components.time_line,
                 )
             ]
         )
 
     async def run(self) -> int:
-        """Run until a planned stop or a fault.
+        """Run until a planned stop or an internal error.
 
         :returns: exit code of the process.
         """
-        on_broken(self._on_broken)
-        self._catch_signals()
+        on_broken(self._on_invariant_violation)
+        self._add_signal_handlers()
         await self._start()
-        await self._stop.wait()
+        await self._stop_requested.wait()
         if self._exit_code == EXIT_STOPPED:
             await self._drain()
-        await self._shut()
+        await self._shut_down()
         return self._exit_code
 
-    def ask_stop(self) -> None:
-        """Begin a planned stop; asked twice, it no longer waits."""
-        if self._stop.is_set():
-            self._hurry.set()
-        self._stop.set()
+    def request_stop(self) -> None:
+        """Start a planned stop; a second call skips the drain."""
+        if self._stop_requested.is_set():
+            self._immediate_stop_requested.set()
+        self._stop_requested.set()
 
     async def _start(self) -> None:
-        parts = self._parts
-        listen = parts.settings.listen
-        parts.time_line.note('daemon.started', self._subject())
+        components = self._components
+        listen = components.settings.listen
+        components.time_line.note('daemon.started', self._event_subject())
         await self._rpc.start(
             listen.host,
             listen.rpc_port,
-            ssl=server_context(parts.settings, Alpn.rpc),
+            ssl=server_context(components.settings, Alpn.rpc),
         )
         await self._site.start(
             listen.host,
             listen.http_port,
-            server_context(parts.settings, Alpn.http),
+            server_context(components.settings, Alpn.http),
         )
-        self._spawn(parts.reader.run())
-        self._spawn(parts.batch.run())
+        self._spawn(components.reader.run())
+        self._spawn(components.batch.run())
         self._spawn(self._heartbeats.run())
-        self._spawn(feed_routing(parts))
-        parts.life.serve()
+        self._spawn(sync_batch_and_dispatcher(components))
+        components.lifecycle.serve()
         _log.info('started')
 
     async def _drain(self) -> None:
-        """Stop without cutting anything off.
+        """Drain requests and hand over control leases.
 
-        First the balancer and peers learn of it while requests are still
-        taken; then requests in progress end; only then are the control leases
-        given up, since a successor counts the slots of a server from zero.
+        Leases are released only after all requests in progress have ended,
+        since the next holder assumes that all slots of a server are free.
         """
-        parts = self._parts
-        bounded_ms = parts.settings.limits.drain_ms
-        parts.life.drain()
-        parts.time_line.note('daemon.draining', self._subject())
+        components = self._components
+        timeout_ms = components.settings.limits.drain_ms
+        components.lifecycle.drain()
+        components.time_line.note('daemon.draining', self._event_subject())
         _log.info('draining')
-        steps = asyncio.create_task(self._drain_steps(bounded_ms))
-        hurried = asyncio.create_task(self._hurry.wait())
+        steps = asyncio.create_task(self._drain_steps(timeout_ms))
+        immediate_stop = asyncio.create_task(
+            self._immediate_stop_requested.wait()
+        )
         await asyncio.wait(
-            {steps, hurried}, return_when=asyncio.FIRST_COMPLETED
+            {steps, immediate_stop}, return_when=asyncio.FIRST_COMPLETED
         )
         steps.cancel()
-        hurried.cancel()
-
-    async def _drain_steps(self, bounded_ms: int) -> None:
-        parts = self._parts
-        await asyncio.sleep(_NOTICE_MS / _MS_IN_S)
-        drained = await parts.dispatcher.drain(bounded_ms)
-        handed_over = await parts.batch.drain(bounded_ms)
-        await self._heartbeats.tell_released()
+        immediate_stop.cancel()
+
+    async def _drain_steps(self, timeout_ms: int) -> None:
+        components = self._components
+        await asyncio.sleep(_DRAIN_NOTICE_MS / _MS_IN_S)
+        drained = await components.dispatcher.drain(timeout_ms)
+        handed_over = await components.batch.drain(timeout_ms)
+        await self._heartbeats.announce_released()
         _log.info(
             'drained',
             extra={
@@ -131,64 +132,66 @@
             },
         )
 
-    async def _shut(self) -> None:
-        self._parts.life.stop()
+    async def _shut_down(self) -> None:
+        self._components.lifecycle.stop()
         await self._site.stop()
         self._rpc.close()
         await self._rpc.wait_closed()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        self._parts.links.close()
-        await self._parts.platform.close()
+        self._components.links.close()
+        await self._components.platform.close()
         _log.info('stopped', extra={'exit_code': self._exit_code})
 
     def _make_heartbeats(self) -> HeartbeatTask:
-        parts = self._parts
+        components = self._components
         targets = beat_targets(
-            own_address(parts.settings), parts.settings.peers
+            own_address(components.settings), components.settings.peers
         )
         return HeartbeatTask(
-            links=parts.links,
-            membership=parts.membership,
+            links=components.links,
+            membership=components.membership,
             targets=targets,
-            clock=parts.clock,
-            hooks=BeatHooks(
-                own_beat=parts.own_beat,
-                on_beat=parts.take_beat,
-                on_round=parts.spread_membership,
-                take_released=parts.batch.take_released,
+            clock=components.clock,
+            hooks=HeartbeatHooks(
+                own_heartbeat=components.own_heartbeat,
+                on_heartbeat=components.handle_heartbeat,
+                on_round=components.publish_peer_views,
+                take_released=components.batch.take_released,
             ),
         )
 
-    def _catch_signals(self) -> None:
+    def _add_signal_handlers(self) -> None:
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.ask_stop)
+            loop.add_signal_handler(number, self.request_stop)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
-        task.add_done_callback(self._on_ended)
+        task.add_done_callback(self._on_task_done)
         self._tasks.append(task)
 
-    def _on_ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         if task.cancelled():
             return
         error = task.exception()
         _log.error('task ended', extra={'task': str(error)}, exc_info=error)
         self._exit_code = EXIT_FAULT
-        self._stop.set()
+        self._stop_requested.set()
 
-    def _on_broken(self, invariant: Invariant, detail: str) -> None:
-        self._parts.time_line.note(
-            f'invariant.{invariant.name}', self._subject(), detail
+    def _on_invariant_violation(
+        self, invariant: Invariant, detail: str
+    ) -> None:
+        self._components.time_line.note(
+            f'invariant.{invariant.name}', self._event_subject(), detail
         )
         _log.critical(
             'invariant broken',
             extra={'invariant': invariant.name, 'detail': detail},
         )
         self._exit_code = EXIT_FAULT
-        self._stop.set()
+        self._stop_requested.set()
 
-    def _subject(self) -> str:
-        return f'daemon:{self._parts.settings.identity.daemon_id}'
+    def _event_subject(self) -> str:
+        return f'daemon:{self._components.settings.identity.daemon_id}'
--- a/waxwingford/daemon/_heartbeats.py
+++ b/waxwingford/daemon/_heartbeats.py
@@ -1,4 +1,4 @@
-"""Task that exchanges heartbeats and spreads what they say."""
+"""Task that exchanges heartbeats with peers."""
 
 import asyncio
 import itertools
@@ -17,28 +17,28 @@
 from waxwingford.settings import PeerAddress
 
 _MS_IN_S = 1000
-_JITTER = 0.2
-#: Servers that were given up are looked for this often, in milliseconds.
-_RELEASED_EVERY_MS = 100
+_JITTER_FRACTION = 0.2
+#: Interval of checks for released servers, in milliseconds.
+_RELEASED_POLL_INTERVAL_MS = 100
 
 
-class BeatHooks(NamedTuple):
-    """What the rest of the daemon does with heartbeats.
+class HeartbeatHooks(NamedTuple):
+    """Callbacks of the heartbeat task.
 
-    :ivar own_beat: makes the own heartbeat.
-    :ivar on_beat: called for each heartbeat of a peer.
-    :ivar on_round: called after each round, to spread the views.
-    :ivar take_released: servers given up since the last call.
+    :ivar own_heartbeat: makes this daemon's heartbeat.
+    :ivar on_heartbeat: called with each heartbeat of a peer.
+    :ivar on_round: called after each round of exchanges.
+    :ivar take_released: returns the servers released since its last call.
     """
 
-    own_beat: Callable[[], PeerBeat]
-    on_beat: Callable[[PeerBeat], None]
+    own_heartbeat: Callable[[], PeerBeat]
+    on_heartbeat: Callable[[PeerBeat], None]
     on_round: Callable[[], None]
     take_released: Callable[[], tuple[str, ...]]
 
 
 class HeartbeatTask:
-    """Owns the membership; other tasks get copies of what they need."""
+    """Exchanges heartbeats with peers and updates the membership."""
 
     def __init__(
         self,
@@ -47,65 +47,69 @@
         membership: Membership,
         targets: BeatTargets,
         clock: Clock,
-        hooks: BeatHooks,
+        hooks: HeartbeatHooks,
     ) -> None:
-        """Wire the task.
+        """Create the task without starting it.
 
-        :param links: calls to peers.
-        :param membership: filled in by this task.
-        :param targets: daemons to exchange with.
-        :param clock: monotonic time.
-        :param hooks: what the rest of the daemon does with heartbeats.
+        :param links: connections to peers.
+        :param membership: membership that this task updates.
+        :param targets: peers to exchange heartbeats with.
+        :param clock: source of monotonic time.
+        :param hooks: callbacks for heartbeats.
         """
         self._links = links
         self._membership = membership
         self._targets = targets
         self._clock = clock
         self._hooks = hooks
-        self._random = random.Random(hooks.own_beat().incarnation)
+        self._random = random.Random(hooks.own_heartbeat().incarnation)
 
     async def run(self) -> None:
-        """Exchange heartbeats for ever, with jitter.
+        """Exchange heartbeats at jittered intervals until cancelled.
 
-        Without jitter, daemons that start together after a failure domain
-        comes back would all call each other in the same instant for ever.
+        Without jitter, daemons that start together after an outage of their
+        failure domain would stay synchronised.
         """
         while True:
-            beat = self._hooks.own_beat()
-            await self._exchange(beat, self._targets.each_interval)
+            heartbeat = self._hooks.own_heartbeat()
+            await self._exchange(heartbeat, self._targets.each_interval)
             self._hooks.on_round()
-            spread = self._random.uniform(1 - _JITTER, 1 + _JITTER)
-            rounds = int(BEAT_EVERY_MS * spread / _RELEASED_EVERY_MS)
-            for _ in itertools.repeat(None, rounds):
-                await asyncio.sleep(_RELEASED_EVERY_MS / _MS_IN_S)
-                await self.tell_released()
-
-    async def tell_released(self) -> None:
-        """Tell peers at once which servers were given up.
-
-        Without it nobody holds a server from the end of one lease until the
-        successor's next try; the time line showed 1.3 to 1.7 s, at each of
-        thousands of planned restarts a day.
+            jitter = self._random.uniform(
+                1 - _JITTER_FRACTION, 1 + _JITTER_FRACTION
+            )
+            polls = int(BEAT_EVERY_MS * jitter / _RELEASED_POLL_INTERVAL_MS)
+            for _ in itertools.repeat(None, polls):
+                await asyncio.sleep(_RELEASED_POLL_INTERVAL_MS / _MS_IN_S)
+                await self.announce_released()
+
+    async def announce_released(self) -> None:
+        """Tell peers immediately which servers were released.
+
+        Otherwise a released server has no holder until a peer next tries to
+        acquire it.
         """
         released = self._hooks.take_released()
         if released:
-            beat = self._hooks.own_beat()._replace(released=released)
-            await self._exchange(beat, self._targets.at_release)
+            heartbeat = self._hooks.own_heartbeat()._replace(released=released)
+            await self._exchange(heartbeat, self._targets.at_release)
 
     async def _exchange(
-        self, beat: PeerBeat, targets: tuple[PeerAddress, ...]
+        self, heartbeat: PeerBeat, targets: tuple[PeerAddress, ...]
     ) -> None:
         await asyncio.gather(
-            *(self._one(target.daemon_id, beat) for target in targets)
+            *(
+                self._exchange_with(target.daemon_id, heartbeat)
+                for target in targets
+            )
         )
 
-    async def _one(self, target: str, beat: PeerBeat) -> None:
+    async def _exchange_with(self, target: str, heartbeat: PeerBeat) -> None:
         distance_ms = self._membership.distance_ms(target)
-        told = beat._replace(distance_ms=distance_ms)
-        heard = await self._links.beat(target, told, BEAT_EVERY_MS)
-        if heard is None:
+        outgoing = heartbeat._replace(distance_ms=distance_ms)
+        response = await self._links.beat(target, outgoing, BEAT_EVERY_MS)
+        if response is None:
             return
-        peer_beat, round_trip_ms = heard
+        peer_heartbeat, round_trip_ms = response
         now_ms = self._clock.monotonic_ms()
-        self._membership.heard(peer_beat, now_ms, round_trip_ms)
-        self._hooks.on_beat(peer_beat)
+        self._membership.heard(peer_heartbeat, now_ms, round_trip_ms)
+        self._hooks.on_heartbeat(peer_heartbeat)
--- a/waxwingford/daemon/_life.py
+++ b/waxwingford/daemon/_lifecycle.py
@@ -1,4 +1,4 @@
-"""Life cycle of a daemon and the reasons why it is not ready."""
+"""Lifecycle states and readiness of a daemon."""
 
 from collections.abc import Callable
 
@@ -12,10 +12,13 @@
 )
 
 
-class Life:
-    """State of the process and what it still misses to be ready.
+class Lifecycle:
+    """Lifecycle state of a daemon and its readiness checks.
 
     :ivar state: ``starting``, ``serving``, ``draining`` or ``stopped``.
+    :ivar serve: changes from ``starting`` to ``serving``.
+    :ivar drain: changes to ``draining``.
+    :ivar stop: changes to ``stopped``.
     """
 
     state: str
@@ -24,8 +27,8 @@
     stop: Callable[[], bool]
 
     def __init__(self) -> None:
-        """Start in ``starting``."""
-        self._check_by_part: dict[str, Callable[[], str]] = {}
+        """Create a lifecycle in state ``starting`` without checks."""
+        self._check_by_component: dict[str, Callable[[], str]] = {}
         Machine(
             model=self,
             states=list(_STATES),
@@ -37,22 +40,24 @@
             auto_transitions=False,
         )
 
-    def require_part(self, part: str, missing: Callable[[], str]) -> None:
-        """Add a condition of readiness.
+    def add_readiness_check(
+        self, component: str, missing: Callable[[], str]
+    ) -> None:
+        """Register a readiness check.
 
-        :param part: its name.
-        :param missing: says what is missing, empty if nothing.
+        :param component: name of the checked component.
+        :param missing: returns what is missing, empty if ready.
         """
-        self._check_by_part[part] = missing
+        self._check_by_component[component] = missing
 
     def missing(self) -> list[str]:
-        """List what keeps the daemon from being ready.
+        """List the reasons why the daemon is not ready.
 
-        :returns: reasons, empty when ready.
+        :returns: reasons, prefixed by their component; empty if ready.
         """
         reasons = [
-            f'{part}: {reason}'
-            for part, check in self._check_by_part.items()
+            f'{component}: {reason}'
+            for component, check in self._check_by_component.items()
             if (reason := check())
         ]
         if self.state in {'draining', 'stopped'}:
--- a/waxwingford/daemon/_logging.py
+++ b/waxwingford/daemon/_logging.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event a line, as JSON or for people."""
+"""Structured logging, one event per line, as JSON or text."""
 
 import json
 import sys
@@ -10,26 +10,26 @@
 from waxwingford.timeline import Event
 
 
-class LineFormat:
-    """Formatter of logbook that names the daemon and its incarnation."""
+class LineFormatter:
+    """Logbook formatter that adds the daemon and its incarnation."""
 
     def __init__(self, form: str, daemon: str, incarnation: str) -> None:
-        """Choose the form.
+        """Create a formatter.
 
-        :param form: ``json`` or ``text``.
+        :param form: output format, ``json`` or ``text``.
         :param daemon: daemon id.
-        :param incarnation: of this process.
+        :param incarnation: random id of this run of the process.
         """
         self._form = form
         self._daemon = daemon
         self._incarnation = incarnation
 
     def __call__(self, record: Any, handler: logbook.Handler) -> str:
-        """Write one record.
+        """Format a log record.
 
-        :param record: of logbook; its ``extra`` holds request or task ids.
-        :param handler: unused, part of logbook's interface.
-        :returns: a line without its end.
+        :param record: logbook record; its ``extra`` holds additional fields.
+        :param handler: unused, required by logbook's interface.
+        :returns: log line without a line break.
         """
         extra = {key: str(text) for key, text in dict(record.extra).items()}
         if self._form == 'json':
@@ -45,12 +45,12 @@
                     **_exception(record),
                 }
             )
-        ids = ' '.join(f'{key}={text}' for key, text in extra.items())
-        clock = record.time.isoformat(sep=' ', timespec='milliseconds')
-        where = f'{self._daemon}#{self._incarnation}'
+        fields = ' '.join(f'{key}={text}' for key, text in extra.items())
+        timestamp = record.time.isoformat(sep=' ', timespec='milliseconds')
+        process = f'{self._daemon}#{self._incarnation}'
         return (
-            f'{clock} {record.level_name:<7} {where} '
-            f'{record.channel}: {record.message} {ids}'.rstrip()
+            f'{timestamp} {record.level_name:<7} {process} '
+            f'{record.channel}: {record.message} {fields}'.rstrip()
         )
 
 
@@ -63,35 +63,35 @@
 def log_handler(
     settings: Logging, daemon: str, incarnation: str
 ) -> logbook.Handler:
-    """Make the handler that the daemon pushes at its start.
+    """Create the daemon's log handler.
 
-    :param settings: form and level.
+    :param settings: output format and log level.
     :param daemon: daemon id.
-    :param incarnation: of this process.
-    :returns: handler that writes lines to standard error.
+    :param incarnation: random id of this run of the process.
+    :returns: handler that writes to standard error.
     """
     handler = logbook.StreamHandler(
         sys.stderr, level=settings.level.upper(), bubble=False
     )
-    handler.formatter = LineFormat(settings.form, daemon, incarnation)
+    handler.formatter = LineFormatter(settings.form, daemon, incarnation)
     return handler
 
 
 _events = logbook.Logger('events')
-#: Kinds of events that come with each request or exchange.
-_FREQUENT = ('request.', 'forward.', 'control.', 'task.')
+#: Prefixes of event kinds that occur per request, exchange or task.
+_DEBUG_PREFIXES = ('request.', 'forward.', 'control.', 'task.')
 
 
 def log_event(event: Event) -> None:
-    """Log an event of the time line, one line each.
+    """Log a timeline event.
 
-    What comes with each request or task is logged at ``debug`` only.
+    Events that occur per request or task are logged at level ``debug``.
 
-    :param event: the event; its subject names the task, request or server.
+    :param event: event to log; its subject becomes a field of the log line.
     """
-    about, _, name = event.subject.partition(':')
-    extra = {about: name, 'detail': event.detail}
-    if event.kind.startswith(_FREQUENT):
+    subject_type, _, subject_id = event.subject.partition(':')
+    extra = {subject_type: subject_id, 'detail': event.detail}
+    if event.kind.startswith(_DEBUG_PREFIXES):
         _events.debug(event.kind, extra=extra)
     else:
         _events.info(event.kind, extra=extra)
--- a/waxwingford/daemon/_readiness.py
+++ b/waxwingford/daemon/_readiness.py
@@ -1,56 +1,55 @@
-"""What keeps a daemon from being ready, by part."""
+"""Readiness checks of a daemon."""
 
 from waxwingford.batch import BatchTask
 from waxwingford.bundles import BundleReader, NotReady
-from waxwingford.daemon._life import Life
+from waxwingford.daemon._lifecycle import Lifecycle
 from waxwingford.kernel import Clock
 from waxwingford.peers import Membership
 
 
-def make_life(
+def make_lifecycle(
     batch: BatchTask,
     reader: BundleReader,
     membership: Membership,
     clock: Clock,
-) -> Life:
-    """Make the life cycle with its conditions of readiness.
-
-    :param batch: must have read its stream.
-    :param reader: must have a bundle in force.
-    :param membership: knows which peers have room.
-    :param clock: monotonic time.
-    :returns: in its first state.
+) -> Lifecycle:
+    """Create the lifecycle and register all readiness checks.
+
+    :param batch: batch task, ready once it has read its stream.
+    :param reader: bundle reader, ready once a bundle is in force.
+    :param membership: source of the spare capacity of peers.
+    :param clock: source of monotonic time.
+    :returns: the lifecycle in state ``starting``.
     """
-    life = Life()
-    life.require_part('batch', lambda: '; '.join(batch.readiness()))
-    life.require_part('bundle', lambda: _bundle_missing(reader))
-    life.require_part(
+    lifecycle = Lifecycle()
+    lifecycle.add_readiness_check('batch', lambda: '; '.join(batch.readiness()))
+    lifecycle.add_readiness_check('bundle', lambda: _bundle_missing(reader))
+    lifecycle.add_readiness_check(
         'servers', lambda: _servers_missing(batch, membership, clock)
     )
-    return life
+    return lifecycle
 
 
 def _servers_missing(
     batch: BatchTask, membership: Membership, clock: Clock
 ) -> str:
-    """Say whether a request would find a backend server.
+    """Check that requests can reach a backend server.
 
-    A daemon that has just started holds no server and has heard of no peer
-    with room.  Were it ready then, the balancer would send it requests of
-    which it refuses each; callers would see refusals at every start.
+    Without this check the balancer would send requests to a daemon that has
+    just started, holds no server and knows no peer, and so refuses them all.
 
-    :param batch: knows what is held here.
-    :param membership: knows who has room.
-    :param clock: monotonic time.
-    :returns: what is missing, empty if nothing is.
+    :param batch: source of the servers held by this daemon.
+    :param membership: source of the spare capacity of peers.
+    :param clock: source of monotonic time.
+    :returns: what is missing, empty if ready.
     """
     views = membership.peer_views(clock.monotonic_ms())
-    peers_have_room = any(
+    peers_have_capacity = any(
         view.alive and any(view.spare_by_service.values()) for view in views
     )
-    if peers_have_room or batch.server_status():
+    if peers_have_capacity or batch.server_status():
         return ''
-    return 'none is held here, and no peer has room'
+    return 'none is held here, and no peer has spare capacity'
 
 
 def _bundle_missing(reader: BundleReader) -> str:
--- a/waxwingford/daemon/_status.py
+++ b/waxwingford/daemon/_status.py
@@ -1,4 +1,4 @@
-"""Status of a daemon, for operators."""
+"""Status and gauges of a daemon."""
 
 from waxwingford.daemon._admin import (
     BundleStatus,
@@ -6,32 +6,34 @@
     PeerStatus,
     Status,
 )
-from waxwingford.daemon._parts import Parts
+from waxwingford.daemon._components import Components
 
 
-def make_status(parts: Parts) -> Status:
-    """Describe the daemon now.
+def make_status(components: Components) -> Status:
+    """Build the current status of the daemon.
 
-    :param parts: its parts.
-    :returns: what ``GET /v1/status`` answers.
+    :param components: components of the daemon.
+    :returns: response body of ``GET /v1/status``.
     """
-    identity = parts.settings.identity
-    now_ms = parts.clock.monotonic_ms()
-    missing = parts.life.missing()
-    current = parts.reader.current
-    pending, running = parts.batch.task_counts()
+    identity = components.settings.identity
+    now_ms = components.clock.monotonic_ms()
+    missing = components.lifecycle.missing()
+    current = components.reader.current
+    pending, running = components.batch.task_counts()
     return Status(
         daemon=identity.daemon_id,
-        incarnation=parts.incarnation,
+        incarnation=components.incarnation,
         failure_domain=identity.failure_domain,
-        state=parts.life.state,
+        state=components.lifecycle.state,
         ready=not missing,
         missing=missing,
         bundle=BundleStatus(
             version=current.version if current else 0,
             digest=current.digest if current else '',
         ),
-        servers=[line._asdict() for line in parts.batch.server_status()],
+        servers=[
+            server._asdict() for server in components.batch.server_status()
+        ],
         jobs=JobsStatus(pending=pending, running=running),
         peers=[
             PeerStatus(
@@ -39,25 +41,25 @@
                 alive=view.alive,
                 distance_ms=view.distance_ms,
             )
-            for view in parts.membership.peer_views(now_ms)
+            for view in components.membership.peer_views(now_ms)
         ],
     )
 
 
-def refresh_gauges(parts: Parts) -> None:
-    """Set the gauges that describe the daemon now.
+def refresh_gauges(components: Components) -> None:
+    """Set the gauges to the current state of the daemon.
 
-    :param parts: its parts.
+    :param components: components of the daemon.
     """
-    now_ms = parts.clock.monotonic_ms()
-    pending, running = parts.batch.task_counts()
-    views = parts.membership.peer_views(now_ms)
+    now_ms = components.clock.monotonic_ms()
+    pending, running = components.batch.task_counts()
+    views = components.membership.peer_views(now_ms)
     gauges = {
-        'ready': not parts.life.missing(),
+        'ready': not components.lifecycle.missing(),
         'tasks_pending': pending,
         'tasks_running': running,
-        'servers_held': len(parts.batch.server_status()),
+        'servers_held': len(components.batch.server_status()),
         'peers_alive': sum(view.alive for view in views),
     }
     for name, level in gauges.items():
-        parts.metrics.gauge(name, float(level))
+        components.metrics.gauge(name, float(level))
--- a/waxwingford/daemon/main.py
+++ b/waxwingford/daemon/main.py
@@ -4,7 +4,7 @@
 import asyncio
 import sys
 
-from waxwingford.daemon._assembly import make_parts
+from waxwingford.daemon._assembly import make_components
 from waxwingford.daemon._daemon import Daemon
 from waxwingford.daemon._logging import log_handler
 from waxwingford.settings import Settings, SettingsInvalid, load_settings
@@ -13,10 +13,11 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Check the settings, then run until stopped.
+    """Load the settings and run the daemon until it is stopped.
 
-    :param argv: arguments, those of the process by default.
-    :returns: 0 after a planned stop, 2 for bad settings, 70 after a fault.
+    :param argv: command-line arguments, by default those of the process.
+    :returns: exit code: 0 after a planned stop, 2 for invalid settings, 70
+        after an internal error.
     """
     options = _parser().parse_args(argv)
     loaded = load_settings(options.settings)
@@ -25,18 +26,18 @@
             sys.stderr.write(f'{problem}\n')
         return EXIT_BAD_SETTINGS
     if options.check:
-        sys.stdout.write(f'{options.settings}: settings are right\n')
+        sys.stdout.write(f'{options.settings}: settings are valid\n')
         return 0
     return asyncio.run(_run(loaded.settings))
 
 
 async def _run(settings: Settings) -> int:
-    parts = make_parts(settings)
+    components = make_components(settings)
     handler = log_handler(
-        settings.logging, settings.identity.daemon_id, parts.incarnation
+        settings.logging, settings.identity.daemon_id, components.incarnation
     )
     with handler.applicationbound():
-        return await Daemon(parts).run()
+        return await Daemon(components).run()
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -48,12 +49,12 @@
         '--settings',
         required=True,
         metavar='FILE',
-        help='settings of this daemon, TOML',
+        help='settings file, TOML',
     )
     parser.add_argument(
         '--check',
         action='store_true',
-        help='check the settings and stop',
+        help='check the settings and exit',
     )
     return parser
 
