--- a/waxwingford/routing/__init__.py
+++ b/waxwingford/routing/__init__.py
@@ -1,6 +1,6 @@
 """Request path decisions: candidates, limits, retries, at most once."""
 
-from waxwingford.routing._admission import Admission, Admitted, Shed
+from waxwingford.routing._admission import AdmissionController, Admitted, Shed
 from waxwingford.routing._dispatcher import (
     Drained,
     DrainTimedOut,
@@ -8,12 +8,12 @@
 )
 from waxwingford.routing._evidence import (
     NeverSent,
-    NotRunEvidence,
-    ServerSaidNotRun,
+    NotExecutedEvidence,
+    ReportedNotExecuted,
     refuse,
     turn_away,
 )
-from waxwingford.routing._keys import KeyMemory
+from waxwingford.routing._key_store import KeyStore
 from waxwingford.routing._limits import DispatchLimits, ServiceLimits
 from waxwingford.routing._messages import (
     Answered,
@@ -28,14 +28,14 @@
     Unknown,
     Urgency,
 )
+from waxwingford.routing._peer_table import PeerTable
 from waxwingford.routing._ports import PeerForwarder, RequestMetrics
 from waxwingford.routing._retry_budget import RetryBudget
 from waxwingford.routing._router import DispatchPorts
 from waxwingford.routing._slots import Slot, SlotTable
-from waxwingford.routing._spill import PeerTable
 
 __all__ = (
-    'Admission',
+    'AdmissionController',
     'Admitted',
     'Answered',
     'DispatchLimits',
@@ -43,9 +43,9 @@
     'DrainTimedOut',
     'Drained',
     'HeldServer',
-    'KeyMemory',
+    'KeyStore',
     'NeverSent',
-    'NotRunEvidence',
+    'NotExecutedEvidence',
     'Outcome',
     'PeerForwarder',
     'PeerTable',
@@ -58,7 +58,7 @@
     'RequestDispatcher',
     'RequestMetrics',
     'RetryBudget',
-    'ServerSaidNotRun',
+    'ReportedNotExecuted',
     'ServiceLimits',
     'Shed',
     'Slot',
--- a/waxwingford/routing/_kept_answers.py
+++ b/waxwingford/routing/_answer_cache.py
@@ -6,30 +6,30 @@
 from waxwingford.routing._messages import Answered
 
 
-class KeptAnswers:
+class AnswerCache:
     """Answers by key, bounded in bytes."""
 
-    def __init__(self, most_bytes: int) -> None:
+    def __init__(self, max_bytes: int) -> None:
         """Start empty.
 
-        :param most_bytes: bytes of bodies kept at most.
+        :param max_bytes: bytes of bodies kept at most.
         """
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
         self._bytes = 0
         self._answer_by_id: collections.OrderedDict[KeyId, Answered] = (
             collections.OrderedDict()
         )
 
-    def keep(self, key_id: KeyId, answer: Answered) -> None:
+    def put(self, key_id: KeyId, answer: Answered) -> None:
         """Keep an answer as long as there is room.
 
         :param key_id: member and key.
         :param answer: the answer.
         """
-        self.drop(key_id)
+        self.discard(key_id)
         self._answer_by_id[key_id] = answer
         self._bytes += len(answer.body)
-        while self._bytes > self._most_bytes:
+        while self._bytes > self._max_bytes:
             _, oldest = self._answer_by_id.popitem(last=False)
             self._bytes -= len(oldest.body)
 
@@ -41,7 +41,7 @@
         """
         return self._answer_by_id.get(key_id)
 
-    def drop(self, key_id: KeyId) -> None:
+    def discard(self, key_id: KeyId) -> None:
         """Forget an answer; nothing happens if there is none.
 
         :param key_id: member and key.
--- a/waxwingford/routing/_call_tracker.py
+++ b/waxwingford/routing/_call_tracker.py
@@ -40,7 +40,7 @@
         """
         heapq.heappush(self._abandoned, (until_ms, call_id))
 
-    def due(self, now_ms: int) -> Iterator[int]:
+    def pop_due(self, now_ms: int) -> Iterator[int]:
         """Go through the abandoned calls that are over.
 
         :param now_ms: monotonic time, in milliseconds.
--- a/waxwingford/routing/_calls.py
+++ b/waxwingford/routing/_calls.py
@@ -19,16 +19,16 @@
 
 _MS_IN_S = 1000
 #: Times that a choice is made anew when the lease lapsed before dispatch.
-MOST_CHOICES = 4
+MAX_CHOICES = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NoRoom:
+class NoFreeSlot:
     """No held server has a free slot; nothing was sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotRun:
+class NotExecuted:
     """The receiver said that the request did not run there.
 
     :ivar receiver: backend server or peer.
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
+class OutcomeUnknown:
     """It may have run: no whole answer came in time.
 
     :ivar receiver: backend server or peer.
@@ -51,9 +51,9 @@
     reason: str
 
 
-CallOutcome = Answered | NotRun | Lost
+CallOutcome = Answered | NotExecuted | OutcomeUnknown
 #: Hears of an outcome that came after the caller had its final answer.
-LateListener = Callable[[Request, CallOutcome], None]
+LateOutcomeListener = Callable[[Request, CallOutcome], None]
 
 
 class ServerCalls:
@@ -81,12 +81,14 @@
         self._clock = clock
         self._metrics = metrics
         self._overrun_ms = overrun_ms
-        self._late_calls: set[asyncio.Task[ServiceOutcome]] = set()
-        self.on_late: LateListener = lambda request, outcome: None
+        self._abandoned_calls: set[asyncio.Task[ServiceOutcome]] = set()
+        self.on_late_outcome: LateOutcomeListener = lambda request, outcome: (
+            None
+        )
 
     async def call(
         self, request: Request, deadline_ms: int, tried: tuple[str, ...]
-    ) -> CallOutcome | NoRoom:
+    ) -> CallOutcome | NoFreeSlot:
         """Send a request to a chosen server, once.
 
         :param request: the request.
@@ -96,8 +98,8 @@
         """
         slot = self._take_slot(request.service, frozenset(tried))
         if slot is None:
-            return NoRoom()
-        left_ms = max(1, deadline_ms - slot.taken_ms)
+            return NoFreeSlot()
+        time_left_ms = max(1, deadline_ms - slot.taken_ms)
         call = ServiceCall(
             # A new id for each sending: the late answer of an earlier one
             # must not pass for the answer of this one.
@@ -105,19 +107,21 @@
             request.service,
             request.path,
             request.body,
-            left_ms,
+            time_left_ms,
         )
-        sending = asyncio.ensure_future(
+        task = asyncio.ensure_future(
             self._servers.serve(slot.held.host, slot.held.port, call)
         )
-        await asyncio.wait((sending,), timeout=left_ms / _MS_IN_S)
-        if not sending.done():
-            self._leave_late(sending, request, call, slot)
-            return Lost(slot.held.server_id, 'no answer before the deadline')
-        return self._ended(self._outcome(sending, call), slot, call)
+        await asyncio.wait((task,), timeout=time_left_ms / _MS_IN_S)
+        if not task.done():
+            self._abandon_call(task, request, call, slot)
+            return OutcomeUnknown(
+                slot.held.server_id, 'no answer before the deadline'
+            )
+        return self._apply_outcome(self._outcome_of(task, call), slot, call)
 
     def _take_slot(self, service: str, tried: frozenset[str]) -> Slot | None:
-        for _ in range(MOST_CHOICES):
+        for _ in range(MAX_CHOICES):
             now_ms = self._clock.monotonic_ms()
             server_id = self._table.choose(service, now_ms, tried)
             if server_id is None:
@@ -128,34 +132,36 @@
                 return slot
         return None
 
-    def _outcome(
-        self, sending: asyncio.Task[ServiceOutcome], call: ServiceCall
+    def _outcome_of(
+        self, task: asyncio.Task[ServiceOutcome], call: ServiceCall
     ) -> ServiceOutcome:
-        if sending.cancelled():
+        if task.cancelled():
             return ServiceUnknown('the call was cancelled')
-        fault = sending.exception()
-        if fault is not None:
+        error = task.exception()
+        if error is not None:
             # A fault of an adapter must not leak the slot, nor pass for
             # proof that the server did nothing.
             self._metrics.count('server_port_faults_total')
-            return ServiceUnknown(f'{type(fault).__name__}: {fault}')
-        outcome = sending.result()
-        foreign = (
+            return ServiceUnknown(f'{type(error).__name__}: {error}')
+        outcome = task.result()
+        is_mismatched = (
             isinstance(outcome, ServiceAnswer)
             and outcome.request_id != call.request_id
         )
-        if foreign:
+        if is_mismatched:
             self._metrics.count('foreign_answers_total')
             return ServiceUnknown('the answer belongs to another request')
         return outcome
 
-    def _ended(
+    def _apply_outcome(
         self, outcome: ServiceOutcome, slot: Slot, call: ServiceCall
     ) -> CallOutcome:
         now_ms = self._clock.monotonic_ms()
         server_id = slot.held.server_id
         match outcome:
-            case ServiceAnswer(status=status, content_type=kind, body=body):
+            case ServiceAnswer(
+                status=status, content_type=content_type, body=body
+            ):
                 require(
                     outcome.request_id == call.request_id,
                     Invariant.whole_answer,
@@ -165,57 +171,63 @@
                 self._metrics.latency(
                     'server_call', latency_ms, service=call.service
                 )
-                return Answered(status, kind, body, server_id)
+                return Answered(status, content_type, body, server_id)
             case ServiceNotRun(reason=reason):
                 self._table.release(slot, now_ms)
-                self._count_bad(slot, now_ms)
-                return NotRun(server_id, reason)
+                self._record_failure(slot, now_ms)
+                return NotExecuted(server_id, reason)
             case ServiceUnknown(reason=reason):
                 # The server may go on until the deadline that it was given.
                 end_ms = slot.taken_ms + call.deadline_ms + self._overrun_ms
                 self._table.abandon(slot, end_ms)
-                self._count_bad(slot, now_ms)
-                return Lost(server_id, reason)
+                self._record_failure(slot, now_ms)
+                return OutcomeUnknown(server_id, reason)
 
-    def _count_bad(self, slot: Slot, now_ms: int) -> None:
-        if self._table.went_badly(slot, now_ms):
+    def _record_failure(self, slot: Slot, now_ms: int) -> None:
+        if self._table.record_failure(slot, now_ms):
             self._metrics.count(
                 'server_ejections_total', server=slot.held.server_id
             )
 
-    def _leave_late(
+    def _abandon_call(
         self,
-        sending: asyncio.Task[ServiceOutcome],
+        task: asyncio.Task[ServiceOutcome],
         request: Request,
         call: ServiceCall,
         slot: Slot,
     ) -> None:
         now_ms = self._clock.monotonic_ms()
         self._table.abandon(slot, now_ms + self._overrun_ms)
-        self._count_bad(slot, now_ms)
+        self._record_failure(slot, now_ms)
         loop = asyncio.get_running_loop()
-        ending = loop.call_later(self._overrun_ms / _MS_IN_S, sending.cancel)
-        self._late_calls.add(sending)
-
-        def _came_late(done: asyncio.Task[ServiceOutcome]) -> None:
-            ending.cancel()
-            self._late_calls.discard(done)
-            self._late_end(self._outcome(done, call), request, slot)
+        cancel_timer = loop.call_later(self._overrun_ms / _MS_IN_S, task.cancel)
+        self._abandoned_calls.add(task)
+
+        def _on_done(done: asyncio.Task[ServiceOutcome]) -> None:
+            cancel_timer.cancel()
+            self._abandoned_calls.discard(done)
+            self._apply_late_outcome(
+                self._outcome_of(done, call), request, slot
+            )
 
-        sending.add_done_callback(_came_late)
+        task.add_done_callback(_on_done)
 
-    def _late_end(
+    def _apply_late_outcome(
         self, outcome: ServiceOutcome, request: Request, slot: Slot
     ) -> None:
         now_ms = self._clock.monotonic_ms()
         server_id = slot.held.server_id
         match outcome:
-            case ServiceAnswer(status=status, content_type=kind, body=body):
+            case ServiceAnswer(
+                status=status, content_type=content_type, body=body
+            ):
                 self._metrics.count('late_answers_total')
                 self._table.release(slot, now_ms)
-                self.on_late(request, Answered(status, kind, body, server_id))
+                self.on_late_outcome(
+                    request, Answered(status, content_type, body, server_id)
+                )
             case ServiceNotRun(reason=reason):
                 self._table.release(slot, now_ms)
-                self.on_late(request, NotRun(server_id, reason))
+                self.on_late_outcome(request, NotExecuted(server_id, reason))
             case ServiceUnknown():
                 self._metrics.count('late_unknown_total')
--- a/waxwingford/routing/_dispatcher.py
+++ b/waxwingford/routing/_dispatcher.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from waxwingford.kernel import Invariant, require
-from waxwingford.routing._admission import Admission, Admitted, Shed
+from waxwingford.routing._admission import AdmissionController, Admitted, Shed
 from waxwingford.routing._evidence import NeverSent, refuse, turn_away
 from waxwingford.routing._key_gate import KeyGate
 from waxwingford.routing._key_messages import MayRun
@@ -61,10 +61,10 @@
         :param limits: bounds.
         """
         self._ports = ports
-        self._admission = Admission(limits.in_progress, rng)
+        self._admission = AdmissionController(limits.in_progress, rng)
         self._gate = KeyGate(daemon_id, limits, ports.peers, ports.clock)
         self._router = Router(failure_domain, ports, rng, limits)
-        self._router.calls.on_late = self._gate.ended_late
+        self._router.calls.on_late_outcome = self._gate.record_late_outcome
         self._in_progress: set[asyncio.Task[Outcome]] = set()
         self._draining = False
 
@@ -76,7 +76,7 @@
 
         :param servers: all servers held now.
         """
-        self._gate.alive()
+        self._gate.tick()
         self._router.table.set_servers(servers, self._now_ms())
 
     def set_peers(self, peers: tuple[PeerView, ...]) -> None:
@@ -93,7 +93,7 @@
         :param limits: limits by service.
         """
         self._admission.set_limits(limits)
-        self._router.use_limits(limits)
+        self._router.set_limits(limits)
 
     async def handle(self, request: Request) -> Outcome:
         """Serve, forward or give up a request.
@@ -125,7 +125,7 @@
         :param asker: daemon that asks.
         :returns: what is known here.
         """
-        return self._gate.answer(member, key, body_digest, asker)
+        return self._gate.answer_lookup(member, key, body_digest, asker)
 
     def spare_by_service(self) -> dict[str, int]:
         """Count free slots, for heartbeats.
@@ -133,10 +133,10 @@
         :returns: count by service; all 0 while the daemon stops.
         """
         table = self._router.table
-        table.wake(self._now_ms())
+        table.process_due(self._now_ms())
         return {
-            service: 0 if self._draining else group.spare
-            for service, group in table.group_by_service.items()
+            service: 0 if self._draining else pool.free_slots
+            for service, pool in table.pool_by_service.items()
         }
 
     def busy_share_by_server(self) -> dict[str, float]:
@@ -147,7 +147,7 @@
         return {
             server_id: state.in_flight / max(1, state.held.slots)
             for server_id, state in self._router.table.state_by_server.items()
-            if not state.gone
+            if not state.removed
         }
 
     def expected_ms_by_service(self) -> dict[str, float]:
@@ -156,14 +156,14 @@
         :returns: milliseconds by service; 0 without a measurement.
         """
         return {
-            service: group.latency_ms
-            for service, group in self._router.table.group_by_service.items()
+            service: pool.latency_ms
+            for service, pool in self._router.table.pool_by_service.items()
         }
 
-    async def drain(self, bounded_ms: int) -> Drained | DrainTimedOut:
+    async def drain(self, timeout_ms: int) -> Drained | DrainTimedOut:
         """Take no more requests and wait for those in progress.
 
-        :param bounded_ms: longest wait, in milliseconds.
+        :param timeout_ms: longest wait, in milliseconds.
         :returns: whether all ended.
         """
         self._draining = True
@@ -174,29 +174,29 @@
         )
         if self._in_progress:
             await asyncio.wait(
-                tuple(self._in_progress), timeout=bounded_ms / _MS_IN_S
+                tuple(self._in_progress), timeout=timeout_ms / _MS_IN_S
             )
         if self._in_progress:
             return DrainTimedOut(len(self._in_progress))
-        left = self._admission.in_progress()
+        remaining = self._admission.in_progress()
         require(
-            left == 0,
+            remaining == 0,
             Invariant.graceful_stop,
-            f'{left} requests left after the drain',
+            f'{remaining} requests left after the drain',
         )
         return Drained()
 
-    async def _handle(self, request: Request, began_ms: int) -> Outcome:
+    async def _handle(self, request: Request, start_ms: int) -> Outcome:
         now_ms = self._now_ms()
-        self._admission.waited(now_ms - began_ms, now_ms)
+        self._admission.record_wait(now_ms - start_ms, now_ms)
         if request.idempotent or not request.key:
-            outcome = await self._admit(request, began_ms)
+            outcome = await self._admit(request, start_ms)
         else:
-            outcome = await self._handle_keyed(request, began_ms)
-        self._note(request, outcome, began_ms)
+            outcome = await self._handle_keyed(request, start_ms)
+        self._record_outcome(request, outcome, start_ms)
         return outcome
 
-    async def _handle_keyed(self, request: Request, began_ms: int) -> Outcome:
+    async def _handle_keyed(self, request: Request, start_ms: int) -> Outcome:
         daemon_ids = self._router.peer_table.daemon_ids()
         decision = await self._gate.enter(request, daemon_ids)
         if not isinstance(decision, MayRun):
@@ -204,43 +204,45 @@
         # Stands if a fault in the daemon ends the attempt: it may have run.
         outcome: Outcome = Unknown('fault in the daemon', 0)
         try:
-            outcome = await self._admit(request, began_ms)
+            outcome = await self._admit(request, start_ms)
         finally:
             self._gate.finish(request, outcome)
         return outcome
 
-    async def _admit(self, request: Request, began_ms: int) -> Outcome:
-        decision = self._admission.enter(
+    async def _admit(self, request: Request, start_ms: int) -> Outcome:
+        decision = self._admission.admit(
             request.service,
             request.member,
             request.urgency,
-            self._router.spare(request),
-            began_ms,
+            self._router.free_slots(request),
+            start_ms,
         )
         match decision:
             case Shed(reason=reason, retry_after_ms=retry_after_ms):
                 return refuse(NeverSent(reason), retry_after_ms)
             case Admitted():
-                return await self._route(request, decision, began_ms)
+                return await self._route(request, decision, start_ms)
 
     async def _route(
-        self, request: Request, admitted: Admitted, began_ms: int
+        self, request: Request, admitted: Admitted, start_ms: int
     ) -> Outcome:
         try:
             return await self._router.route(
                 request,
-                began_ms + request.deadline_ms,
+                start_ms + request.deadline_ms,
                 self._admission.retry_after_ms(request.service),
             )
         finally:
-            self._admission.leave(admitted)
+            self._admission.release(admitted)
 
-    def _note(self, request: Request, outcome: Outcome, began_ms: int) -> None:
+    def _record_outcome(
+        self, request: Request, outcome: Outcome, start_ms: int
+    ) -> None:
         service = request.service
         kind = type(outcome).__name__.lower()
         metrics = self._ports.metrics
         metrics.count('requests_total', service=service, outcome=kind)
-        elapsed_ms = self._now_ms() - began_ms
+        elapsed_ms = self._now_ms() - start_ms
         metrics.latency('request', elapsed_ms, service=service, outcome=kind)
         if isinstance(outcome, Unknown):
             self._ports.time_line.note(
--- a/waxwingford/routing/_evidence.py
+++ b/waxwingford/routing/_evidence.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ServerSaidNotRun:
+class ReportedNotExecuted:
     """Every receiver of the request said that it did not run there.
 
     :ivar receiver: backend server or peer that said so last.
@@ -28,10 +28,10 @@
     reason: str
 
 
-NotRunEvidence = NeverSent | ServerSaidNotRun
+NotExecutedEvidence = NeverSent | ReportedNotExecuted
 
 
-def refuse(evidence: NotRunEvidence, retry_after_ms: int) -> Refused:
+def refuse(evidence: NotExecutedEvidence, retry_after_ms: int) -> Refused:
     """Build a refusal from evidence.
 
     A refusal without evidence would tell a caller to send a reservation again
@@ -43,14 +43,14 @@
     :raises BrokenInvariant: if there is no evidence.
     """
     require(
-        isinstance(evidence, NotRunEvidence),
+        isinstance(evidence, NotExecutedEvidence),
         Invariant.true_refusal,
         f'refusal without evidence: {evidence!r}',
     )
     match evidence:
         case NeverSent(reason=reason):
             return Refused(reason, retry_after_ms)
-        case ServerSaidNotRun(receiver=receiver, reason=reason):
+        case ReportedNotExecuted(receiver=receiver, reason=reason):
             return Refused(f'{receiver}: {reason}', retry_after_ms)
 
 
--- a/waxwingford/routing/_indexed_set.py
+++ b/waxwingford/routing/_indexed_set.py
@@ -33,7 +33,7 @@
             self._names[index] = last
             self._index_by_name[last] = index
 
-    def choose_two(self, rng: random.Random) -> tuple[str, ...]:
+    def sample_two(self, rng: random.Random) -> tuple[str, ...]:
         """Draw two different names.
 
         :param rng: source of chance.
--- a/waxwingford/routing/_key_gate.py
+++ b/waxwingford/routing/_key_gate.py
@@ -5,21 +5,21 @@
 import xxhash
 
 from waxwingford.kernel import Clock
-from waxwingford.routing._calls import CallOutcome, NotRun
+from waxwingford.routing._calls import CallOutcome, NotExecuted
 from waxwingford.routing._evidence import turn_away
 from waxwingford.routing._key_messages import (
-    Asker,
+    KeyBodyMismatch,
     KeyDecision,
+    KeyExecuted,
     KeyId,
     KeyInProgress,
-    KeyMemoryFull,
-    KeyOfOtherBody,
-    KeyRan,
+    KeyStoreFull,
     KeySuperseded,
     MayRun,
-    MustRecall,
+    MustLookUp,
+    Requester,
 )
-from waxwingford.routing._keys import KeyMemory
+from waxwingford.routing._key_store import KeyStore
 from waxwingford.routing._limits import DispatchLimits
 from waxwingford.routing._messages import (
     Answered,
@@ -32,14 +32,17 @@
     Unknown,
 )
 from waxwingford.routing._ports import PeerForwarder
-from waxwingford.routing._recall import (
+from waxwingford.routing._retry_decision import (
+    BODY_MISMATCH,
     IN_PROGRESS_RETRY_MS,
-    OTHER_BODY,
     UNREACHABLE_RETRY_MS,
-    decide_recall,
+    decide_retry,
     first_attempt_age_ms,
 )
-from waxwingford.routing._stalls import STALL_MS, StallWatch
+from waxwingford.routing._stall_detector import (
+    STALL_THRESHOLD_MS,
+    StallDetector,
+)
 
 _MS_IN_S = 1000
 _SEPARATOR = b'\x00'
@@ -93,15 +96,15 @@
         self._peers = peers
         self._clock = clock
         self._started_ms = clock.monotonic_ms()
-        self._stalls = StallWatch(
-            self._started_ms, limits.delivery_ms + STALL_MS
+        self._stall_detector = StallDetector(
+            self._started_ms, limits.delivery_ms + STALL_THRESHOLD_MS
         )
-        self._keys = KeyMemory(limits)
-        self._recalls = 0
+        self._key_store = KeyStore(limits)
+        self._lookups = 0
 
-    def alive(self) -> None:
+    def tick(self) -> None:
         """Take in a sign of life of the process."""
-        self._stalls.alive(self._clock.monotonic_ms())
+        self._stall_detector.tick(self._clock.monotonic_ms())
 
     async def enter(
         self, request: Request, daemon_ids: frozenset[str]
@@ -112,26 +115,28 @@
         :param daemon_ids: all other daemons that must be asked.
         :returns: permission to run, or the outcome.
         """
-        self.alive()
-        waited_ms = self._stalls.waited_ms(self._clock.monotonic_ms())
-        first = self._counts_as_first(request)
-        decision = self._begin(request, first)
+        self.tick()
+        max_wait_ms = self._stall_detector.max_wait_ms(
+            self._clock.monotonic_ms()
+        )
+        is_first = self._counts_as_first(request)
+        decision = self._begin(request, is_first)
         match decision:
             case MayRun():
                 return decision
-            case MustRecall():
-                return await self._recall(request, daemon_ids, waited_ms)
-            case KeyRan(outcome=Answered() as outcome):
+            case MustLookUp():
+                return await self._look_up(request, daemon_ids, max_wait_ms)
+            case KeyExecuted(outcome=Answered() as outcome):
                 return outcome
-            case KeyRan():
+            case KeyExecuted():
                 return Unknown('an attempt ran or may have', FULL_RETRY_MS)
             case KeyInProgress() | KeySuperseded():
                 return Unknown(
                     'another attempt is in progress', IN_PROGRESS_RETRY_MS
                 )
-            case KeyOfOtherBody():
-                return OTHER_BODY
-            case KeyMemoryFull():
+            case KeyBodyMismatch():
+                return BODY_MISMATCH
+            case KeyStoreFull():
                 return turn_away(request, 'key memory is full', FULL_RETRY_MS)
 
     def finish(self, request: Request, outcome: Outcome) -> None:
@@ -140,9 +145,11 @@
         :param request: the request.
         :param outcome: its outcome.
         """
-        self._keys.finish(_key_id(request), outcome, self._now_ms())
+        self._key_store.finish(_key_id(request), outcome, self._now_ms())
 
-    def ended_late(self, request: Request, outcome: CallOutcome) -> None:
+    def record_late_outcome(
+        self, request: Request, outcome: CallOutcome
+    ) -> None:
         """Remember an end that came after the caller's final answer.
 
         :param request: the request.
@@ -152,55 +159,55 @@
             return
         match outcome:
             case Answered():
-                self._keys.finish_late(
+                self._key_store.finish_late(
                     _key_id(request), outcome, self._now_ms()
                 )
-            case NotRun(reason=reason):
-                self._keys.finish_late(
+            case NotExecuted(reason=reason):
+                self._key_store.finish_late(
                     _key_id(request), Refused(reason, 0), self._now_ms()
                 )
 
-    def answer(
-        self, member: str, key: str, digest: bytes, asker: str
+    def answer_lookup(
+        self, member: str, key: str, digest: bytes, requester: str
     ) -> RecallAnswer:
         """Answer another daemon's question and remember the key.
 
         :param member: owner of the key.
         :param key: idempotency key.
         :param digest: digest of service, path and body.
-        :param asker: daemon that asks.
+        :param requester: daemon that asks.
         :returns: what is known here.
         """
-        self.alive()
+        self.tick()
         now_ms = self._now_ms()
-        state, outcome = self._keys.asked(
+        state, outcome = self._key_store.answer_query(
             KeyId(member, key),
             digest,
-            Asker(asker, asker < self._daemon_id),
+            Requester(requester, requester < self._daemon_id),
             now_ms,
         )
-        return RecallAnswer(state, self._up_ms(), outcome)
+        return RecallAnswer(state, self._uptime_ms(), outcome)
 
     def _counts_as_first(self, request: Request) -> bool:
         # A daemon that started while the first attempt was under way has lost
         # the questions that its predecessor was asked: the attempt could run
         # beside a retry elsewhere.  A later start is no danger, the questions
         # came to this process then.
-        old_enough = self._up_ms() >= self._limits.delivery_ms
+        old_enough = self._uptime_ms() >= self._limits.delivery_ms
         return request.attempt == 1 and old_enough
 
-    def _begin(self, request: Request, first: bool) -> KeyDecision:
+    def _begin(self, request: Request, is_first: bool) -> KeyDecision:
         key_id = _key_id(request)
         digest = body_digest(request)
         now_ms = self._now_ms()
         if request.hops:
-            return self._keys.begin_forwarded(
+            return self._key_store.begin_forwarded(
                 key_id, digest, entry_daemon(request.request_id), now_ms
             )
-        return self._keys.begin(key_id, digest, first, now_ms)
+        return self._key_store.begin(key_id, digest, is_first, now_ms)
 
-    async def _recall(
-        self, request: Request, daemon_ids: frozenset[str], waited_ms: int
+    async def _look_up(
+        self, request: Request, daemon_ids: frozenset[str], max_wait_ms: int
     ) -> MayRun | Outcome:
         key_id = _key_id(request)
         decision: MayRun | Answered | Unknown | Rejected = Unknown(
@@ -208,37 +215,37 @@
         )
         try:
             decision = await self._ask_and_decide(
-                request, daemon_ids, waited_ms
+                request, daemon_ids, max_wait_ms
             )
         finally:
             # Also after a cancellation: the key must not stay in progress.
             match decision:
-                case MayRun() if not self._keys.won(key_id):
+                case MayRun() if not self._key_store.start_retry(key_id):
                     decision = Unknown(
                         'another retry goes first', IN_PROGRESS_RETRY_MS
                     )
-                    self._keys.give_up_recall(key_id, self._now_ms())
+                    self._key_store.abandon_lookup(key_id, self._now_ms())
                 case Answered():
-                    self._keys.finish(key_id, decision, self._now_ms())
+                    self._key_store.finish(key_id, decision, self._now_ms())
                 case Unknown() | Rejected():
-                    self._keys.give_up_recall(key_id, self._now_ms())
+                    self._key_store.abandon_lookup(key_id, self._now_ms())
         return decision
 
     async def _ask_and_decide(
-        self, request: Request, daemon_ids: frozenset[str], waited_ms: int
+        self, request: Request, daemon_ids: frozenset[str], max_wait_ms: int
     ) -> MayRun | Answered | Unknown | Rejected:
         limits = self._limits
         age_ms = first_attempt_age_ms(
             request,
             limits.key_memory_ms,
-            limits.delivery_ms + waited_ms,
+            limits.delivery_ms + max_wait_ms,
         )
         if age_ms > limits.key_memory_ms:
             return Unknown(
                 'too long ago: what ran is no longer remembered',
                 limits.key_memory_ms,
             )
-        if self._recalls >= limits.recalls:
+        if self._lookups >= limits.max_lookups:
             return Unknown(
                 'too many retries are being looked up', UNREACHABLE_RETRY_MS
             )
@@ -247,29 +254,29 @@
         )
         answers.update(await self._ask_all(request))
         answers[self._daemon_id] = RecallAnswer(
-            RecallState.never_seen, self._up_ms()
+            RecallState.never_seen, self._uptime_ms()
         )
-        return decide_recall(answers, age_ms)
+        return decide_retry(answers, age_ms)
 
     async def _ask_all(self, request: Request) -> dict[str, RecallAnswer]:
-        timeout_ms = min(self._limits.recall_timeout_ms, request.deadline_ms)
-        question = self._peers.recall_all(
+        timeout_ms = min(self._limits.lookup_timeout_ms, request.deadline_ms)
+        lookups = self._peers.recall_all(
             request.member, request.key, body_digest(request)
         )
-        self._recalls += 1
+        self._lookups += 1
         try:
-            return await asyncio.wait_for(question, timeout_ms / _MS_IN_S)
+            return await asyncio.wait_for(lookups, timeout_ms / _MS_IN_S)
         except asyncio.TimeoutError:
             return {}
         finally:
-            self._recalls -= 1
+            self._lookups -= 1
 
     def _now_ms(self) -> int:
         # Keys do not age during a stall: a request that waited for its end
         # must still meet the records that stood when it came.
-        return self._stalls.running_ms(self._clock.monotonic_ms())
+        return self._stall_detector.active_ms(self._clock.monotonic_ms())
 
-    def _up_ms(self) -> int:
+    def _uptime_ms(self) -> int:
         return self._clock.monotonic_ms() - self._started_ms
 
 
--- a/waxwingford/routing/_key_messages.py
+++ b/waxwingford/routing/_key_messages.py
@@ -17,15 +17,15 @@
     key: str
 
 
-class Asker(NamedTuple):
+class Requester(NamedTuple):
     """Daemon that asks about a key.
 
     :ivar daemon_id: its id.
-    :ivar goes_first: whether its retry goes before one in progress here.
+    :ivar has_priority: whether its retry goes before one in progress here.
     """
 
     daemon_id: str
-    goes_first: bool
+    has_priority: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class MustRecall:
+class MustLookUp:
     """All other daemons must be asked before the request may run."""
 
 
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeyRan:
+class KeyExecuted:
     """An attempt ran, or may have.
 
     :ivar outcome: its answer, if there was one and it is still kept.
@@ -59,20 +59,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeyOfOtherBody:
+class KeyBodyMismatch:
     """The key was used with another body."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeyMemoryFull:
+class KeyStoreFull:
     """No room for the key; forgetting another one could run that one twice."""
 
 
 KeyDecision = (
     MayRun
-    | MustRecall
+    | MustLookUp
     | KeySuperseded
     | KeyInProgress
-    | KeyRan
-    | KeyOfOtherBody
-) | KeyMemoryFull
+    | KeyExecuted
+    | KeyBodyMismatch
+) | KeyStoreFull
--- a/waxwingford/routing/_keys.py
+++ b/waxwingford/routing/_key_store.py
@@ -5,18 +5,18 @@
 import enum
 
 from waxwingford.kernel import Invariant, require
-from waxwingford.routing._kept_answers import KeptAnswers
+from waxwingford.routing._answer_cache import AnswerCache
 from waxwingford.routing._key_messages import (
-    Asker,
+    KeyBodyMismatch,
     KeyDecision,
+    KeyExecuted,
     KeyId,
     KeyInProgress,
-    KeyMemoryFull,
-    KeyOfOtherBody,
-    KeyRan,
+    KeyStoreFull,
     KeySuperseded,
     MayRun,
-    MustRecall,
+    MustLookUp,
+    Requester,
 )
 from waxwingford.routing._limits import DispatchLimits
 from waxwingford.routing._messages import (
@@ -30,8 +30,8 @@
 
 
 class _KeyState(enum.Enum):
-    recalled = 'another daemon or a refused retry asked about it; not run here'
-    recalling = 'a retry here asks the other daemons'
+    queried = 'another daemon or a refused retry asked about it; not run here'
+    looking_up = 'a retry here asks the other daemons'
     running = 'it may be running'
     answered = 'it ran and its answer came'
     unknown = 'it may have run'
@@ -42,12 +42,12 @@
     digest: bytes
     state: _KeyState
     expires_ms: int = 0
-    was_recalled: bool = False
+    was_queried: bool = False
     yielded: bool = False
-    asker: str = ''
+    requester: str = ''
 
 
-class KeyMemory:
+class KeyStore:
     """Keys of non-idempotent requests that this daemon has to do with."""
 
     def __init__(self, limits: DispatchLimits) -> None:
@@ -61,38 +61,38 @@
         self._expiries: collections.deque[tuple[int, KeyId]] = (
             collections.deque()
         )
-        self._answers = KeptAnswers(limits.answer_bytes)
+        self._answers = AnswerCache(limits.answer_bytes)
 
     def begin(
-        self, key_id: KeyId, digest: bytes, first: bool, now_ms: int
+        self, key_id: KeyId, digest: bytes, is_first: bool, now_ms: int
     ) -> KeyDecision:
         """Register an attempt, before anything else is done about it.
 
         :param key_id: member and key.
         :param digest: digest of path and body.
-        :param first: whether it counts as the first attempt.
+        :param is_first: whether it counts as the first attempt.
         :param now_ms: monotonic time, in milliseconds.
         :returns: what may be done.
         """
         self._expire(now_ms)
         record = self._record_by_id.get(key_id)
         if record is None:
-            return self._register(key_id, digest, first)
+            return self._register(key_id, digest, is_first)
         if record.digest not in {b'', digest}:
-            return KeyOfOtherBody()
+            return KeyBodyMismatch()
         match record.state:
-            case _KeyState.recalled if first:
+            case _KeyState.queried if is_first:
                 # Its caller may have been told that the retry was not run.
                 return KeySuperseded()
-            case _KeyState.recalled:
+            case _KeyState.queried:
                 record.digest = digest
                 record.yielded = False
-                record.state = _KeyState.recalling
-                return MustRecall()
-            case _KeyState.recalling | _KeyState.running:
+                record.state = _KeyState.looking_up
+                return MustLookUp()
+            case _KeyState.looking_up | _KeyState.running:
                 return KeyInProgress()
             case _:
-                return KeyRan(self._answers.get(key_id))
+                return KeyExecuted(self._answers.get(key_id))
 
     def begin_forwarded(
         self, key_id: KeyId, digest: bytes, entry_daemon: str, now_ms: int
@@ -109,14 +109,14 @@
         if not isinstance(decision, KeySuperseded):
             return decision
         record = self._record_by_id[key_id]
-        if record.asker != entry_daemon:
+        if record.requester != entry_daemon:
             return decision
         # The question came from the retry that is forwarded now.
         record.digest = digest
         record.state = _KeyState.running
         return MayRun()
 
-    def won(self, key_id: KeyId) -> bool:
+    def start_retry(self, key_id: KeyId) -> bool:
         """Let a retry run after all daemons said that no attempt did.
 
         :param key_id: member and key.
@@ -124,7 +124,7 @@
         """
         record = self._record_by_id[key_id]
         require(
-            record.state is _KeyState.recalling,
+            record.state is _KeyState.looking_up,
             Invariant.at_most_once,
             f'{key_id.member}/{key_id.key}: to run from {record.state.name}',
         )
@@ -133,8 +133,8 @@
         record.state = _KeyState.running
         return True
 
-    def asked(
-        self, key_id: KeyId, digest: bytes, asker: Asker, now_ms: int
+    def answer_query(
+        self, key_id: KeyId, digest: bytes, requester: Requester, now_ms: int
     ) -> tuple[RecallState, Answered | None]:
         """Answer another daemon's question and remember the key.
 
@@ -143,7 +143,7 @@
 
         :param key_id: member and key.
         :param digest: digest of path and body there.
-        :param asker: who asks, and whether it goes first when both have a
+        :param requester: who asks, and whether it goes first when both have a
             retry in progress.
         :param now_ms: monotonic time, in milliseconds.
         :returns: what is known, and the answer if it is kept.
@@ -151,18 +151,18 @@
         self._expire(now_ms)
         record = self._record_by_id.get(key_id)
         if record is None:
-            return self._remember_question(key_id, asker, now_ms), None
+            return self._record_query(key_id, requester, now_ms), None
         if record.digest not in {b'', digest}:
             return RecallState.other_body, None
         match record.state:
-            case _KeyState.recalled:
-                record.asker = asker.daemon_id
-                self._expire_later(key_id, record, now_ms)
+            case _KeyState.queried:
+                record.requester = requester.daemon_id
+                self._schedule_expiry(key_id, record, now_ms)
                 return RecallState.never_seen, None
-            case _KeyState.recalling if asker.goes_first:
+            case _KeyState.looking_up if requester.has_priority:
                 record.yielded = True
                 return RecallState.never_seen, None
-            case _KeyState.recalling | _KeyState.running:
+            case _KeyState.looking_up | _KeyState.running:
                 return RecallState.running, None
             case _KeyState.answered:
                 return RecallState.answered, self._answers.get(key_id)
@@ -179,14 +179,14 @@
         record = self._record_by_id[key_id]
         match outcome:
             case Refused() | Rejected():
-                self._not_run(key_id, record, now_ms)
+                self._record_not_executed(key_id, record, now_ms)
                 return
             case Answered():
                 record.state = _KeyState.answered
-                self._answers.keep(key_id, outcome)
+                self._answers.put(key_id, outcome)
             case Unknown():
                 record.state = _KeyState.unknown
-        self._expire_later(key_id, record, now_ms)
+        self._schedule_expiry(key_id, record, now_ms)
 
     def finish_late(self, key_id: KeyId, outcome: Outcome, now_ms: int) -> None:
         """Record an end that came after the attempt was given up.
@@ -199,51 +199,53 @@
         if record is not None and record.state is _KeyState.unknown:
             self.finish(key_id, outcome, now_ms)
 
-    def give_up_recall(self, key_id: KeyId, now_ms: int) -> None:
+    def abandon_lookup(self, key_id: KeyId, now_ms: int) -> None:
         """End a retry that was not let run.
 
         :param key_id: member and key.
         :param now_ms: monotonic time, in milliseconds.
         """
-        self._not_run(key_id, self._record_by_id[key_id], now_ms)
+        self._record_not_executed(key_id, self._record_by_id[key_id], now_ms)
 
     def _register(
-        self, key_id: KeyId, digest: bytes, first: bool
+        self, key_id: KeyId, digest: bytes, is_first: bool
     ) -> KeyDecision:
         if self._is_full(key_id.member):
-            return KeyMemoryFull()
-        state = _KeyState.running if first else _KeyState.recalling
-        self._add(key_id, _KeyRecord(digest, state, was_recalled=not first))
-        return MayRun() if first else MustRecall()
+            return KeyStoreFull()
+        state = _KeyState.running if is_first else _KeyState.looking_up
+        self._add(key_id, _KeyRecord(digest, state, was_queried=not is_first))
+        return MayRun() if is_first else MustLookUp()
 
-    def _remember_question(
-        self, key_id: KeyId, asker: Asker, now_ms: int
+    def _record_query(
+        self, key_id: KeyId, requester: Requester, now_ms: int
     ) -> RecallState:
         if self._is_full(key_id.member):
             # Without a record a delayed first attempt could still run here.
             return RecallState.unknown
-        record = _KeyRecord(b'', _KeyState.recalled, was_recalled=True)
-        record.asker = asker.daemon_id
+        record = _KeyRecord(b'', _KeyState.queried, was_queried=True)
+        record.requester = requester.daemon_id
         self._add(key_id, record)
-        self._expire_later(key_id, record, now_ms)
+        self._schedule_expiry(key_id, record, now_ms)
         return RecallState.never_seen
 
     def _is_full(self, member: str) -> bool:
-        return self._count_by_member[member] >= self._limits.keys_by_member
+        return self._count_by_member[member] >= self._limits.max_keys_per_member
 
     def _add(self, key_id: KeyId, record: _KeyRecord) -> None:
         self._record_by_id[key_id] = record
         self._count_by_member[key_id.member] += 1
 
-    def _not_run(self, key_id: KeyId, record: _KeyRecord, now_ms: int) -> None:
-        if record.was_recalled:
-            record.state = _KeyState.recalled
+    def _record_not_executed(
+        self, key_id: KeyId, record: _KeyRecord, now_ms: int
+    ) -> None:
+        if record.was_queried:
+            record.state = _KeyState.queried
             record.digest = b''
-            self._expire_later(key_id, record, now_ms)
+            self._schedule_expiry(key_id, record, now_ms)
         else:
             self._remove(key_id)
 
-    def _expire_later(
+    def _schedule_expiry(
         self, key_id: KeyId, record: _KeyRecord, now_ms: int
     ) -> None:
         record.expires_ms = now_ms + self._limits.key_memory_ms
@@ -254,7 +256,7 @@
             expires_ms, key_id = self._expiries.popleft()
             record = self._record_by_id.get(key_id)
             in_progress = record and record.state in {
-                _KeyState.recalling,
+                _KeyState.looking_up,
                 _KeyState.running,
             }
             if record and not in_progress and record.expires_ms <= expires_ms:
@@ -263,4 +265,4 @@
     def _remove(self, key_id: KeyId) -> None:
         self._record_by_id.pop(key_id)
         self._count_by_member[key_id.member] -= 1
-        self._answers.drop(key_id)
+        self._answers.discard(key_id)
--- a/waxwingford/routing/_spill.py
+++ b/waxwingford/routing/_peer_table.py
@@ -30,8 +30,10 @@
         self._failure_domain = failure_domain
         self._rng = rng
         self._peer_by_id: dict[str, PeerView] = {}
-        self._spare: dict[tuple[str, str], int] = {}
-        self._spare_by_service: collections.Counter[str] = collections.Counter()
+        self._free_slots: dict[tuple[str, str], int] = {}
+        self._free_slots_by_service: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._by_service: dict[str, _Candidates] = {}
 
     def set_peers(self, peers: Iterable[PeerView]) -> None:
@@ -40,8 +42,8 @@
         :param peers: all peers, once for each round of heartbeats.
         """
         self._peer_by_id = {peer.daemon_id: peer for peer in peers}
-        self._spare = {}
-        self._spare_by_service.clear()
+        self._free_slots = {}
+        self._free_slots_by_service.clear()
         self._by_service = {}
         for peer in self._peer_by_id.values():
             self._add(peer)
@@ -54,12 +56,12 @@
         return frozenset(self._peer_by_id)
 
     def choose(
-        self, service: str, left_ms: float, tried: frozenset[str]
+        self, service: str, time_left_ms: float, tried: frozenset[str]
     ) -> str | None:
         """Choose the better of two random peers with room, own domain first.
 
         :param service: which service.
-        :param left_ms: time left for the request, in milliseconds.
+        :param time_left_ms: time left for the request, in milliseconds.
         :param tried: peers that the request already went to.
         :returns: daemon id; nothing if no peer is worth it.
         """
@@ -68,53 +70,53 @@
             return None
         for group in candidates:
             best = min(
-                self._costs(group, service, left_ms, tried), default=None
+                self._costs(group, service, time_left_ms, tried), default=None
             )
             if best is not None:
                 return best[1]
         return None
 
-    def forwarded(self, daemon_id: str, service: str) -> None:
+    def record_forwarded(self, daemon_id: str, service: str) -> None:
         """Count a request against a peer's spare slots.
 
         :param daemon_id: which peer.
         :param service: which service.
         """
-        spare = self._spare.get((daemon_id, service), 0)
-        if spare <= 1:
-            self.refused(daemon_id, service)
+        free_slots = self._free_slots.get((daemon_id, service), 0)
+        if free_slots <= 1:
+            self.exclude(daemon_id, service)
         else:
-            self._spare[daemon_id, service] = spare - 1
-            self._spare_by_service[service] -= 1
+            self._free_slots[daemon_id, service] = free_slots - 1
+            self._free_slots_by_service[service] -= 1
 
-    def refused(self, daemon_id: str, service: str) -> None:
+    def exclude(self, daemon_id: str, service: str) -> None:
         """Leave a peer out for a service until it is heard of again.
 
         :param daemon_id: which peer.
         :param service: which service.
         """
-        spare = self._spare.pop((daemon_id, service), 0)
-        self._spare_by_service[service] -= spare
+        free_slots = self._free_slots.pop((daemon_id, service), 0)
+        self._free_slots_by_service[service] -= free_slots
         candidates = self._by_service.get(service)
         for group in candidates or ():
             group.discard(daemon_id)
 
-    def spare(self, service: str) -> int:
+    def free_slots(self, service: str) -> int:
         """Count free slots of all peers, as last heard of.
 
         :param service: which service.
         :returns: the count.
         """
-        return self._spare_by_service[service]
+        return self._free_slots_by_service[service]
 
     def _add(self, peer: PeerView) -> None:
         if not peer.alive:
             return
-        for service, spare in peer.spare_by_service.items():
-            if spare <= 0:
+        for service, free_slots in peer.spare_by_service.items():
+            if free_slots <= 0:
                 continue
-            self._spare[peer.daemon_id, service] = spare
-            self._spare_by_service[service] += spare
+            self._free_slots[peer.daemon_id, service] = free_slots
+            self._free_slots_by_service[service] += free_slots
             candidates = self._by_service.setdefault(
                 service, _Candidates(IndexedSet(), IndexedSet())
             )
@@ -125,13 +127,14 @@
         self,
         group: IndexedSet,
         service: str,
-        left_ms: float,
+        time_left_ms: float,
         tried: frozenset[str],
     ) -> list[tuple[float, str]]:
         return [
             (self._cost(name, service), name)
-            for name in group.choose_two(self._rng)
-            if name not in tried and self._expected_ms(name, service) <= left_ms
+            for name in group.sample_two(self._rng)
+            if name not in tried
+            and self._expected_ms(name, service) <= time_left_ms
         ]
 
     def _expected_ms(self, name: str, service: str) -> float:
@@ -140,5 +143,5 @@
         return peer.distance_ms + served_ms
 
     def _cost(self, name: str, service: str) -> float:
-        spare = max(1, self._spare[name, service])
-        return (1 + self._expected_ms(name, service)) / spare
+        free_slots = max(1, self._free_slots[name, service])
+        return (1 + self._expected_ms(name, service)) / free_slots
--- a/waxwingford/routing/_retry_budget.py
+++ b/waxwingford/routing/_retry_budget.py
@@ -3,7 +3,7 @@
 #: Retries that each first request pays for.
 RETRY_SHARE = 0.1
 #: Retries that may be saved up.
-MOST_SAVED = 50.0
+MAX_TOKENS = 50.0
 
 
 class RetryBudget:
@@ -14,27 +14,27 @@
     """
 
     def __init__(
-        self, share: float = RETRY_SHARE, most_saved: float = MOST_SAVED
+        self, share: float = RETRY_SHARE, max_tokens: float = MAX_TOKENS
     ) -> None:
         """Start with a tenth of what may be saved.
 
         :param share: retries that each request pays for.
-        :param most_saved: retries saved at most.
+        :param max_tokens: retries saved at most.
         """
         self.share = share
-        self._most_saved = most_saved
-        self._saved = most_saved / 10
+        self._max_tokens = max_tokens
+        self._tokens = max_tokens / 10
 
-    def fill(self) -> None:
+    def deposit(self) -> None:
         """Count a first request."""
-        self._saved = min(self._most_saved, self._saved + self.share)
+        self._tokens = min(self._max_tokens, self._tokens + self.share)
 
-    def take(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Pay for a retry.
 
         :returns: whether the budget allows it.
         """
-        if self._saved < 1:
+        if self._tokens < 1:
             return False
-        self._saved -= 1
+        self._tokens -= 1
         return True
--- a/waxwingford/routing/_recall.py
+++ b/waxwingford/routing/_retry_decision.py
@@ -18,7 +18,7 @@
 #: When to ask again after a daemon could not be asked, in milliseconds.
 UNREACHABLE_RETRY_MS = 2000
 #: Outcome of a key that was used with another body.
-OTHER_BODY = Rejected(
+BODY_MISMATCH = Rejected(
     'key was used with another body', HTTPStatus.UNPROCESSABLE_ENTITY
 )
 
@@ -42,7 +42,7 @@
     return max(key_memory_ms, key_memory_ms // 2 + under_way_ms)
 
 
-def decide_recall(
+def decide_retry(
     answer_by_daemon: Mapping[str, RecallAnswer], age_ms: int
 ) -> MayRun | Answered | Unknown | Rejected:
     """Decide whether a retry may run.
@@ -62,7 +62,7 @@
         if answer.outcome is not None:
             return answer.outcome
     if RecallState.other_body in states:
-        return OTHER_BODY
+        return BODY_MISMATCH
     if states & {RecallState.answered, RecallState.unknown}:
         return Unknown('an attempt ran or may have', UNREACHABLE_RETRY_MS)
     if RecallState.running in states:
--- a/waxwingford/routing/_router.py
+++ b/waxwingford/routing/_router.py
@@ -9,15 +9,15 @@
 from waxwingford.ports import BackendServerPort
 from waxwingford.routing._calls import (
     CallOutcome,
-    Lost,
-    NoRoom,
-    NotRun,
+    NoFreeSlot,
+    NotExecuted,
+    OutcomeUnknown,
     ServerCalls,
 )
 from waxwingford.routing._evidence import (
     NeverSent,
-    NotRunEvidence,
-    ServerSaidNotRun,
+    NotExecutedEvidence,
+    ReportedNotExecuted,
     refuse,
 )
 from waxwingford.routing._limits import DispatchLimits, ServiceLimits
@@ -29,10 +29,10 @@
     Request,
     Unknown,
 )
+from waxwingford.routing._peer_table import PeerTable
 from waxwingford.routing._ports import PeerForwarder, RequestMetrics
 from waxwingford.routing._retry_budget import RetryBudget
 from waxwingford.routing._slots import SlotTable
-from waxwingford.routing._spill import PeerTable
 from waxwingford.timeline import TimeLine
 
 
@@ -59,12 +59,12 @@
 
     :ivar tried: receivers that it went to.
     :ivar evidence: why it did not run so far.
-    :ivar lost: receiver that may have run it, with the reason.
+    :ivar unknown_reason: receiver that may have run it, with the reason.
     """
 
-    evidence: NotRunEvidence
+    evidence: NotExecutedEvidence
     tried: tuple[str, ...] = ()
-    lost: str = ''
+    unknown_reason: str = ''
 
 
 class Router:
@@ -99,11 +99,11 @@
             limits.overrun_ms,
         )
         self._ports = ports
-        self._least_left_ms = limits.least_left_ms
+        self._min_time_left_ms = limits.min_time_left_ms
         self._limits_by_service: Mapping[str, ServiceLimits] = {}
         self._budget_by_service: dict[str, RetryBudget] = {}
 
-    def use_limits(self, limits: Mapping[str, ServiceLimits]) -> None:
+    def set_limits(self, limits: Mapping[str, ServiceLimits]) -> None:
         """Take in the limits of a bundle.
 
         :param limits: limits by service.
@@ -112,19 +112,19 @@
         for service, budget in self._budget_by_service.items():
             budget.share = self._service_limits(service).retry_share
 
-    def spare(self, request: Request) -> int:
+    def free_slots(self, request: Request) -> int:
         """Count free slots that a request could go to.
 
         :param request: the request.
         :returns: the count, peers included if it may be forwarded.
         """
         service = request.service
-        self.table.wake(self._ports.clock.monotonic_ms())
-        group = self.table.group_by_service.get(service)
-        own = group.spare if group else 0
+        self.table.process_due(self._ports.clock.monotonic_ms())
+        pool = self.table.pool_by_service.get(service)
+        own_free_slots = pool.free_slots if pool else 0
         if request.hops or not self._service_limits(service).may_spill:
-            return own
-        return own + self.peer_table.spare(service)
+            return own_free_slots
+        return own_free_slots + self.peer_table.free_slots(service)
 
     async def route(
         self, request: Request, deadline_ms: int, retry_after_ms: int
@@ -137,78 +137,78 @@
         :returns: the final outcome.
         """
         budget = self._budget(request.service)
-        budget.fill()
+        budget.deposit()
         progress = _Progress(NeverSent('the deadline has passed'))
-        while self._in_time(deadline_ms):
+        while self._has_time_left(deadline_ms):
             step = await self._send(request, deadline_ms, progress)
             if isinstance(step, Answered | Rejected):
                 return step
-            if not self._may_go_on(request, progress, step):
+            if not self._may_retry(request, progress, step):
                 break
-            if not budget.take():
+            if not budget.try_withdraw():
                 break
-        if progress.lost:
-            return Unknown(progress.lost, retry_after_ms)
+        if progress.unknown_reason:
+            return Unknown(progress.unknown_reason, retry_after_ms)
         return refuse(progress.evidence, retry_after_ms)
 
-    def _in_time(self, deadline_ms: int) -> bool:
+    def _has_time_left(self, deadline_ms: int) -> bool:
         now_ms = self._ports.clock.monotonic_ms()
-        return now_ms + self._least_left_ms <= deadline_ms
+        return now_ms + self._min_time_left_ms <= deadline_ms
 
-    def _may_go_on(
+    def _may_retry(
         self,
         request: Request,
         progress: _Progress,
-        step: NotRun | Lost | NoRoom,
+        step: NotExecuted | OutcomeUnknown | NoFreeSlot,
     ) -> bool:
         match step:
-            case NoRoom():
+            case NoFreeSlot():
                 if not progress.tried:
                     progress.evidence = NeverSent('no server has room')
                 return False
-            case NotRun(receiver=receiver, reason=reason):
-                progress.evidence = ServerSaidNotRun(receiver, reason)
-            case Lost(receiver=receiver, reason=reason):
-                progress.lost = f'{receiver}: {reason}'
+            case NotExecuted(receiver=receiver, reason=reason):
+                progress.evidence = ReportedNotExecuted(receiver, reason)
+            case OutcomeUnknown(receiver=receiver, reason=reason):
+                progress.unknown_reason = f'{receiver}: {reason}'
         progress.tried = (*progress.tried, receiver)
-        return request.idempotent or not progress.lost
+        return request.idempotent or not progress.unknown_reason
 
     async def _send(
         self, request: Request, deadline_ms: int, progress: _Progress
-    ) -> CallOutcome | NoRoom | Rejected:
+    ) -> CallOutcome | NoFreeSlot | Rejected:
         require(
-            request.idempotent or not progress.lost,
+            request.idempotent or not progress.unknown_reason,
             Invariant.at_most_once,
-            f'{request.request_id}: sent again after {progress.lost}',
+            f'{request.request_id}: sent again after {progress.unknown_reason}',
         )
         tried = progress.tried
         step = await self.calls.call(request, deadline_ms, tried)
         may_spill = self._service_limits(request.service).may_spill
-        if request.hops or not may_spill or not isinstance(step, NoRoom):
+        if request.hops or not may_spill or not isinstance(step, NoFreeSlot):
             return step
-        left_ms = deadline_ms - self._ports.clock.monotonic_ms()
+        time_left_ms = deadline_ms - self._ports.clock.monotonic_ms()
         peer_id = self.peer_table.choose(
-            request.service, left_ms, frozenset(tried)
+            request.service, time_left_ms, frozenset(tried)
         )
         if peer_id is None:
             return step
-        return await self._forward(peer_id, request, left_ms)
+        return await self._forward(peer_id, request, time_left_ms)
 
     async def _forward(
-        self, peer_id: str, request: Request, left_ms: int
+        self, peer_id: str, request: Request, time_left_ms: int
     ) -> CallOutcome | Rejected:
-        self.peer_table.forwarded(peer_id, request.service)
+        self.peer_table.record_forwarded(peer_id, request.service)
         outcome = await self._ports.peers.forward(
             peer_id,
-            dataclasses.replace(request, deadline_ms=left_ms),
-            left_ms,
+            dataclasses.replace(request, deadline_ms=time_left_ms),
+            time_left_ms,
         )
         match outcome:
             case Refused(reason=reason):
-                self.peer_table.refused(peer_id, request.service)
-                return NotRun(peer_id, reason)
+                self.peer_table.exclude(peer_id, request.service)
+                return NotExecuted(peer_id, reason)
             case Unknown(reason=reason):
-                return Lost(peer_id, reason)
+                return OutcomeUnknown(peer_id, reason)
             case _:
                 return outcome
 
--- a/waxwingford/routing/_slots.py
+++ b/waxwingford/routing/_slots.py
@@ -8,11 +8,11 @@
 from waxwingford.kernel import Invariant, require
 from waxwingford.routing._call_tracker import CallTracker
 from waxwingford.routing._messages import HeldServer
+from waxwingford.routing._server_pool import ServerPool, lowest_latency
 from waxwingford.routing._server_state import SLOW_START_MS, ServerState
-from waxwingford.routing._service_group import ServiceGroup, best_of
 
 #: Draws of candidates beyond one for each open server.
-SPARE_DRAWS = 8
+EXTRA_DRAWS = 8
 _NONE_TRIED: frozenset[str] = frozenset()
 
 
@@ -34,7 +34,7 @@
     """Counts of calls in flight, kept only at the holder of each server.
 
     :ivar state_by_server: read only, for tests and reports.
-    :ivar group_by_service: read only, for heartbeats and reports.
+    :ivar pool_by_service: read only, for heartbeats and reports.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -43,10 +43,10 @@
         :param rng: seeded source of chance.
         """
         self.state_by_server: dict[str, ServerState] = {}
-        self.group_by_service: dict[str, ServiceGroup] = {}
+        self.pool_by_service: dict[str, ServerPool] = {}
         self._rng = rng
         self._tracker = CallTracker()
-        self._wake_ups: list[tuple[int, str]] = []
+        self._timers: list[tuple[int, str]] = []
         self._warm_services: frozenset[str] = frozenset()
 
     def set_servers(self, servers: Iterable[HeldServer], now_ms: int) -> None:
@@ -58,35 +58,35 @@
         by_id = {server.server_id: server for server in servers}
         self._warm_services = frozenset(
             service
-            for service, group in self.group_by_service.items()
-            if group.servers
+            for service, pool in self.pool_by_service.items()
+            if pool.servers
         )
-        for lost in self.state_by_server.keys() - by_id.keys():
-            self.drop(lost)
+        for server_id in self.state_by_server.keys() - by_id.keys():
+            self.remove(server_id)
         for server in by_id.values():
-            self.hold(server, now_ms)
+            self.add_or_renew(server, now_ms)
 
-    def hold(self, server: HeldServer, now_ms: int) -> None:
+    def add_or_renew(self, server: HeldServer, now_ms: int) -> None:
         """Add or renew one server.
 
         :param server: the server with its lease.
         :param now_ms: monotonic time, in milliseconds.
         """
         state = self.state_by_server.get(server.server_id)
-        if state is None or _starts_anew(state, server):
-            state = self._begin(server, state, now_ms)
+        if state is None or _is_new_instance(state, server):
+            state = self._start_tracking(server, state, now_ms)
         state.held = server
         self._refresh(state, now_ms)
 
-    def drop(self, server_id: str) -> None:
+    def remove(self, server_id: str) -> None:
         """Forget a server that is no longer held, once its calls ended.
 
         :param server_id: which server.
         """
         state = self.state_by_server[server_id]
-        if not state.gone:
-            state.gone = True
-            self.group_by_service[state.held.service].leave(state)
+        if not state.removed:
+            state.removed = True
+            self.pool_by_service[state.held.service].remove(state)
         if not state.in_flight:
             self.state_by_server.pop(server_id)
 
@@ -106,13 +106,13 @@
         :param tried: servers that the request already went to.
         :returns: server id; nothing if no held server has room.
         """
-        self.wake(now_ms)
-        group = self.group_by_service.get(service)
-        if group is None:
+        self.process_due(now_ms)
+        pool = self.pool_by_service.get(service)
+        if pool is None:
             return None
-        for _ in range(SPARE_DRAWS + group.open_count()):
-            names = group.choose_two(self._rng)
-            best = best_of(self._choosable(names, tried, now_ms))
+        for _ in range(EXTRA_DRAWS + pool.available_count()):
+            names = pool.sample_two(self._rng)
+            best = lowest_latency(self._available_of(names, tried, now_ms))
             if best:
                 return best.held.server_id
             if not names:
@@ -130,7 +130,7 @@
         :returns: the slot; nothing if the server may no longer be used.
         """
         state = self.state_by_server.get(server_id)
-        if state is None or not state.choosable(now_ms):
+        if state is None or not state.is_available(now_ms):
             return None
         held = state.held
         require(
@@ -141,7 +141,7 @@
         require(not held.leaving, Invariant.leaving_server, server_id)
         state.in_flight += 1
         require(
-            state.in_flight <= state.most_in_flight(),
+            state.in_flight <= state.max_in_flight(),
             Invariant.capacity,
             f'{server_id}: {state.in_flight} calls for {held.slots} slots',
         )
@@ -158,17 +158,17 @@
         latency_ms = float(now_ms - slot.taken_ms)
         self.release(slot, now_ms)
         state = self.state_by_server.get(slot.held.server_id)
-        if state is None or state.gone:
+        if state is None or state.removed:
             return latency_ms
-        group = self.group_by_service[state.held.service]
-        if group.measured(state, latency_ms):
-            self.went_badly(slot, now_ms)
+        pool = self.pool_by_service[state.held.service]
+        if pool.record_latency(state, latency_ms):
+            self.record_failure(slot, now_ms)
         else:
-            state.bad_in_a_row = 0
+            state.consecutive_failures = 0
             state.ejections = 0
         return latency_ms
 
-    def went_badly(self, slot: Slot, now_ms: int) -> bool:
+    def record_failure(self, slot: Slot, now_ms: int) -> bool:
         """Count a call that was not run, unknown or slow.
 
         :param slot: slot of the call, given back or not.
@@ -176,13 +176,13 @@
         :returns: whether the server was ejected by this.
         """
         state = self.state_by_server.get(slot.held.server_id)
-        if state is None or state.gone or state.ejected_until_ms:
+        if state is None or state.removed or state.ejected_until_ms:
             return False
-        state.bad_in_a_row += 1
-        group = self.group_by_service[state.held.service]
-        if not group.eject_if_bad(state, now_ms):
+        state.consecutive_failures += 1
+        pool = self.pool_by_service[state.held.service]
+        if not pool.eject_if_failing(state, now_ms):
             return False
-        self._wake_at(state.ejected_until_ms, state)
+        self._schedule(state.ejected_until_ms, state)
         self._refresh(state, now_ms)
         return True
 
@@ -206,46 +206,46 @@
         """
         self._end_call(slot.call_id, now_ms)
 
-    def wake(self, now_ms: int) -> None:
+    def process_due(self, now_ms: int) -> None:
         """Do what has become due: abandoned calls, ejections, slow starts.
 
         :param now_ms: monotonic time, in milliseconds.
         """
-        for call_id in self._tracker.due(now_ms):
+        for call_id in self._tracker.pop_due(now_ms):
             self._end_call(call_id, now_ms)
-        while self._wake_ups and self._wake_ups[0][0] <= now_ms:
-            _, server_id = heapq.heappop(self._wake_ups)
+        while self._timers and self._timers[0][0] <= now_ms:
+            _, server_id = heapq.heappop(self._timers)
             state = self.state_by_server.get(server_id)
-            if state is not None and not state.gone:
-                group = self.group_by_service[state.held.service]
-                group.end_ejection(state, now_ms)
+            if state is not None and not state.removed:
+                pool = self.pool_by_service[state.held.service]
+                pool.end_ejection_if_due(state, now_ms)
                 self._refresh(state, now_ms)
 
-    def _begin(
+    def _start_tracking(
         self, server: HeldServer, old: ServerState | None, now_ms: int
     ) -> ServerState:
         # Slow start spares a new server while others can take the load.  Where
         # all are new, as after the start of a daemon, it would only refuse.
-        is_beside_warm = server.service in self._warm_services
-        start_ms = now_ms if is_beside_warm else now_ms - SLOW_START_MS
+        has_warm_servers = server.service in self._warm_services
+        start_ms = now_ms if has_warm_servers else now_ms - SLOW_START_MS
         state = ServerState(server, slow_start_from_ms=start_ms)
         if old is not None:
             # Calls of the earlier holding may still run: they keep counting.
             state.in_flight = old.in_flight
-            if not old.gone:
-                self.group_by_service[old.held.service].leave(old)
+            if not old.removed:
+                self.pool_by_service[old.held.service].remove(old)
         self.state_by_server[server.server_id] = state
-        group = self.group_by_service.setdefault(server.service, ServiceGroup())
-        group.servers += 1
+        pool = self.pool_by_service.setdefault(server.service, ServerPool())
+        pool.servers += 1
         return state
 
-    def _choosable(
+    def _available_of(
         self, names: tuple[str, ...], tried: frozenset[str], now_ms: int
     ) -> list[ServerState]:
         found = []
         for name in names:
             state = self.state_by_server[name]
-            if not state.choosable(now_ms):
+            if not state.is_available(now_ms):
                 # Its lease lapsed since it was put here; a renewal brings it
                 # back.
                 self._refresh(state, now_ms)
@@ -254,13 +254,13 @@
         return found
 
     def _refresh(self, state: ServerState, now_ms: int) -> None:
-        self.group_by_service[state.held.service].refresh(state, now_ms)
-        if state.in_slow_start(now_ms) and state.wake_ms <= now_ms:
-            state.wake_ms = state.next_step_ms(now_ms)
-            self._wake_at(state.wake_ms, state)
+        self.pool_by_service[state.held.service].refresh(state, now_ms)
+        if state.in_slow_start(now_ms) and state.next_update_ms <= now_ms:
+            state.next_update_ms = state.next_slot_ms(now_ms)
+            self._schedule(state.next_update_ms, state)
 
-    def _wake_at(self, at_ms: int, state: ServerState) -> None:
-        heapq.heappush(self._wake_ups, (at_ms, state.held.server_id))
+    def _schedule(self, at_ms: int, state: ServerState) -> None:
+        heapq.heappush(self._timers, (at_ms, state.held.server_id))
 
     def _end_call(self, call_id: int, now_ms: int) -> None:
         server_id = self._tracker.end(call_id)
@@ -273,14 +273,14 @@
             Invariant.capacity,
             f'{server_id}: a slot was given back twice',
         )
-        if not state.gone:
+        if not state.removed:
             self._refresh(state, now_ms)
         elif not state.in_flight:
             self.state_by_server.pop(server_id)
 
 
-def _starts_anew(state: ServerState, server: HeldServer) -> bool:
-    return state.gone or (state.held.boot_id, state.held.service) != (
+def _is_new_instance(state: ServerState, server: HeldServer) -> bool:
+    return state.removed or (state.held.boot_id, state.held.service) != (
         server.boot_id,
         server.service,
     )
--- a/waxwingford/routing/tests/admission_steps.py
+++ b/waxwingford/routing/tests/admission_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, use_fixture, when
 
 from waxwingford.routing import (
-    Admission,
+    AdmissionController,
     Admitted,
     ServiceLimits,
     Shed,
@@ -20,16 +20,16 @@
 _TARGET_MS = 50.0
 
 
-def admission_for(context, most, members):
+def admission_for(context, limit, members):
     context.rng = random.Random(5)
-    context.admission = Admission(most, context.rng)
-    context.most = most
+    context.admission = AdmissionController(limit, context.rng)
+    context.limit = limit
     context.now_ms = 0
     context.admission.set_limits(
         {
             member: ServiceLimits(
                 target_ms=_TARGET_MS,
-                most_in_progress=most,
+                max_in_progress=limit,
                 weight_by_member={member: 1.0},
             )
             for member in members
@@ -37,15 +37,15 @@
     )
 
 
-def enter(context, member, urgency=Urgency.urgent, spare=1000):
-    return context.admission.enter(
-        member, member, urgency, spare, context.now_ms
+def admit(context, member, urgency=Urgency.urgent, free_slots=1000):
+    return context.admission.admit(
+        member, member, urgency, free_slots, context.now_ms
     )
 
 
 def fill(context, member):
     """Let a member in until it is refused; returns what was admitted."""
-    decisions = (enter(context, member) for _ in itertools.count())
+    decisions = (admit(context, member) for _ in itertools.count())
     return list(itertools.takewhile(is_admitted, decisions))
 
 
@@ -53,14 +53,14 @@
     return isinstance(decision, Admitted)
 
 
-@given('admission of {most:d} requests for a service of member "{member}"')
-def admission_of_one(context, most, member):
-    admission_for(context, most, [member])
+@given('admission of {limit:d} requests for a service of member "{member}"')
+def admission_of_one(context, limit, member):
+    admission_for(context, limit, [member])
 
 
-@given('admission of {most:d} requests for services of "{one}" and "{other}"')
-def admission_of_two(context, most, one, other):
-    admission_for(context, most, [one, other])
+@given('admission of {limit:d} requests for services of "{one}" and "{other}"')
+def admission_of_two(context, limit, one, other):
+    admission_for(context, limit, [one, other])
 
 
 @when('{count:d} requests of mixed urgency come and none ends')
@@ -68,14 +68,14 @@
     context.decisions = []
     for _ in range(count):
         urgency = context.rng.choice(list(Urgency))
-        decision = enter(context, 'qadri', urgency)
+        decision = admit(context, 'qadri', urgency)
         context.decisions.append((urgency, decision))
 
 
 @when('{count:d} requests of each urgency come, the least urgent first')
 def least_urgent_first(context, count):
     context.decisions = [
-        (urgency, enter(context, 'qadri', urgency))
+        (urgency, admit(context, 'qadri', urgency))
         for urgency in sorted(Urgency)
         for _ in range(count)
     ]
@@ -103,7 +103,7 @@
 
 @then('"{member}" has more than its half of {half:d}')
 def more_than_half(context, member, half):
-    assert half < len(context.borrowed) < context.most, len(context.borrowed)
+    assert half < len(context.borrowed) < context.limit, len(context.borrowed)
 
 
 @then('"{member}" gets {count:d} requests in at once')
@@ -116,8 +116,8 @@
 def gets_share(context, member, count):
     for ended in context.borrowed:
         # Who is next in line after each end: the flood tries first.
-        context.admission.leave(ended)
-        enter(context, 'qadri')
+        context.admission.release(ended)
+        admit(context, 'qadri')
         context.other.extend(fill(context, member))
     assert len(context.other) >= count, len(context.other)
 
@@ -138,10 +138,10 @@
 @when('requests wait {wait_ms:d} ms for the processor during {time_ms:d} ms')
 def waiting_requests(context, wait_ms, time_ms):
     for _ in range(0, time_ms, 20):
-        context.admission.waited(wait_ms, context.now_ms)
+        context.admission.record_wait(wait_ms, context.now_ms)
         for admitted in fill(context, 'qadri'):
-            context.admission.waited(wait_ms, context.now_ms)
-            context.admission.leave(admitted)
+            context.admission.record_wait(wait_ms, context.now_ms)
+            context.admission.release(admitted)
         context.now_ms += 20
 
 
@@ -160,7 +160,7 @@
 def fill_and_leave(context):
     admitted = fill(context, 'qadri')
     for one in admitted:
-        context.admission.leave(one)
+        context.admission.release(one)
     return admitted
 
 
@@ -168,14 +168,14 @@
 def slots_taken(context, count, slots):
     context.refused_from = {}
     for taken in range(count):
-        spare = slots - taken
+        free_slots = slots - taken
         for urgency in Urgency:
-            decision = enter(context, 'qadri', urgency, spare)
+            decision = admit(context, 'qadri', urgency, free_slots)
             if is_admitted(decision):
-                context.admission.leave(decision)
+                context.admission.release(decision)
             else:
-                context.refused_from.setdefault(urgency, spare)
-        assert is_admitted(enter(context, 'qadri', Urgency.urgent, spare))
+                context.refused_from.setdefault(urgency, free_slots)
+        assert is_admitted(admit(context, 'qadri', Urgency.urgent, free_slots))
 
 
 @then('the last slots are refused to background requests first')
@@ -211,7 +211,7 @@
 @when('{count:d} background requests come to "{daemon_id}" at once')
 def background_burst(context, count, daemon_id):
     region = context.region
-    region.pass_ms(10_000)
+    region.advance_ms(10_000)
     region.refresh()
     region.refresh()
     tasks = [
@@ -243,12 +243,12 @@
     context.entered = collections.Counter()
     for _ in range(5):
         for member in (one, other):
-            decision = context.admission.enter(
+            decision = context.admission.admit(
                 'dispatcher', member, Urgency.urgent, 1, context.now_ms
             )
             if is_admitted(decision):
                 context.entered[member] += 1
-                context.admission.leave(decision)
+                context.admission.release(decision)
 
 
 @then('each of them got in {count:d} times')
--- a/waxwingford/routing/tests/at_most_once_steps.py
+++ b/waxwingford/routing/tests/at_most_once_steps.py
@@ -44,7 +44,7 @@
 
 @given('the key memory holds {count:d} keys of a member')
 def small_memory(context, count):
-    limits = DispatchLimits(keys_by_member=count)
+    limits = DispatchLimits(max_keys_per_member=count)
     begin_region(context, context.daemon_ids, limits)
 
 
@@ -121,7 +121,7 @@
 
 @when('daemon "{daemon_id}" is frozen for {duration_ms:d} ms')
 def daemon_frozen(context, daemon_id, duration_ms):
-    context.region.live_ms(duration_ms, frozen=daemon_id)
+    context.region.run_for_ms(duration_ms, frozen=daemon_id)
 
 
 @when('daemon "{daemon_id}" stops')
@@ -132,12 +132,12 @@
 
 @when('the region runs for {duration_ms:d} ms')
 def time_passes(context, duration_ms):
-    context.region.live_ms(duration_ms)
+    context.region.run_for_ms(duration_ms)
 
 
 @when('the link between "{one}" and "{other}" is cut')
 def link_cut(context, one, other):
-    context.region.cuts |= {(one, other), (other, one)}
+    context.region.cut_links |= {(one, other), (other, one)}
 
 
 @then('the outcomes of the attempts are "{expected}"')
--- a/waxwingford/routing/tests/fakes.py
+++ b/waxwingford/routing/tests/fakes.py
@@ -63,9 +63,9 @@
         self.peak = max(self.peak, self.in_flight)
         self.ran.append(call.request_id.rpartition('.')[0])
         lost = self.loses_answers or self.frozen
-        most_ms = call.deadline_ms + self.overrun_ms
-        run_ms = most_ms if self.frozen else self.latency_ms
-        await sleep_ms(min(run_ms, most_ms))
+        max_run_ms = call.deadline_ms + self.overrun_ms
+        run_ms = max_run_ms if self.frozen else self.latency_ms
+        await sleep_ms(min(run_ms, max_run_ms))
         self.in_flight -= 1
         await sleep_ms(self.late_ms)
         if lost:
@@ -133,4 +133,4 @@
         return answer
 
     def _cut(self, sender, receiver):
-        return (sender, receiver) in self._region.cuts
+        return (sender, receiver) in self._region.cut_links
--- a/waxwingford/routing/tests/outcomes_steps.py
+++ b/waxwingford/routing/tests/outcomes_steps.py
@@ -77,7 +77,7 @@
 
 @then('dropped answers are counted as "{name}"')
 def dropped_counted(context, name):
-    assert context.region.counted('centre-1', name) > 0
+    assert context.region.metric_total('centre-1', name) > 0
 
 
 @when('every server answers {late_ms:d} ms after the deadline')
@@ -90,7 +90,7 @@
 
 @when('the late answers have come')
 def late_came(context):
-    context.region.pass_ms(1000)
+    context.region.advance_ms(1000)
 
 
 @then('no more requests were answered')
@@ -105,11 +105,11 @@
     break_servers(context, 'every answer is lost')
 
 
-@then('at most {most:d} more requests ran than were sent')
-def bounded_retries(context, most):
+@then('at most {max_count:d} more requests ran than were sent')
+def bounded_retries(context, max_count):
     sent = len(context.pairs)
     retries = len(context.region.ran()) - sent
-    assert 0 < retries <= most, retries
+    assert 0 < retries <= max_count, retries
 
 
 @when('{count:d} requests are in progress and the dispatcher drains')
@@ -119,10 +119,10 @@
         region.begin('centre-1', region.request('centre-1'))
         for _ in range(count)
     ]
-    region.pass_ms(1)
+    region.advance_ms(1)
     dispatcher = region.dispatcher_by_id['centre-1']
     context.draining = region.loop.create_task(dispatcher.drain(5000))
-    region.pass_ms(1)
+    region.advance_ms(1)
 
 
 @when('another request comes')
@@ -164,7 +164,9 @@
 def refused_at_b(context):
     region = context.region
     assert isinstance(context.outcome, Refused), context.outcome
-    served = [region.counted(one, 'requests_total') for one in ('a', 'b', 'c')]
+    served = [
+        region.metric_total(one, 'requests_total') for one in ('a', 'b', 'c')
+    ]
     assert served == [1, 1, 0], served
 
 
@@ -173,7 +175,7 @@
     region = context.region
     region.refresh()
     assert isinstance(region.call(one), Answered)
-    assert region.counted(other, 'requests_total') == 1
+    assert region.metric_total(other, 'requests_total') == 1
 
 
 @when('{count:d} callers go away while their requests run')
@@ -183,10 +185,10 @@
         region.begin('centre-1', region.request('centre-1'))
         for _ in range(count)
     ]
-    region.pass_ms(1)
+    region.advance_ms(1)
     for task in tasks:
         task.cancel()
-    region.pass_ms(1)
+    region.advance_ms(1)
 
 
 @then('no slot is free until the requests have ended')
--- a/waxwingford/routing/tests/random_requests_steps.py
+++ b/waxwingford/routing/tests/random_requests_steps.py
@@ -14,7 +14,7 @@
 _DAEMONS = ('a', 'b', 'c')
 _SERVERS = tuple(f'server-{number}' for number in range(4))
 _LIMITS = DispatchLimits(
-    key_memory_ms=20_000, delivery_ms=2000, keys_by_member=12
+    key_memory_ms=20_000, delivery_ms=2000, max_keys_per_member=12
 )
 _LEASE_MS = 3000
 _TICK_MS = 250
@@ -89,13 +89,13 @@
             return
         self.step_counts[name] += 1
         if name == 'heal':
-            self.region.cuts.clear()
+            self.region.cut_links.clear()
         else:
             getattr(self, f'_{name}')(*rest)
 
     def finish(self):
         """Mend everything, wait, and check."""
-        self.region.cuts.clear()
+        self.region.cut_links.clear()
         for daemon_id in _DAEMONS:
             self._start(daemon_id)
         for server in _SERVERS:
@@ -135,7 +135,7 @@
         self.one_holder.clear()
 
     def _cut(self, one, other):
-        self.region.cuts.add((one, other))
+        self.region.cut_links.add((one, other))
 
     def _hand_over(self, server_id, daemon_id):
         server = self.region.server_by_id[server_id]
@@ -148,7 +148,7 @@
     def _pass(self, duration_ms):
         while duration_ms > 0:
             self.region.refresh(_LEASE_MS)
-            self.region.pass_ms(min(duration_ms, _TICK_MS))
+            self.region.advance_ms(min(duration_ms, _TICK_MS))
             duration_ms -= _TICK_MS
 
     def _changed_holder(self, daemon_id):
@@ -163,11 +163,11 @@
                 assert not server.overflows, server
 
     def _check_not_stuck(self):
-        spare = [
+        free_slots = [
             sum(dispatcher.spare_by_service().values())
             for dispatcher in self.region.dispatcher_by_id.values()
         ]
-        assert sum(spare) == 2 * len(_SERVERS), spare
+        assert sum(free_slots) == 2 * len(_SERVERS), free_slots
         for daemon_id in _DAEMONS:
             outcome = self.region.call(
                 daemon_id, idempotent=False, key=f'last-{daemon_id}'
--- a/waxwingford/routing/tests/region.py
+++ b/waxwingford/routing/tests/region.py
@@ -29,7 +29,7 @@
 MEMBER = 'svatbena'
 
 
-def hold(server, lease_until_ms=None):
+def held_server(server, lease_until_ms=None):
     return HeldServer(
         server_id=server.server_id,
         rack='rack-1',
@@ -63,12 +63,12 @@
         self.metrics_by_id = {}
         self.dispatcher_by_id = {}
         self.incarnation_by_id = dict.fromkeys(servers_by_daemon, 0)
-        self.cuts = set()
+        self.cut_links = set()
         self._numbers = iter(range(1, 1_000_000))
         for daemon_id in servers_by_daemon:
             self.start(daemon_id)
         if old_enough:
-            self.live_ms(self.limits.key_memory_ms + 1000)
+            self.run_for_ms(self.limits.key_memory_ms + 1000)
         self.refresh()
 
     def start(self, daemon_id):
@@ -108,7 +108,7 @@
                 until_ms = self.clock_by_id[daemon_id].monotonic_ms() + lease_ms
                 servers = self.servers_by_daemon[daemon_id]
                 dispatcher.set_servers(
-                    tuple(hold(one, until_ms) for one in servers)
+                    tuple(held_server(one, until_ms) for one in servers)
                 )
                 dispatcher.set_peers(self._views(daemon_id))
 
@@ -150,16 +150,16 @@
         fields = {'attempt': 2, 'age_ms': 1000, **fields}
         return self.call(daemon_id, idempotent=False, key=key, **fields)
 
-    def pass_ms(self, duration_ms):
+    def advance_ms(self, duration_ms):
         self.loop.run_until_complete(sleep_ms(duration_ms))
 
-    def live_ms(self, duration_ms, frozen=''):
+    def run_for_ms(self, duration_ms, frozen=''):
         """Pass time in which all daemons but a frozen one show life."""
         for _ in range(0, duration_ms, 1000):
             self.refresh(frozen=frozen)
-            self.pass_ms(min(duration_ms, 1000))
+            self.advance_ms(min(duration_ms, 1000))
 
-    def counted(self, daemon_id, name):
+    def metric_total(self, daemon_id, name):
         prefix = f'waxwingford_{name}'
         return sum(
             float(line.split()[-1])
@@ -188,7 +188,7 @@
                 daemon_id=peer_id,
                 failure_domain='centre',
                 alive=dispatcher is not None
-                and (peer_id, daemon_id) not in self.cuts,
+                and (peer_id, daemon_id) not in self.cut_links,
                 spare_by_service=dispatcher.spare_by_service()
                 if dispatcher
                 else {},
--- a/waxwingford/routing/tests/slots_steps.py
+++ b/waxwingford/routing/tests/slots_steps.py
@@ -7,7 +7,7 @@
 
 from waxwingford.routing import DispatchLimits, SlotTable
 from waxwingford.routing.tests.fakes import FakeServer
-from waxwingford.routing.tests.region import Region, hold
+from waxwingford.routing.tests.region import Region, held_server
 
 _PAST_SLOW_START_MS = 10_000
 
@@ -26,7 +26,9 @@
         FakeServer(f'server-{index}', **fields) for index in range(count)
     ]
     context.slot_table = SlotTable(random.Random(7))
-    context.slot_table.set_servers(map(hold, context.servers), context.now_ms)
+    context.slot_table.set_servers(
+        map(held_server, context.servers), context.now_ms
+    )
 
 
 def take_all(context):
@@ -46,7 +48,7 @@
     use_fixture(
         region_of, context, {'centre-1': servers}, limits=DispatchLimits()
     )
-    context.region.pass_ms(_PAST_SLOW_START_MS)
+    context.region.advance_ms(_PAST_SLOW_START_MS)
 
 
 @given('both servers are frozen and give up {late_ms:d} ms after the deadline')
@@ -77,9 +79,9 @@
 
 @then('after {wait_ms:d} ms all slots are free again')
 def slots_free(context, wait_ms):
-    context.region.pass_ms(wait_ms)
-    spare = context.region.dispatcher_by_id['centre-1'].spare_by_service()
-    assert spare == {'dispatcher': 6}, spare
+    context.region.advance_ms(wait_ms)
+    free_slots = context.region.dispatcher_by_id['centre-1'].spare_by_service()
+    assert free_slots == {'dispatcher': 6}, free_slots
 
 
 @given(
@@ -104,7 +106,9 @@
     table_of(context, 1, slots=slots)
     assert len(take_all(context)) == slots
     context.servers.append(FakeServer('server-new', slots=slots))
-    context.slot_table.set_servers(map(hold, context.servers), context.now_ms)
+    context.slot_table.set_servers(
+        map(held_server, context.servers), context.now_ms
+    )
 
 
 @given('a slot table that gets {count:d} servers of {slots:d} slots at once')
@@ -127,14 +131,16 @@
 @when('the server is leaving')
 def server_leaves(context):
     context.servers[0].leaving = True
-    context.slot_table.hold(hold(context.servers[0]), context.now_ms)
+    context.slot_table.add_or_renew(
+        held_server(context.servers[0]), context.now_ms
+    )
 
 
 @when('the server is chosen and its lease lapses before the dispatch')
 def lease_lapses(context):
     server = context.servers[0]
     server.lease_until_ms = context.now_ms + 10
-    context.slot_table.hold(hold(server), context.now_ms)
+    context.slot_table.add_or_renew(held_server(server), context.now_ms)
     context.chosen = context.slot_table.choose('dispatcher', context.now_ms)
     context.now_ms += 10
 
@@ -149,7 +155,9 @@
 def not_chosen_until_renewed(context):
     assert context.slot_table.choose('dispatcher', context.now_ms) is None
     context.servers[0].lease_until_ms = context.now_ms + 10
-    context.slot_table.hold(hold(context.servers[0]), context.now_ms)
+    context.slot_table.add_or_renew(
+        held_server(context.servers[0]), context.now_ms
+    )
     assert context.slot_table.choose('dispatcher', context.now_ms) == 'server-0'
 
 
@@ -160,7 +168,7 @@
             slot = context.slot_table.take(server.server_id, context.now_ms)
             if slot is not None:
                 context.slot_table.release(slot, context.now_ms)
-                context.slot_table.went_badly(slot, context.now_ms)
+                context.slot_table.record_failure(slot, context.now_ms)
 
 
 @then('{count:d} servers are ejected')
@@ -187,5 +195,7 @@
     for _ in range(count):
         assert context.slot_table.take('server-0', context.now_ms)
     context.slot_table.set_servers((), context.now_ms)
-    context.slot_table.set_servers(map(hold, context.servers), context.now_ms)
+    context.slot_table.set_servers(
+        map(held_server, context.servers), context.now_ms
+    )
     context.now_ms += _PAST_SLOW_START_MS
--- a/waxwingford/routing/tests/virtual_loop.py
+++ b/waxwingford/routing/tests/virtual_loop.py
@@ -7,7 +7,7 @@
 _RESOLUTION_S = 1e-6
 
 
-class _TimeSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Moves time on where a real selector would wait."""
 
     def __init__(self):
@@ -26,7 +26,7 @@
 
     def __init__(self):
         """Start at time 0."""
-        self.selector = _TimeSelector()
+        self.selector = _VirtualTimeSelector()
         super().__init__(self.selector)
         self._clock_resolution = _RESOLUTION_S
 
