--- a/waxwingford/routing/__init__.py
+++ b/waxwingford/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Request path decisions: candidates, limits, retries, at most once."""
+"""Request routing: admission, load balancing, retries, idempotency keys."""
 
 from waxwingford.routing._admission import AdmissionController, Admitted, Shed
 from waxwingford.routing._dispatcher import (
--- a/waxwingford/routing/_adaptive_limit.py
+++ b/waxwingford/routing/_adaptive_limit.py
@@ -1,38 +1,35 @@
-"""Adaptive limit of a daemon: additive up, multiplicative down."""
+"""Adaptive concurrency limit of a daemon."""
 
-#: Mean wait for the processor that causes a step down, in milliseconds.
+#: Mean CPU queueing delay above which the limit decreases, in milliseconds.
 MAX_MEAN_WAIT_MS = 20
-#: Factor of a step down.
+#: Factor applied to the limit when it decreases.
 DECREASE_FACTOR = 0.85
-#: Share of the limit added by a step up, besides one request.
+#: Fraction of the limit added by an increase, in addition to one request.
 INCREASE_FRACTION = 0.05
-#: The limit never falls below this.
+#: Lower bound of the limit, in requests.
 MIN_LIMIT = 16.0
-#: Shortest window and fewest requests that a step is decided on.
+#: Minimum length and number of requests of a measurement window.
 MIN_WINDOW_MS = 200
 MIN_WINDOW_REQUESTS = 10
-#: Share of the limit that must be used before it grows.
+#: Fraction of the limit that must be in use for the limit to increase.
 MIN_UTILIZATION = 0.5
 
 
 class AdaptiveLimit:
-    """Limit on requests in progress that follows the wait for the processor.
+    """Concurrency limit controlled by the CPU queueing delay of the daemon.
 
-    The only queue of a daemon is the one in front of its processor.  Without
-    a limit that follows it an overloaded daemon takes ever more requests,
-    each of them late; one would notice that all fail where a part could have
-    been answered in time.  The latency of a service does not show that queue:
-    it also grows with batch work beside the service, and to shed then would
-    refuse requests while slots are free.
+    The limit increases additively with a proportional term and decreases
+    multiplicatively.  Service latency is not used as the signal, because batch
+    work on the same VM raises it while slots are still free.
 
-    :ivar max_limit: upper bound of the limit.
-    :ivar limit: requests in progress allowed now.
+    :ivar max_limit: upper bound of the limit, in requests.
+    :ivar limit: requests currently allowed in progress.
     """
 
     def __init__(self, max_limit: float) -> None:
-        """Start at the upper bound.
+        """Initialize the limit to its upper bound.
 
-        :param max_limit: upper bound of the limit.
+        :param max_limit: upper bound of the limit, in requests.
         """
         self.max_limit = max_limit
         self.limit = max_limit
@@ -42,9 +39,10 @@
         self._peak_in_progress = 0
 
     def record_wait(self, wait_ms: int, in_progress: int, now_ms: int) -> None:
-        """Take in how long a request waited for the processor.
+        """Record the CPU queueing delay of a request.
 
-        :param wait_ms: from its arrival to the first step, in milliseconds.
+        :param wait_ms: time from the arrival of the request to the start of
+            its handler, in milliseconds.
         :param in_progress: requests in progress.
         :param now_ms: monotonic time, in milliseconds.
         """
--- a/waxwingford/routing/_admission.py
+++ b/waxwingford/routing/_admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests: limits, shedding and fair shares, without a queue."""
+"""Admission control: limits, load shedding and fair shares of members."""
 
 import dataclasses
 import random
@@ -9,27 +9,27 @@
 from waxwingford.routing._member_shares import MemberShares
 from waxwingford.routing._messages import Urgency
 
-#: Share of the capacity that stays free for more urgent requests.
+#: Fraction of the capacity reserved for requests of higher urgency.
 RESERVED_FRACTION_BY_URGENCY: Mapping[Urgency, float] = {
     Urgency.background: 0.15,
     Urgency.normal: 0.05,
     Urgency.urgent: 0,
 }
-#: Weight of the newest decision in the share of shed requests.
+#: Weight of the latest decision in the moving average of the shed rate.
 SHED_RATE_WEIGHT = 0.05
 MIN_RETRY_AFTER_MS = 50
 MAX_RETRY_AFTER_MS = 10_000
-#: Expected latencies that a caller waits when everything is shed.
+#: Multiple of the target latency added to Retry-After at a shed rate of 1.
 SHED_BACKOFF_FACTOR = 20.0
 _MIN_JITTER_FACTOR = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request may go on; it must leave exactly once.
+    """The request was admitted and must be released exactly once.
 
-    :ivar service: which service.
-    :ivar member: whose request.
+    :ivar service: requested service.
+    :ivar member: member that sent the request.
     """
 
     service: str
@@ -38,10 +38,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shed:
-    """The request is refused now.
+    """The request was shed.
 
-    :ivar reason: for people.
-    :ivar retry_after_ms: from the load, with jitter, in milliseconds.
+    :ivar reason: human-readable reason.
+    :ivar retry_after_ms: delay before a retry, in milliseconds.
     """
 
     reason: str
@@ -57,13 +57,14 @@
 
 
 class AdmissionController:
-    """Counts requests in progress of one daemon and says who may enter."""
+    """Admits or sheds the requests of one daemon."""
 
     def __init__(self, max_in_progress: int, rng: random.Random) -> None:
-        """Start empty.
+        """Create a controller without requests in progress.
 
-        :param max_in_progress: over all services.
-        :param rng: seeded source of chance, for jitter.
+        :param max_in_progress: maximum number of requests in progress over all
+            services.
+        :param rng: random number generator for jitter.
         """
         self._limit = AdaptiveLimit(max_in_progress)
         self._rng = rng
@@ -74,9 +75,9 @@
     def set_limits(
         self, limits_by_service: Mapping[str, ServiceLimits]
     ) -> None:
-        """Take in the limits of a bundle; what is in use stays counted.
+        """Replace the limits; requests in progress stay counted.
 
-        :param limits_by_service: all services.
+        :param limits_by_service: limits of all services.
         """
         weight_by_member: dict[str, float] = {}
         for service, limits in limits_by_service.items():
@@ -87,9 +88,9 @@
         self._shares.set_weights(weight_by_member)
 
     def record_wait(self, wait_ms: int, now_ms: int) -> None:
-        """Take in how long a request waited for the processor.
+        """Record the CPU queueing delay of a request.
 
-        :param wait_ms: milliseconds.
+        :param wait_ms: queueing delay, in milliseconds.
         :param now_ms: monotonic time, in milliseconds.
         """
         self._limit.record_wait(wait_ms, self._in_progress, now_ms)
@@ -102,13 +103,13 @@
         free_slots: int,
         now_ms: int,
     ) -> Admitted | Shed:
-        """Admit a request or shed it, at once.
+        """Admit or shed a request without queueing it.
 
-        :param service: which service.
-        :param member: whose request.
-        :param urgency: how urgent.
-        :param free_slots: free slots that the request could go to, here and, if it
-            may be forwarded, at peers.
+        :param service: requested service.
+        :param member: member that sent the request.
+        :param urgency: urgency of the request.
+        :param free_slots: free slots of the service on this daemon and, if the
+            request may be forwarded, on its peers.
         :param now_ms: monotonic time, in milliseconds.
         :returns: the decision.
         """
@@ -126,9 +127,9 @@
         return Admitted(service, member)
 
     def release(self, admitted: Admitted) -> None:
-        """End a request.
+        """Release the capacity of a request that has ended.
 
-        :param admitted: as it was let in.
+        :param admitted: result of the admission.
         """
         state = self._state_of(admitted.service)
         self._in_progress -= 1
@@ -137,13 +138,13 @@
         state.shares.release(admitted.member)
 
     def retry_after_ms(self, service: str) -> int:
-        """Tell a refused caller when to come back.
+        """Compute the retry delay for a refused caller.
 
-        The time grows with the share that is shed; jitter keeps callers that
-        were refused together from coming back together.
+        The delay grows with the shed rate.  Jitter spreads the retries of
+        callers that were refused at the same time.
 
-        :param service: which service.
-        :returns: milliseconds.
+        :param service: requested service.
+        :returns: delay, in milliseconds.
         """
         state = self._state_of(service)
         base_ms = state.limits.target_ms * (
@@ -154,9 +155,9 @@
         return max(MIN_RETRY_AFTER_MS, min(MAX_RETRY_AFTER_MS, jittered_ms))
 
     def in_progress(self) -> int:
-        """Count requests in progress.
+        """Count the admitted requests that have not been released.
 
-        :returns: the count.
+        :returns: number of requests in progress.
         """
         return self._in_progress
 
@@ -165,10 +166,10 @@
     ) -> str:
         limit = (1 - RESERVED_FRACTION_BY_URGENCY[urgency]) * self._limit.limit
         if self._in_progress >= limit:
-            return 'daemon is at its limit'
+            return 'concurrency limit of the daemon reached'
         member_limit = self._shares.member_limit(member, limit, now_ms)
         if self._shares.in_progress(member) + 1 > member_limit:
-            return "member's share of the daemon is used up"
+            return 'fair share of the member on the daemon used up'
         return ''
 
     def _state_of(self, service: str) -> _ServiceAdmission:
@@ -188,18 +189,18 @@
     now_ms: int,
 ) -> str:
     if state.in_progress >= state.limits.max_in_progress:
-        return 'service is at its limit'
+        return 'concurrency limit of the service reached'
     in_progress = state.shares.in_progress(member)
     configured_limit = state.limits.most_by_member.get(member, in_progress + 1)
     if in_progress >= configured_limit:
-        return "member's limit of the service is reached"
+        return 'concurrency limit of the member for the service reached'
     capacity = state.in_progress + free_slots
     if (
         free_slots <= int(RESERVED_FRACTION_BY_URGENCY[urgency] * capacity)
         and free_slots
     ):
-        return 'what is free is kept for more urgent requests'
+        return 'remaining slots are reserved for more urgent requests'
     member_limit = state.shares.member_limit(member, capacity, now_ms)
     if free_slots and in_progress + 1 > member_limit:
-        return "member's share of the service is used up"
+        return 'fair share of the member in the service used up'
     return ''
--- a/waxwingford/routing/_answer_cache.py
+++ b/waxwingford/routing/_answer_cache.py
@@ -1,4 +1,4 @@
-"""Answers kept for replay: the oldest go first when their bytes run out."""
+"""Size-bounded cache of answers that retries replay."""
 
 import collections
 
@@ -7,12 +7,12 @@
 
 
 class AnswerCache:
-    """Answers by key, bounded in bytes."""
+    """Answers by key; the oldest are evicted when the cache is full."""
 
     def __init__(self, max_bytes: int) -> None:
-        """Start empty.
+        """Create an empty cache.
 
-        :param max_bytes: bytes of bodies kept at most.
+        :param max_bytes: maximum total size of the bodies, in bytes.
         """
         self._max_bytes = max_bytes
         self._bytes = 0
@@ -21,10 +21,10 @@
         )
 
     def put(self, key_id: KeyId, answer: Answered) -> None:
-        """Keep an answer as long as there is room.
+        """Store an answer, evicting the oldest ones if necessary.
 
         :param key_id: member and key.
-        :param answer: the answer.
+        :param answer: answer to store.
         """
         self.discard(key_id)
         self._answer_by_id[key_id] = answer
@@ -34,15 +34,15 @@
             self._bytes -= len(oldest.body)
 
     def get(self, key_id: KeyId) -> Answered | None:
-        """Look an answer up.
+        """Look up an answer.
 
         :param key_id: member and key.
-        :returns: the answer, if it is still kept.
+        :returns: cached answer, or None.
         """
         return self._answer_by_id.get(key_id)
 
     def discard(self, key_id: KeyId) -> None:
-        """Forget an answer; nothing happens if there is none.
+        """Remove an answer if present.
 
         :param key_id: member and key.
         """
--- a/waxwingford/routing/_call_tracker.py
+++ b/waxwingford/routing/_call_tracker.py
@@ -1,4 +1,4 @@
-"""Tracker of calls in flight: which server each one still occupies."""
+"""Tracker of the calls in flight and the servers that they occupy."""
 
 import heapq
 import itertools
@@ -6,18 +6,18 @@
 
 
 class CallTracker:
-    """Calls that have not ended, and those given up but not yet over."""
+    """Calls in flight, including abandoned ones that may still run."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create a tracker without calls."""
         self._server_by_call: dict[int, str] = {}
         self._call_ids = itertools.count(1)
         self._abandoned: list[tuple[int, int]] = []
 
     def begin(self, server_id: str) -> int:
-        """Enter a call.
+        """Register a call.
 
-        :param server_id: where it goes.
+        :param server_id: server that the call is sent to.
         :returns: call id.
         """
         call_id = next(self._call_ids)
@@ -25,23 +25,24 @@
         return call_id
 
     def end(self, call_id: int) -> str | None:
-        """Strike a call out.
+        """Remove a call.
 
-        :param call_id: which call.
-        :returns: its server; nothing if it was struck out before.
+        :param call_id: id of the call.
+        :returns: server of the call; None if it was already removed.
         """
         return self._server_by_call.pop(call_id, None)
 
     def abandon(self, call_id: int, until_ms: int) -> None:
-        """Keep a call until its server has ended it for certain.
+        """Schedule the end of a call that nobody waits for any more.
 
-        :param call_id: which call.
-        :param until_ms: monotonic time, in milliseconds.
+        :param call_id: id of the call.
+        :param until_ms: monotonic time at which the server has certainly ended
+            the call, in milliseconds.
         """
         heapq.heappush(self._abandoned, (until_ms, call_id))
 
     def pop_due(self, now_ms: int) -> Iterator[int]:
-        """Go through the abandoned calls that are over.
+        """Remove the abandoned calls that have certainly ended.
 
         :param now_ms: monotonic time, in milliseconds.
         :yields: call ids.
--- a/waxwingford/routing/_calls.py
+++ b/waxwingford/routing/_calls.py
@@ -1,4 +1,4 @@
-"""Calls to backend servers: slot, deadline, and answers that come late."""
+"""Calls to backend servers, with deadlines and late answers."""
 
 import asyncio
 import dataclasses
@@ -18,21 +18,21 @@
 from waxwingford.routing._slots import Slot, SlotTable
 
 _MS_IN_S = 1000
-#: Times that a choice is made anew when the lease lapsed before dispatch.
+#: Maximum attempts to choose a server whose lease is valid at dispatch.
 MAX_CHOICES = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoFreeSlot:
-    """No held server has a free slot; nothing was sent."""
+    """No held server has a free slot; the request was not sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotExecuted:
-    """The receiver said that the request did not run there.
+    """The receiver reported that it did not execute the request.
 
     :ivar receiver: backend server or peer.
-    :ivar reason: what it said.
+    :ivar reason: reason given by the receiver.
     """
 
     receiver: str
@@ -41,10 +41,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """It may have run: no whole answer came in time.
+    """The request may have been executed; no complete answer arrived in time.
 
     :ivar receiver: backend server or peer.
-    :ivar reason: for people.
+    :ivar reason: human-readable reason.
     """
 
     receiver: str
@@ -52,12 +52,16 @@
 
 
 CallOutcome = Answered | NotExecuted | OutcomeUnknown
-#: Hears of an outcome that came after the caller had its final answer.
+#: Called with an outcome that arrived after the caller was answered.
 LateOutcomeListener = Callable[[Request, CallOutcome], None]
 
 
 class ServerCalls:
-    """Owner of the calls in progress to held backend servers."""
+    """Sends calls to held backend servers and tracks them until they end.
+
+    :ivar on_late_outcome: called with each outcome that arrives after the
+        deadline.
+    """
 
     def __init__(
         self,
@@ -67,14 +71,14 @@
         metrics: RequestMetrics,
         overrun_ms: int,
     ) -> None:
-        """Start without calls.
+        """Create an instance without calls in flight.
 
         :param table: slots of the held servers.
-        :param servers: speaks to them.
-        :param clock: monotonic time.
-        :param metrics: counters.
-        :param overrun_ms: time by which a server may overrun a deadline, in
-            milliseconds.
+        :param servers: client for the backend servers.
+        :param clock: source of monotonic time.
+        :param metrics: counters and latency histograms.
+        :param overrun_ms: maximum time by which a server overruns a deadline,
+            in milliseconds.
         """
         self._table = table
         self._servers = servers
@@ -89,20 +93,20 @@
     async def call(
         self, request: Request, deadline_ms: int, tried: tuple[str, ...]
     ) -> CallOutcome | NoFreeSlot:
-        """Send a request to a chosen server, once.
+        """Send a request once, to a server chosen by the slot table.
 
-        :param request: the request.
-        :param deadline_ms: monotonic time of its deadline, in milliseconds.
-        :param tried: receivers that it already went to.
-        :returns: tagged outcome.
+        :param request: request to send.
+        :param deadline_ms: monotonic time of the deadline, in milliseconds.
+        :param tried: receivers that the request was already sent to.
+        :returns: outcome of the call.
         """
         slot = self._take_slot(request.service, frozenset(tried))
         if slot is None:
             return NoFreeSlot()
         time_left_ms = max(1, deadline_ms - slot.taken_ms)
         call = ServiceCall(
-            # A new id for each sending: the late answer of an earlier one
-            # must not pass for the answer of this one.
+            # The id is unique per attempt, so that a late answer to an
+            # earlier attempt is not taken for the answer to this one.
             f'{request.request_id}.{len(tried)}',
             request.service,
             request.path,
@@ -116,7 +120,8 @@
         if not task.done():
             self._abandon_call(task, request, call, slot)
             return OutcomeUnknown(
-                slot.held.server_id, 'no answer before the deadline'
+                slot.held.server_id,
+                'deadline exceeded before an answer arrived',
             )
         return self._apply_outcome(self._outcome_of(task, call), slot, call)
 
@@ -126,7 +131,7 @@
             server_id = self._table.choose(service, now_ms, tried)
             if server_id is None:
                 return None
-            # Read again: the process may have been frozen since.
+            # Read the clock again: the process may have been suspended.
             slot = self._table.take(server_id, self._clock.monotonic_ms())
             if slot is not None:
                 return slot
@@ -136,11 +141,11 @@
         self, task: asyncio.Task[ServiceOutcome], call: ServiceCall
     ) -> ServiceOutcome:
         if task.cancelled():
-            return ServiceUnknown('the call was cancelled')
+            return ServiceUnknown('call was cancelled')
         error = task.exception()
         if error is not None:
-            # A fault of an adapter must not leak the slot, nor pass for
-            # proof that the server did nothing.
+            # An exception in the adapter must not leak the slot and does not
+            # prove that the server did not execute the call.
             self._metrics.count('server_port_faults_total')
             return ServiceUnknown(f'{type(error).__name__}: {error}')
         outcome = task.result()
@@ -150,7 +155,9 @@
         )
         if is_mismatched:
             self._metrics.count('foreign_answers_total')
-            return ServiceUnknown('the answer belongs to another request')
+            return ServiceUnknown(
+                'request id of the answer does not match the call'
+            )
         return outcome
 
     def _apply_outcome(
@@ -177,7 +184,7 @@
                 self._record_failure(slot, now_ms)
                 return NotExecuted(server_id, reason)
             case ServiceUnknown(reason=reason):
-                # The server may go on until the deadline that it was given.
+                # The server may run the call until the deadline it was given.
                 end_ms = slot.taken_ms + call.deadline_ms + self._overrun_ms
                 self._table.abandon(slot, end_ms)
                 self._record_failure(slot, now_ms)
--- a/waxwingford/routing/_dispatcher.py
+++ b/waxwingford/routing/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Request dispatcher: takes a request and returns its one final outcome."""
+"""Request dispatcher: entry point of the request path."""
 
 import asyncio
 import dataclasses
@@ -27,21 +27,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drained:
-    """No request is in progress and none will be taken."""
+    """All requests have ended and new ones are refused."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainTimedOut:
-    """Requests are still in progress after the bound.
+    """Requests are still in progress after the timeout.
 
-    :ivar in_progress: how many.
+    :ivar in_progress: number of requests in progress.
     """
 
     in_progress: int
 
 
 class RequestDispatcher:
-    """Owner of all requests in progress in one daemon."""
+    """Handles all requests of one daemon."""
 
     def __init__(
         self,
@@ -52,13 +52,13 @@
         rng: random.Random,
         limits: DispatchLimits,
     ) -> None:
-        """Start without servers, peers and limits of services.
+        """Create a dispatcher without servers, peers and service limits.
 
-        :param daemon_id: this daemon.
-        :param failure_domain: its failure domain.
-        :param ports: what it speaks to.
-        :param rng: seeded source of chance.
-        :param limits: bounds.
+        :param daemon_id: id of this daemon.
+        :param failure_domain: failure domain of this daemon.
+        :param ports: external dependencies.
+        :param rng: random number generator.
+        :param limits: limits of the request path.
         """
         self._ports = ports
         self._admission = AdmissionController(limits.in_progress, rng)
@@ -71,24 +71,24 @@
     def set_servers(self, servers: tuple[HeldServer, ...]) -> None:
         """Replace the set of held servers.
 
-        Called at least once a second: the dispatcher also notices by it when the
-        process was frozen.
+        Must be called at least once a second: the intervals between calls
+        also reveal when the process was suspended.
 
-        :param servers: all servers held now.
+        :param servers: all servers currently held.
         """
         self._gate.tick()
         self._router.table.set_servers(servers, self._now_ms())
 
     def set_peers(self, peers: tuple[PeerView, ...]) -> None:
-        """Replace what is known of peers.
+        """Replace the views of peers.
 
-        :param peers: all other daemons of the region, also silent ones: a
-            retry may only run once each of them was asked.
+        :param peers: all other daemons of the region, including unreachable
+            ones, because a retry may only run after each of them was queried.
         """
         self._router.peer_table.set_peers(peers)
 
     def set_limits(self, limits: Mapping[str, ServiceLimits]) -> None:
-        """Take in the limits of a bundle.
+        """Replace the limits of services.
 
         :param limits: limits by service.
         """
@@ -96,19 +96,21 @@
         self._router.set_limits(limits)
 
     async def handle(self, request: Request) -> Outcome:
-        """Serve, forward or give up a request.
+        """Serve, forward or refuse a request.
 
-        A caller that goes away does not cancel what was begun: the slot and
-        the key stay counted until the call has truly ended.
+        Cancellation by the caller does not cancel the request: its slot and
+        idempotency key stay in use until the call has ended.
 
-        :param request: the request.
-        :returns: the one final outcome.
+        :param request: request to handle.
+        :returns: final outcome.
         """
         if self._draining:
             retry_after_ms = self._admission.retry_after_ms(request.service)
-            return turn_away(request, 'daemon is stopping', retry_after_ms)
+            return turn_away(request, 'daemon is shutting down', retry_after_ms)
         if request.attempt > 1 and not request.idempotent and not request.key:
-            return Rejected('a retry that is not idempotent needs a key')
+            return Rejected(
+                'retry of a non-idempotent request requires an idempotency key'
+            )
         task = asyncio.ensure_future(self._handle(request, self._now_ms()))
         self._in_progress.add(task)
         task.add_done_callback(self._in_progress.discard)
@@ -117,20 +119,20 @@
     def answer_recall(
         self, member: str, key: str, body_digest: bytes, asker: str
     ) -> RecallAnswer:
-        """Say what is known of a key, and remember the question.
+        """Answer a key lookup by another daemon and record the lookup.
 
         :param member: owner of the key.
         :param key: idempotency key.
         :param body_digest: digest of service, path and body.
-        :param asker: daemon that asks.
-        :returns: what is known here.
+        :param asker: id of the daemon that sent the lookup.
+        :returns: state of the key on this daemon.
         """
         return self._gate.answer_lookup(member, key, body_digest, asker)
 
     def spare_by_service(self) -> dict[str, int]:
         """Count free slots, for heartbeats.
 
-        :returns: count by service; all 0 while the daemon stops.
+        :returns: free slots by service; all 0 while the dispatcher drains.
         """
         table = self._router.table
         table.process_due(self._now_ms())
@@ -140,9 +142,9 @@
         }
 
     def busy_share_by_server(self) -> dict[str, float]:
-        """Tell how busy the service on each held server is now.
+        """Compute the slot utilization of each held server.
 
-        :returns: calls in flight as a share of slots, by server.
+        :returns: calls in flight as a fraction of the slots, by server.
         """
         return {
             server_id: state.in_flight / max(1, state.held.slots)
@@ -151,9 +153,9 @@
         }
 
     def expected_ms_by_service(self) -> dict[str, float]:
-        """Expect latencies here, for heartbeats.
+        """Estimate the latency of each service, for heartbeats.
 
-        :returns: milliseconds by service; 0 without a measurement.
+        :returns: latency by service, in milliseconds; 0 without measurements.
         """
         return {
             service: pool.latency_ms
@@ -161,10 +163,10 @@
         }
 
     async def drain(self, timeout_ms: int) -> Drained | DrainTimedOut:
-        """Take no more requests and wait for those in progress.
+        """Refuse new requests and wait for those in progress.
 
-        :param timeout_ms: longest wait, in milliseconds.
-        :returns: whether all ended.
+        :param timeout_ms: maximum time to wait, in milliseconds.
+        :returns: whether all requests have ended.
         """
         self._draining = True
         self._ports.time_line.note(
@@ -182,7 +184,7 @@
         require(
             remaining == 0,
             Invariant.graceful_stop,
-            f'{remaining} requests left after the drain',
+            f'{remaining} requests still admitted after the drain',
         )
         return Drained()
 
@@ -201,8 +203,8 @@
         decision = await self._gate.enter(request, daemon_ids)
         if not isinstance(decision, MayRun):
             return decision
-        # Stands if a fault in the daemon ends the attempt: it may have run.
-        outcome: Outcome = Unknown('fault in the daemon', 0)
+        # Recorded if an exception ends the attempt: it may have been executed.
+        outcome: Outcome = Unknown('internal error in the daemon', 0)
         try:
             outcome = await self._admit(request, start_ms)
         finally:
--- a/waxwingford/routing/_evidence.py
+++ b/waxwingford/routing/_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence that a request did not run: the only way to build a refusal."""
+"""Evidence that a request was not executed, required for each refusal."""
 
 import dataclasses
 
@@ -8,9 +8,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NeverSent:
-    """Nothing of the request left this daemon.
+    """This daemon did not send the request to any receiver.
 
-    :ivar reason: why not, for people.
+    :ivar reason: human-readable reason.
     """
 
     reason: str
@@ -18,10 +18,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportedNotExecuted:
-    """Every receiver of the request said that it did not run there.
+    """Each receiver of the request reported that it did not execute it.
 
-    :ivar receiver: backend server or peer that said so last.
-    :ivar reason: what it said.
+    :ivar receiver: backend server or peer that reported last.
+    :ivar reason: reason given by the receiver.
     """
 
     receiver: str
@@ -32,14 +32,14 @@
 
 
 def refuse(evidence: NotExecutedEvidence, retry_after_ms: int) -> Refused:
-    """Build a refusal from evidence.
+    """Build a refusal from evidence that the request was not executed.
 
-    A refusal without evidence would tell a caller to send a reservation again
-    that has run; one would notice a gift reserved twice.
+    Callers repeat refused requests, so a refusal without evidence could cause
+    a request to be executed twice.
 
-    :param evidence: why the request certainly did not run.
-    :param retry_after_ms: when to come back, in milliseconds.
-    :returns: the refusal.
+    :param evidence: evidence that the request was not executed.
+    :param retry_after_ms: delay before a retry, in milliseconds.
+    :returns: refusal.
     :raises BrokenInvariant: if there is no evidence.
     """
     require(
@@ -57,15 +57,15 @@
 def turn_away(
     request: Request, reason: str, retry_after_ms: int
 ) -> Refused | Unknown:
-    """Give an attempt up before anything was done about it.
+    """Decline an attempt before any processing.
 
-    This attempt did not run, but where it may be a retry of a non-idempotent
-    request an earlier one may have: to say "not run" would be untrue.
+    The outcome is unknown if the attempt may be a retry of a non-idempotent
+    request, because an earlier attempt may have been executed.
 
-    :param request: the request.
-    :param reason: for people.
-    :param retry_after_ms: when to come back, in milliseconds.
-    :returns: refused, or unknown for what may be a retry.
+    :param request: request to decline.
+    :param reason: human-readable reason.
+    :param retry_after_ms: delay before a retry, in milliseconds.
+    :returns: refusal, or an unknown outcome if this may be a retry.
     """
     may_be_retry = request.attempt != 1 and not request.hops
     if request.key and not request.idempotent and may_be_retry:
--- a/waxwingford/routing/_indexed_set.py
+++ b/waxwingford/routing/_indexed_set.py
@@ -1,29 +1,29 @@
-"""Set with random choice in constant time."""
+"""Set of strings with random sampling in constant time."""
 
 import random
 
 
 class IndexedSet:
-    """Names in no order; add, discard and choose each take constant time."""
+    """Unordered set; add, discard and sampling take constant time."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty set."""
         self._names: list[str] = []
         self._index_by_name: dict[str, int] = {}
 
     def add(self, name: str) -> None:
-        """Add a name; nothing happens if it is there.
+        """Add a name if absent.
 
-        :param name: what to add.
+        :param name: name to add.
         """
         if name not in self._index_by_name:
             self._index_by_name[name] = len(self._names)
             self._names.append(name)
 
     def discard(self, name: str) -> None:
-        """Remove a name; nothing happens if it is not there.
+        """Remove a name if present.
 
-        :param name: what to remove.
+        :param name: name to remove.
         """
         index = self._index_by_name.pop(name, None)
         if index is None:
@@ -34,10 +34,10 @@
             self._index_by_name[last] = index
 
     def sample_two(self, rng: random.Random) -> tuple[str, ...]:
-        """Draw two different names.
+        """Sample two distinct names.
 
-        :param rng: source of chance.
-        :returns: two names, or as many as there are.
+        :param rng: random number generator.
+        :returns: two names, or all names if there are fewer.
         """
         count = len(self._names)
         if count <= 2:
@@ -51,14 +51,14 @@
     def __len__(self) -> int:
         """Count the names.
 
-        :returns: the count.
+        :returns: number of names.
         """
         return len(self._names)
 
     def __contains__(self, name: str) -> bool:
-        """Say whether a name is there.
+        """Test for membership.
 
-        :param name: the name.
-        :returns: whether it is there.
+        :param name: name to look for.
+        :returns: whether the set contains the name.
         """
         return name in self._index_by_name
--- a/waxwingford/routing/_key_gate.py
+++ b/waxwingford/routing/_key_gate.py
@@ -1,4 +1,4 @@
-"""Gate of non-idempotent requests with a key: each runs at most once."""
+"""At-most-once execution of non-idempotent requests with a key."""
 
 import asyncio
 
@@ -46,15 +46,15 @@
 
 _MS_IN_S = 1000
 _SEPARATOR = b'\x00'
-#: When to come back after the key memory was full, in milliseconds.
+#: Retry delay when the key store is full, in milliseconds.
 FULL_RETRY_MS = 5000
 
 
 def body_digest(request: Request) -> bytes:
-    """Digest what a key stands for, so that another use of it shows.
+    """Compute the digest that detects reuse of a key for another request.
 
-    :param request: the request.
-    :returns: 16 bytes.
+    :param request: request with a key.
+    :returns: digest of service, path and body, 16 bytes.
     """
     digest = xxhash.xxh3_128()
     digest.update(request.service.encode())
@@ -66,7 +66,7 @@
 
 
 def entry_daemon(request_id: str) -> str:
-    """Read who gave a request its id.
+    """Extract the id of the entry daemon from a request id.
 
     :param request_id: ``<daemon id>/<incarnation>/<number>``.
     :returns: daemon id.
@@ -75,7 +75,7 @@
 
 
 class KeyGate:
-    """Decides whether a request with a key may run, and remembers its end."""
+    """Decides whether a request with a key may run and records its outcome."""
 
     def __init__(
         self,
@@ -84,12 +84,12 @@
         peers: PeerForwarder,
         clock: Clock,
     ) -> None:
-        """Start with an empty memory.
+        """Create a gate with an empty key store.
 
-        :param daemon_id: this daemon.
-        :param limits: bounds of time and memory.
-        :param peers: asks the other daemons.
-        :param clock: monotonic time.
+        :param daemon_id: id of this daemon.
+        :param limits: limits of the request path.
+        :param peers: client for key lookups at the other daemons.
+        :param clock: source of monotonic time.
         """
         self._daemon_id = daemon_id
         self._limits = limits
@@ -103,17 +103,17 @@
         self._lookups = 0
 
     def tick(self) -> None:
-        """Take in a sign of life of the process."""
+        """Record that the process is running, for stall detection."""
         self._stall_detector.tick(self._clock.monotonic_ms())
 
     async def enter(
         self, request: Request, daemon_ids: frozenset[str]
     ) -> MayRun | Outcome:
-        """Register an attempt and find out whether it may run.
+        """Register an attempt and decide whether it may run.
 
-        :param request: non-idempotent, with a key.
-        :param daemon_ids: all other daemons that must be asked.
-        :returns: permission to run, or the outcome.
+        :param request: non-idempotent request with a key.
+        :param daemon_ids: ids of all other daemons, to be queried for a retry.
+        :returns: permission to run, or the final outcome.
         """
         self.tick()
         max_wait_ms = self._stall_detector.max_wait_ms(
@@ -129,7 +129,9 @@
             case KeyExecuted(outcome=Answered() as outcome):
                 return outcome
             case KeyExecuted():
-                return Unknown('an attempt ran or may have', FULL_RETRY_MS)
+                return Unknown(
+                    'an earlier attempt may have been executed', FULL_RETRY_MS
+                )
             case KeyInProgress() | KeySuperseded():
                 return Unknown(
                     'another attempt is in progress', IN_PROGRESS_RETRY_MS
@@ -137,23 +139,23 @@
             case KeyBodyMismatch():
                 return BODY_MISMATCH
             case KeyStoreFull():
-                return turn_away(request, 'key memory is full', FULL_RETRY_MS)
+                return turn_away(request, 'key store is full', FULL_RETRY_MS)
 
     def finish(self, request: Request, outcome: Outcome) -> None:
-        """Remember how an attempt that was let run ended.
+        """Record the outcome of an attempt that was permitted to run.
 
-        :param request: the request.
-        :param outcome: its outcome.
+        :param request: request that ended.
+        :param outcome: outcome of the request.
         """
         self._key_store.finish(_key_id(request), outcome, self._now_ms())
 
     def record_late_outcome(
         self, request: Request, outcome: CallOutcome
     ) -> None:
-        """Remember an end that came after the caller's final answer.
+        """Record an outcome that arrived after the caller was answered.
 
-        :param request: the request.
-        :param outcome: what came late.
+        :param request: request that ended.
+        :param outcome: late outcome of the call.
         """
         if request.idempotent or not request.key:
             return
@@ -170,13 +172,13 @@
     def answer_lookup(
         self, member: str, key: str, digest: bytes, requester: str
     ) -> RecallAnswer:
-        """Answer another daemon's question and remember the key.
+        """Answer a key lookup by another daemon and record the lookup.
 
         :param member: owner of the key.
         :param key: idempotency key.
         :param digest: digest of service, path and body.
-        :param requester: daemon that asks.
-        :returns: what is known here.
+        :param requester: id of the daemon that sent the lookup.
+        :returns: state of the key on this daemon.
         """
         self.tick()
         now_ms = self._now_ms()
@@ -189,10 +191,9 @@
         return RecallAnswer(state, self._uptime_ms(), outcome)
 
     def _counts_as_first(self, request: Request) -> bool:
-        # A daemon that started while the first attempt was under way has lost
-        # the questions that its predecessor was asked: the attempt could run
-        # beside a retry elsewhere.  A later start is no danger, the questions
-        # came to this process then.
+        # A daemon that started while the attempt was in transit has lost the
+        # lookups that its predecessor answered, so a retry may be running
+        # elsewhere.  It handles the first attempt like a retry.
         old_enough = self._uptime_ms() >= self._limits.delivery_ms
         return request.attempt == 1 and old_enough
 
@@ -211,18 +212,18 @@
     ) -> MayRun | Outcome:
         key_id = _key_id(request)
         decision: MayRun | Answered | Unknown | Rejected = Unknown(
-            'too many retries are being looked up', UNREACHABLE_RETRY_MS
+            'too many key lookups in progress', UNREACHABLE_RETRY_MS
         )
         try:
             decision = await self._ask_and_decide(
                 request, daemon_ids, max_wait_ms
             )
         finally:
-            # Also after a cancellation: the key must not stay in progress.
+            # Also on cancellation: the key must not stay in progress.
             match decision:
                 case MayRun() if not self._key_store.start_retry(key_id):
                     decision = Unknown(
-                        'another retry goes first', IN_PROGRESS_RETRY_MS
+                        'a concurrent retry has priority', IN_PROGRESS_RETRY_MS
                     )
                     self._key_store.abandon_lookup(key_id, self._now_ms())
                 case Answered():
@@ -242,12 +243,12 @@
         )
         if age_ms > limits.key_memory_ms:
             return Unknown(
-                'too long ago: what ran is no longer remembered',
+                'first attempt may be older than the retention period of keys',
                 limits.key_memory_ms,
             )
         if self._lookups >= limits.max_lookups:
             return Unknown(
-                'too many retries are being looked up', UNREACHABLE_RETRY_MS
+                'too many key lookups in progress', UNREACHABLE_RETRY_MS
             )
         answers = dict.fromkeys(
             daemon_ids, RecallAnswer(RecallState.unreachable, 0)
@@ -272,8 +273,8 @@
             self._lookups -= 1
 
     def _now_ms(self) -> int:
-        # Keys do not age during a stall: a request that waited for its end
-        # must still meet the records that stood when it came.
+        # Keys do not expire during a stall, because a request that arrived
+        # before or during it must still find their records.
         return self._stall_detector.active_ms(self._clock.monotonic_ms())
 
     def _uptime_ms(self) -> int:
--- a/waxwingford/routing/_key_messages.py
+++ b/waxwingford/routing/_key_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the key memory: who asks, and what may be done."""
+"""Messages of the key store: requesters of lookups and decisions."""
 
 import dataclasses
 from typing import NamedTuple
@@ -7,10 +7,10 @@
 
 
 class KeyId(NamedTuple):
-    """An idempotency key; members cannot see each other's.
+    """Idempotency key, scoped to a member.
 
     :ivar member: organisation of the caller.
-    :ivar key: key as the caller gave it.
+    :ivar key: key given by the caller.
     """
 
     member: str
@@ -18,10 +18,11 @@
 
 
 class Requester(NamedTuple):
-    """Daemon that asks about a key.
+    """Daemon that looks up a key.
 
-    :ivar daemon_id: its id.
-    :ivar has_priority: whether its retry goes before one in progress here.
+    :ivar daemon_id: id of the daemon.
+    :ivar has_priority: whether its retry takes precedence over one in progress
+        on this daemon.
     """
 
     daemon_id: str
@@ -30,29 +31,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MayRun:
-    """Nothing speaks against running the request."""
+    """The request may run."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MustLookUp:
-    """All other daemons must be asked before the request may run."""
+    """All other daemons must be queried before the request may run."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeySuperseded:
-    """A later attempt was taken elsewhere; this one must not run any more."""
+    """Another daemon handles a later attempt; this one must not run."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyInProgress:
-    """Another attempt is in progress here."""
+    """Another attempt is in progress on this daemon."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyExecuted:
-    """An attempt ran, or may have.
+    """An attempt was executed or may have been.
 
-    :ivar outcome: its answer, if there was one and it is still kept.
+    :ivar outcome: answer to the attempt, if it is still cached.
     """
 
     outcome: Answered | None
@@ -60,12 +61,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyBodyMismatch:
-    """The key was used with another body."""
+    """The key was used with a different service, path or body."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyStoreFull:
-    """No room for the key; forgetting another one could run that one twice."""
+    """The key store is full; evicting a key could cause a second execution."""
 
 
 KeyDecision = (
--- a/waxwingford/routing/_key_store.py
+++ b/waxwingford/routing/_key_store.py
@@ -1,4 +1,4 @@
-"""Memory of idempotency keys in one daemon: bounded, expiring, per member."""
+"""Store of idempotency keys, bounded per member, with expiry."""
 
 import collections
 import dataclasses
@@ -30,11 +30,13 @@
 
 
 class _KeyState(enum.Enum):
-    queried = 'another daemon or a refused retry asked about it; not run here'
-    looking_up = 'a retry here asks the other daemons'
-    running = 'it may be running'
-    answered = 'it ran and its answer came'
-    unknown = 'it may have run'
+    queried = (
+        'looked up by another daemon or a declined retry; not executed here'
+    )
+    looking_up = 'a retry on this daemon queries the other daemons'
+    running = 'an attempt may be running'
+    answered = 'an attempt was executed and its answer received'
+    unknown = 'an attempt may have been executed'
 
 
 @dataclasses.dataclass(slots=True)
@@ -48,12 +50,12 @@
 
 
 class KeyStore:
-    """Keys of non-idempotent requests that this daemon has to do with."""
+    """Idempotency keys received by this daemon or looked up by others."""
 
     def __init__(self, limits: DispatchLimits) -> None:
-        """Start empty.
+        """Create an empty store.
 
-        :param limits: bounds of keys, bytes and time.
+        :param limits: limits of the request path.
         """
         self._limits = limits
         self._record_by_id: dict[KeyId, _KeyRecord] = {}
@@ -66,13 +68,13 @@
     def begin(
         self, key_id: KeyId, digest: bytes, is_first: bool, now_ms: int
     ) -> KeyDecision:
-        """Register an attempt, before anything else is done about it.
+        """Register an attempt before any other processing.
 
         :param key_id: member and key.
-        :param digest: digest of path and body.
-        :param is_first: whether it counts as the first attempt.
+        :param digest: digest of service, path and body.
+        :param is_first: whether the attempt is handled as the first one.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: what may be done.
+        :returns: decision on the attempt.
         """
         self._expire(now_ms)
         record = self._record_by_id.get(key_id)
@@ -82,7 +84,7 @@
             return KeyBodyMismatch()
         match record.state:
             case _KeyState.queried if is_first:
-                # Its caller may have been told that the retry was not run.
+                # Its caller may have been told that the retry was refused.
                 return KeySuperseded()
             case _KeyState.queried:
                 record.digest = digest
@@ -97,13 +99,13 @@
     def begin_forwarded(
         self, key_id: KeyId, digest: bytes, entry_daemon: str, now_ms: int
     ) -> KeyDecision:
-        """Register an attempt that another daemon's registration covers.
+        """Register an attempt that the entry daemon has already registered.
 
         :param key_id: member and key.
-        :param digest: digest of path and body.
-        :param entry_daemon: daemon that registered it first.
+        :param digest: digest of service, path and body.
+        :param entry_daemon: id of the entry daemon.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: what may be done.
+        :returns: decision on the attempt.
         """
         decision = self.begin(key_id, digest, True, now_ms)
         if not isinstance(decision, KeySuperseded):
@@ -111,22 +113,23 @@
         record = self._record_by_id[key_id]
         if record.requester != entry_daemon:
             return decision
-        # The question came from the retry that is forwarded now.
+        # The lookup was sent for the retry that is being forwarded.
         record.digest = digest
         record.state = _KeyState.running
         return MayRun()
 
     def start_retry(self, key_id: KeyId) -> bool:
-        """Let a retry run after all daemons said that no attempt did.
+        """Start a retry after no daemon reported an execution.
 
         :param key_id: member and key.
-        :returns: false if another daemon's concurrent retry goes first.
+        :returns: whether the retry may run; false if a concurrent retry on
+            another daemon has priority.
         """
         record = self._record_by_id[key_id]
         require(
             record.state is _KeyState.looking_up,
             Invariant.at_most_once,
-            f'{key_id.member}/{key_id.key}: to run from {record.state.name}',
+            f'{key_id.member}/{key_id.key}: retry from {record.state.name}',
         )
         if record.yielded:
             return False
@@ -136,17 +139,16 @@
     def answer_query(
         self, key_id: KeyId, digest: bytes, requester: Requester, now_ms: int
     ) -> tuple[RecallState, Answered | None]:
-        """Answer another daemon's question and remember the key.
+        """Answer a lookup by another daemon and record the key.
 
-        The key is kept even if it was never seen: a delayed first attempt
-        that arrives later must not run beside the retry elsewhere.
+        Unknown keys are recorded too, so that a delayed first attempt does not
+        run concurrently with the retry on the other daemon.
 
         :param key_id: member and key.
-        :param digest: digest of path and body there.
-        :param requester: who asks, and whether it goes first when both have a
-            retry in progress.
+        :param digest: digest of service, path and body of the retry.
+        :param requester: daemon that sent the lookup.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: what is known, and the answer if it is kept.
+        :returns: state of the key, and the answer if it is still cached.
         """
         self._expire(now_ms)
         record = self._record_by_id.get(key_id)
@@ -170,10 +172,11 @@
                 return RecallState.unknown, None
 
     def finish(self, key_id: KeyId, outcome: Outcome, now_ms: int) -> None:
-        """Record how an attempt that was begun here ended.
+        """Record the outcome of an attempt that was registered here.
 
         :param key_id: member and key.
-        :param outcome: its outcome; refused and rejected ones did not run.
+        :param outcome: outcome of the attempt; a refused or rejected one was
+            not executed.
         :param now_ms: monotonic time, in milliseconds.
         """
         record = self._record_by_id[key_id]
@@ -189,10 +192,10 @@
         self._schedule_expiry(key_id, record, now_ms)
 
     def finish_late(self, key_id: KeyId, outcome: Outcome, now_ms: int) -> None:
-        """Record an end that came after the attempt was given up.
+        """Record an outcome that arrived after the attempt was abandoned.
 
         :param key_id: member and key.
-        :param outcome: how it ended.
+        :param outcome: late outcome of the attempt.
         :param now_ms: monotonic time, in milliseconds.
         """
         record = self._record_by_id.get(key_id)
@@ -200,7 +203,7 @@
             self.finish(key_id, outcome, now_ms)
 
     def abandon_lookup(self, key_id: KeyId, now_ms: int) -> None:
-        """End a retry that was not let run.
+        """End the lookup of a retry that may not run.
 
         :param key_id: member and key.
         :param now_ms: monotonic time, in milliseconds.
@@ -220,7 +223,7 @@
         self, key_id: KeyId, requester: Requester, now_ms: int
     ) -> RecallState:
         if self._is_full(key_id.member):
-            # Without a record a delayed first attempt could still run here.
+            # Without a record, a delayed first attempt could still run here.
             return RecallState.unknown
         record = _KeyRecord(b'', _KeyState.queried, was_queried=True)
         record.requester = requester.daemon_id
--- a/waxwingford/routing/_limits.py
+++ b/waxwingford/routing/_limits.py
@@ -4,19 +4,22 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-#: Bytes of answers kept for replay: an eighth of a daemon's memory.
+#: Default size of the cache of answers, in bytes.
 ANSWER_BYTES = 33_554_432
 
 
 class ServiceLimits(NamedTuple):
-    """Limits of one service, from the bundle.
-
-    :ivar target_ms: latency that the service should keep, in milliseconds.
-    :ivar max_in_progress: requests in progress in this daemon at most.
-    :ivar most_by_member: the same for each member; others have no such limit.
-    :ivar weight_by_member: weights of the members that may use the service.
-    :ivar retry_share: retries as a share of requests, 0 to 1.
-    :ivar may_spill: whether requests may go to peers.
+    """Limits of one service, configured in the bundle.
+
+    :ivar target_ms: target latency of the service, in milliseconds.
+    :ivar max_in_progress: maximum number of requests in progress on this
+        daemon.
+    :ivar most_by_member: maximum number of requests in progress by member;
+        members without an entry are not limited.
+    :ivar weight_by_member: fair-share weights of the members that may use the
+        service.
+    :ivar retry_share: retries as a fraction of requests, 0 to 1.
+    :ivar may_spill: whether requests may be forwarded to peers.
     """
 
     target_ms: float = 100.0
@@ -28,22 +31,26 @@
 
 
 class DispatchLimits(NamedTuple):
-    """Bounds of the request path of one daemon.
-
-    :ivar in_progress: requests in progress at most, over all services.
-    :ivar max_lookups: recalls in progress at most; each asks every daemon.
-    :ivar key_memory_ms: how long an idempotency key is remembered after its
-        request ended, in milliseconds.
-    :ivar max_keys_per_member: keys remembered at most for one member.
-    :ivar answer_bytes: bytes of answers kept for replay at most.
-    :ivar delivery_ms: longest time that a first attempt may be under way
-        between caller and daemon, in milliseconds; 0 where nothing between
-        them takes a request and passes it on later: what comes over a
-        connection that this process accepted was sent after its start.
-    :ivar lookup_timeout_ms: time for asking all daemons, in milliseconds.
-    :ivar min_time_left_ms: a request with less time left is not sent.
-    :ivar overrun_ms: time by which a server may overrun a deadline before
-        its slot counts as free, in milliseconds.
+    """Limits of the request path of one daemon.
+
+    :ivar in_progress: maximum number of requests in progress over all
+        services.
+    :ivar max_lookups: maximum number of key lookups in progress; each one
+        queries every daemon.
+    :ivar key_memory_ms: retention period of an idempotency key after its
+        request has ended, in milliseconds.
+    :ivar max_keys_per_member: maximum number of keys stored per member.
+    :ivar answer_bytes: maximum size of the cache of answers, in bytes.
+    :ivar delivery_ms: maximum transit time of a first attempt from caller to
+        daemon, in milliseconds; 0 if no intermediary stores and forwards
+        requests, since a request on a connection that this process accepted
+        was sent after the process started.
+    :ivar lookup_timeout_ms: timeout of a key lookup at all daemons, in
+        milliseconds.
+    :ivar min_time_left_ms: minimum time before the deadline for a request to
+        be sent, in milliseconds.
+    :ivar overrun_ms: maximum time by which a server overruns a deadline, in
+        milliseconds; an abandoned slot becomes free after it.
     """
 
     in_progress: int = 1024
--- a/waxwingford/routing/_member_shares.py
+++ b/waxwingford/routing/_member_shares.py
@@ -1,14 +1,14 @@
-"""Fair shares of members in what is in progress."""
+"""Weighted fair shares of members in the requests in progress."""
 
 import dataclasses
 import math
 from collections.abc import Mapping
 
-#: A member's peak of use falls by half in this time, in milliseconds.
+#: Half-life of the recorded peak usage of a member, in milliseconds.
 PEAK_HALF_LIFE_MS = 10_000
-#: Part of a share that stays free beyond what its member used lately.
+#: Fraction of a share reserved in addition to the recent peak usage.
 RESERVED_FRACTION = 0.1
-#: A member whose peak has fallen below this is idle.
+#: Peak usage, in requests, below which a member is idle.
 IDLE_PEAK = 0.05
 
 
@@ -29,25 +29,26 @@
 
 
 class MemberShares:
-    """Weighted shares; what a member leaves unused others may borrow.
+    """Weighted shares whose unused capacity other members may borrow.
 
-    What is borrowed cannot be taken back before it ends, so a part of each
-    share stays free, and a member that lately used more keeps more.
+    Requests in progress are not preempted, so a part of each share stays
+    reserved in proportion to the recent usage of its member.
     """
 
     def __init__(self, *, reserves_for_idle: bool) -> None:
-        """Start without members.
+        """Create shares without members.
 
-        :param reserves_for_idle: whether a part also stays free for members that
-            used nothing lately.
+        :param reserves_for_idle: whether capacity is also reserved for idle
+            members.
         """
         self._reserves_for_idle = reserves_for_idle
         self._usage_by_member: dict[str, _MemberUsage] = {}
 
     def set_weights(self, weight_by_member: Mapping[str, float]) -> None:
-        """Change the weights; what is in use stays counted.
+        """Replace the weights; requests in progress stay counted.
 
-        :param weight_by_member: positive weights; unknown members have 1.
+        :param weight_by_member: positive weights; members without an entry
+            have weight 1.
         """
         for member, usage in self._usage_by_member.items():
             usage.weight = weight_by_member.get(member, 1.0)
@@ -55,12 +56,12 @@
             self._usage_by_member.setdefault(member, _MemberUsage(weight))
 
     def member_limit(self, member: str, capacity: float, now_ms: int) -> float:
-        """Compute how many requests the member may have in progress.
+        """Compute the current concurrency limit of a member.
 
-        :param member: who asks.
-        :param capacity: requests in progress allowed for all.
+        :param member: member that sends a request.
+        :param capacity: requests in progress allowed over all members.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: the most that it may have in use now.
+        :returns: maximum number of requests in progress of the member.
         """
         own = self._usage_by_member.setdefault(member, _MemberUsage(1.0))
         own.record_demand(own.in_progress + 1, now_ms)
@@ -73,25 +74,25 @@
         return max(capacity - reserved, capacity * own.weight / weights)
 
     def in_progress(self, member: str) -> int:
-        """Count what a member has in progress.
+        """Count the requests in progress of a member.
 
-        :param member: which member.
-        :returns: the count.
+        :param member: name of the member.
+        :returns: number of requests in progress.
         """
         usage = self._usage_by_member.get(member)
         return usage.in_progress if usage else 0
 
     def acquire(self, member: str) -> None:
-        """Count one more in progress.
+        """Count the start of a request.
 
-        :param member: whose.
+        :param member: member that sent the request.
         """
         self._usage_by_member[member].in_progress += 1
 
     def release(self, member: str) -> None:
-        """Count one less in progress.
+        """Count the end of a request.
 
-        :param member: whose.
+        :param member: member that sent the request.
         """
         self._usage_by_member[member].in_progress -= 1
 
@@ -100,5 +101,5 @@
         if peak < IDLE_PEAK and not self._reserves_for_idle:
             return 0
         demand = peak + RESERVED_FRACTION * share
-        # Whole requests only: half a slot kept free is one that nobody can use.
+        # Round down: a reserved fraction of a slot would block a whole slot.
         return max(usage.in_progress, int(min(share, demand)))
--- a/waxwingford/routing/_messages.py
+++ b/waxwingford/routing/_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages of the request path: requests and tagged outcomes."""
+"""Messages of the request path: requests, outcomes and views of peers."""
 
 import dataclasses
 import enum
@@ -6,7 +6,7 @@
 
 
 class Urgency(enum.IntEnum):
-    """How much a request matters when some must be shed; lower goes first."""
+    """Urgency of a request; the least urgent are shed first."""
 
     background = 0
     normal = 1
@@ -15,21 +15,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A caller's request inside the system.
+    """Request of a caller.
 
-    :ivar request_id: unique, given by the entry daemon.
+    :ivar request_id: unique id assigned by the entry daemon.
     :ivar member: organisation of the caller.
     :ivar service: service name.
     :ivar path: path below the service.
-    :ivar body: whole body.
-    :ivar urgency: for shedding.
-    :ivar idempotent: whether it may run more than once.
-    :ivar key: idempotency key of the caller, empty without one.
-    :ivar attempt: the caller's attempt number; 0 if it gave none.
-    :ivar deadline_ms: time left when it arrived here, in milliseconds.
-    :ivar hops: times it was forwarded between daemons.
-    :ivar age_ms: how long ago the caller says that it sent the first attempt,
-        in milliseconds; -1 if it did not say.
+    :ivar body: complete body.
+    :ivar urgency: urgency, for load shedding.
+    :ivar idempotent: whether the request may be executed more than once.
+    :ivar key: idempotency key given by the caller; empty without one.
+    :ivar attempt: attempt number given by the caller; 0 without one.
+    :ivar deadline_ms: time left on arrival at this daemon, in milliseconds.
+    :ivar hops: number of times the request was forwarded between daemons.
+    :ivar age_ms: time since the first attempt as stated by the caller, in
+        milliseconds; -1 if not stated.
     """
 
     request_id: str
@@ -48,12 +48,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """The whole answer of a backend server.
+    """Complete answer of a backend server.
 
     :ivar status: HTTP status.
-    :ivar content_type: of the body.
-    :ivar body: whole body.
-    :ivar server_id: who answered.
+    :ivar content_type: media type of the body.
+    :ivar body: complete body.
+    :ivar server_id: id of the backend server that answered.
     """
 
     status: int
@@ -64,10 +64,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Certainly not run; final at once.
+    """Final outcome: the request was not executed.
 
-    :ivar reason: for people.
-    :ivar retry_after_ms: when to come back, in milliseconds.
+    :ivar reason: human-readable reason.
+    :ivar retry_after_ms: delay before a retry, in milliseconds.
     """
 
     reason: str
@@ -76,10 +76,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """It may have run; final at once.
+    """Final outcome: the request may have been executed.
 
-    :ivar reason: for people.
-    :ivar retry_after_ms: when asking again may find more, in milliseconds.
+    :ivar reason: human-readable reason.
+    :ivar retry_after_ms: delay before a retry, in milliseconds.
     """
 
     reason: str
@@ -88,9 +88,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """The request itself is wrong; it did not run and never will.
+    """Final outcome: the request is invalid and was not executed.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable reason.
     :ivar status: HTTP status, 400 to 499.
     """
 
@@ -102,19 +102,21 @@
 
 
 class HeldServer(NamedTuple):
-    """A backend server whose control lease this daemon holds now.
+    """Backend server whose control lease this daemon holds.
 
-    :ivar server_id: its name.
-    :ivar rack: its rack.
-    :ivar service: service on it.
-    :ivar host: IP number.
+    :ivar server_id: id of the server.
+    :ivar rack: rack of the server.
+    :ivar service: service that the server runs.
+    :ivar host: IP address.
     :ivar port: TCP port.
-    :ivar slots: requests at once at most.
-    :ivar connections: TCP connections at most.
-    :ivar predicted_ms: latency that the colocation policy expects there.
-    :ivar leaving: gets no new request.
-    :ivar lease_until_ms: monotonic time at which the lease ends.
-    :ivar boot_id: boot of the server.
+    :ivar slots: maximum number of concurrent requests.
+    :ivar connections: maximum number of TCP connections.
+    :ivar predicted_ms: latency predicted by the colocation policy, in
+        milliseconds.
+    :ivar leaving: whether the server drains and gets no new requests.
+    :ivar lease_until_ms: monotonic time at which the lease expires, in
+        milliseconds.
+    :ivar boot_id: id of the current boot of the server.
     """
 
     server_id: str
@@ -131,14 +133,14 @@
 
 
 class PeerView(NamedTuple):
-    """A peer daemon as last heard of.
-
-    :ivar daemon_id: its name.
-    :ivar failure_domain: its failure domain.
-    :ivar alive: whether a heartbeat came lately (a hint).
-    :ivar spare_by_service: free slots by service when it last spoke.
-    :ivar expected_ms_by_service: its latency by service, in milliseconds.
-    :ivar distance_ms: round trip to it, in milliseconds.
+    """State of a peer daemon as of its last heartbeat.
+
+    :ivar daemon_id: id of the peer.
+    :ivar failure_domain: failure domain of the peer.
+    :ivar alive: whether heartbeats arrive; a hint only.
+    :ivar spare_by_service: free slots by service.
+    :ivar expected_ms_by_service: expected latency by service, in milliseconds.
+    :ivar distance_ms: round-trip time to the peer, in milliseconds.
     """
 
     daemon_id: str
@@ -150,7 +152,7 @@
 
 
 class RecallState(enum.StrEnum):
-    """What a daemon knows of an idempotency key."""
+    """State of an idempotency key on one daemon."""
 
     never_seen = 'never_seen'
     running = 'running'
@@ -163,13 +165,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecallAnswer:
-    """Answer of one daemon about a key.
+    """Answer of one daemon to a key lookup.
 
-    :ivar state: what it knows; after the question it remembers the key, so
-        that a first attempt that was under way cannot run there any more.
-    :ivar up_ms: how long that daemon has been up, in milliseconds: one that
-        started after the first attempt cannot speak for its predecessor.
-    :ivar outcome: the outcome when state is ``answered``.
+    The daemon records the lookup, so that a first attempt that arrives later
+    does not run there.
+
+    :ivar state: state of the key.
+    :ivar up_ms: uptime of the daemon, in milliseconds; a daemon that started
+        after the first attempt does not know what its predecessor executed.
+    :ivar outcome: cached answer if the state is ``answered``.
     """
 
     state: RecallState
--- a/waxwingford/routing/_peer_table.py
+++ b/waxwingford/routing/_peer_table.py
@@ -1,4 +1,4 @@
-"""Spill-over: which peer gets a request that finds no room here."""
+"""Selection of the peer that a request is forwarded to."""
 
 import collections
 import random
@@ -15,17 +15,17 @@
 
 
 class PeerTable:
-    """Peers with room, by service, as last heard of.
+    """Peers with free slots, by service, as of their last heartbeats.
 
-    The view of a peer is as old as its last heartbeat, so what is forwarded
-    since then is counted against it.
+    Requests forwarded since the last heartbeat of a peer are subtracted from
+    its free slots.
     """
 
     def __init__(self, failure_domain: str, rng: random.Random) -> None:
-        """Start without peers.
+        """Create a table without peers.
 
-        :param failure_domain: this daemon's own.
-        :param rng: seeded source of chance.
+        :param failure_domain: failure domain of this daemon.
+        :param rng: random number generator.
         """
         self._failure_domain = failure_domain
         self._rng = rng
@@ -37,9 +37,9 @@
         self._by_service: dict[str, _Candidates] = {}
 
     def set_peers(self, peers: Iterable[PeerView]) -> None:
-        """Replace what is known of peers.
+        """Replace the views of peers after a round of heartbeats.
 
-        :param peers: all peers, once for each round of heartbeats.
+        :param peers: all peers.
         """
         self._peer_by_id = {peer.daemon_id: peer for peer in peers}
         self._free_slots = {}
@@ -49,21 +49,23 @@
             self._add(peer)
 
     def daemon_ids(self) -> frozenset[str]:
-        """List all peers, reachable or not.
+        """List the ids of all peers, reachable or not.
 
-        :returns: their ids.
+        :returns: daemon ids.
         """
         return frozenset(self._peer_by_id)
 
     def choose(
         self, service: str, time_left_ms: float, tried: frozenset[str]
     ) -> str | None:
-        """Choose the better of two random peers with room, own domain first.
+        """Choose the better of two random peers with free slots.
 
-        :param service: which service.
-        :param time_left_ms: time left for the request, in milliseconds.
-        :param tried: peers that the request already went to.
-        :returns: daemon id; nothing if no peer is worth it.
+        Peers in the failure domain of this daemon are preferred.
+
+        :param service: requested service.
+        :param time_left_ms: time left until the deadline, in milliseconds.
+        :param tried: receivers that the request was already sent to.
+        :returns: daemon id; None if no peer can answer in time.
         """
         candidates = self._by_service.get(service)
         if candidates is None:
@@ -77,10 +79,10 @@
         return None
 
     def record_forwarded(self, daemon_id: str, service: str) -> None:
-        """Count a request against a peer's spare slots.
+        """Subtract a forwarded request from the free slots of a peer.
 
-        :param daemon_id: which peer.
-        :param service: which service.
+        :param daemon_id: id of the peer.
+        :param service: requested service.
         """
         free_slots = self._free_slots.get((daemon_id, service), 0)
         if free_slots <= 1:
@@ -90,10 +92,10 @@
             self._free_slots_by_service[service] -= 1
 
     def exclude(self, daemon_id: str, service: str) -> None:
-        """Leave a peer out for a service until it is heard of again.
+        """Exclude a peer for a service until the next update.
 
-        :param daemon_id: which peer.
-        :param service: which service.
+        :param daemon_id: id of the peer.
+        :param service: service for which the peer is excluded.
         """
         free_slots = self._free_slots.pop((daemon_id, service), 0)
         self._free_slots_by_service[service] -= free_slots
@@ -102,10 +104,10 @@
             group.discard(daemon_id)
 
     def free_slots(self, service: str) -> int:
-        """Count free slots of all peers, as last heard of.
+        """Count the free slots of all peers.
 
-        :param service: which service.
-        :returns: the count.
+        :param service: service name.
+        :returns: number of free slots.
         """
         return self._free_slots_by_service[service]
 
--- a/waxwingford/routing/_ports.py
+++ b/waxwingford/routing/_ports.py
@@ -1,4 +1,4 @@
-"""What the request path needs of other parts: peers and metrics."""
+"""Interfaces that the request path requires: peers and metrics."""
 
 from typing import Protocol
 
@@ -6,54 +6,54 @@
 
 
 class PeerForwarder(Protocol):
-    """Hands requests and questions to peer daemons."""
+    """Client for the peer daemons."""
 
     async def forward(
         self, peer_id: str, request: Request, timeout_ms: int
     ) -> Outcome:
-        """Hand a request to a peer, which serves or refuses it.
+        """Forward a request to a peer, which serves or refuses it.
 
-        A refusal may only be returned if the peer said so or certainly
-        nothing was sent; everything else is unknown.  The implementation
-        adds one to ``hops``.
+        Implementations increment ``hops``.  They return a refusal only if the
+        peer refused the request or nothing was sent, and an unknown outcome
+        for any other failure.
 
-        :param peer_id: which peer.
-        :param request: the request with the time that is left.
-        :param timeout_ms: longest wait, in milliseconds.
-        :returns: tagged outcome.
+        :param peer_id: id of the peer.
+        :param request: request whose deadline is the time left.
+        :param timeout_ms: maximum time to wait, in milliseconds.
+        :returns: outcome of the request.
         """
         ...
 
     async def recall_all(
         self, member: str, key: str, body_digest: bytes
     ) -> dict[str, RecallAnswer]:
-        """Ask every other daemon of the region about a key.
+        """Look up a key on every other daemon of the region.
 
         :param member: owner of the key.
         :param key: idempotency key.
         :param body_digest: digest of service, path and body.
-        :returns: one answer for each daemon, ``unreachable`` included.
+        :returns: answer by daemon id; ``unreachable`` for failed lookups.
         """
         ...
 
 
 class RequestMetrics(Protocol):
-    """Where the request path counts; ``metrics.Metrics`` fits."""
+    """Sink for metrics, implemented by ``metrics.Metrics``."""
 
     def count(self, name: str, by: int = 1, **labels: str) -> None:
-        """Add to a counter.
+        """Increment a counter.
 
-        :param name: counter, ends in ``_total``.
-        :param by: how much.
+        :param name: name of the counter, ending in ``_total``.
+        :param by: increment.
         :param labels: label values by name.
         """
         ...
 
     def latency(self, name: str, elapsed_ms: float, **labels: str) -> None:
-        """Record a latency.
+        """Record a latency in a histogram.
 
-        :param name: histogram.
-        :param elapsed_ms: milliseconds.
+        :param name: name of the histogram.
+        :param elapsed_ms: latency, in milliseconds.
         :param labels: label values by name.
         """
         ...
--- a/waxwingford/routing/_retry_budget.py
+++ b/waxwingford/routing/_retry_budget.py
@@ -1,38 +1,40 @@
-"""Retry budget: retries are a share of traffic, so they cannot multiply it."""
+"""Retry budget, which limits retries to a fraction of the traffic."""
 
-#: Retries that each first request pays for.
+#: Tokens deposited per first attempt; a retry costs one token.
 RETRY_SHARE = 0.1
-#: Retries that may be saved up.
+#: Maximum number of tokens in the budget.
 MAX_TOKENS = 50.0
 
 
 class RetryBudget:
-    """Token bucket that requests fill and retries empty.
+    """Token bucket that first attempts fill and retries empty.
 
-    With a fixed number of retries for each request, an overload multiplies
-    itself: one would notice load at the servers go up as answers go down.
+    Limiting retries by traffic prevents the retry storms that a fixed number
+    of retries per request causes under overload.
+
+    :ivar share: tokens deposited per first attempt.
     """
 
     def __init__(
         self, share: float = RETRY_SHARE, max_tokens: float = MAX_TOKENS
     ) -> None:
-        """Start with a tenth of what may be saved.
+        """Create a budget filled to a tenth of its maximum.
 
-        :param share: retries that each request pays for.
-        :param max_tokens: retries saved at most.
+        :param share: tokens deposited per first attempt.
+        :param max_tokens: maximum number of tokens.
         """
         self.share = share
         self._max_tokens = max_tokens
         self._tokens = max_tokens / 10
 
     def deposit(self) -> None:
-        """Count a first request."""
+        """Add the tokens of a first attempt."""
         self._tokens = min(self._max_tokens, self._tokens + self.share)
 
     def try_withdraw(self) -> bool:
-        """Pay for a retry.
+        """Take the token for a retry, if there is one.
 
-        :returns: whether the budget allows it.
+        :returns: whether the retry is allowed.
         """
         if self._tokens < 1:
             return False
--- a/waxwingford/routing/_retry_decision.py
+++ b/waxwingford/routing/_retry_decision.py
@@ -1,4 +1,4 @@
-"""Decision of a retry: may it run, given what all daemons know of its key."""
+"""Decision whether a retry may run, from the key lookups at all daemons."""
 
 from collections.abc import Mapping
 from http import HTTPStatus
@@ -13,33 +13,34 @@
     Unknown,
 )
 
-#: When to ask again about an attempt that is in progress, in milliseconds.
+#: Retry delay while another attempt is in progress, in milliseconds.
 IN_PROGRESS_RETRY_MS = 200
-#: When to ask again after a daemon could not be asked, in milliseconds.
+#: Retry delay after a daemon was unreachable, in milliseconds.
 UNREACHABLE_RETRY_MS = 2000
-#: Outcome of a key that was used with another body.
+#: Outcome of a request whose key was used for a different request.
 BODY_MISMATCH = Rejected(
-    'key was used with another body', HTTPStatus.UNPROCESSABLE_ENTITY
+    'idempotency key was used for a different request',
+    HTTPStatus.UNPROCESSABLE_ENTITY,
 )
 
 
 def first_attempt_age_ms(
-    request: Request, key_memory_ms: int, under_way_ms: int
+    request: Request, key_memory_ms: int, max_transit_ms: int
 ) -> int:
-    """Bound how long ago the first attempt can have been sent.
+    """Compute an upper bound of the age of the first attempt.
 
-    :param request: the attempt at hand.
-    :param key_memory_ms: how long keys are remembered, in milliseconds.
-    :param under_way_ms: longest time since the caller sent this attempt, in
-        milliseconds.
-    :returns: milliseconds.
+    :param request: current attempt.
+    :param key_memory_ms: retention period of keys, in milliseconds.
+    :param max_transit_ms: maximum time since the caller sent the current
+        attempt, in milliseconds.
+    :returns: maximum age of the first attempt, in milliseconds.
     """
     if request.age_ms >= 0:
-        return request.age_ms + under_way_ms
+        return request.age_ms + max_transit_ms
     if request.attempt == 1:
-        return under_way_ms
-    # Retries without an age are to be sent within half of the memory's time.
-    return max(key_memory_ms, key_memory_ms // 2 + under_way_ms)
+        return max_transit_ms
+    # Callers send retries without an age within half the retention period.
+    return max(key_memory_ms, key_memory_ms // 2 + max_transit_ms)
 
 
 def decide_retry(
@@ -47,14 +48,13 @@
 ) -> MayRun | Answered | Unknown | Rejected:
     """Decide whether a retry may run.
 
-    A daemon that is unreachable, or that started after the first attempt may
-    have been sent, may have run it (or its predecessor may): to run it again
-    would double a reservation, so the outcome is unknown.
+    The outcome is unknown if a daemon is unreachable or may have started after
+    the first attempt was sent, because that daemon or its predecessor may have
+    executed the attempt.
 
-    :param answer_by_daemon: answers of all daemons, this one included.
-    :param age_ms: how long ago the first attempt can have been sent, in
-        milliseconds.
-    :returns: permission to run, or the outcome.
+    :param answer_by_daemon: lookup answers of all daemons, this one included.
+    :param age_ms: maximum age of the first attempt, in milliseconds.
+    :returns: permission to run, or the final outcome.
     """
     answers = answer_by_daemon.values()
     states = {answer.state for answer in answers}
@@ -64,12 +64,19 @@
     if RecallState.other_body in states:
         return BODY_MISMATCH
     if states & {RecallState.answered, RecallState.unknown}:
-        return Unknown('an attempt ran or may have', UNREACHABLE_RETRY_MS)
+        return Unknown(
+            'an earlier attempt may have been executed', UNREACHABLE_RETRY_MS
+        )
     if RecallState.running in states:
-        return Unknown('an attempt is in progress', IN_PROGRESS_RETRY_MS)
+        return Unknown('another attempt is in progress', IN_PROGRESS_RETRY_MS)
     if RecallState.unreachable in states:
-        return Unknown('not all daemons could be asked', UNREACHABLE_RETRY_MS)
+        return Unknown(
+            'key lookup failed at one or more daemons', UNREACHABLE_RETRY_MS
+        )
     youngest_ms = min(answer.up_ms for answer in answers)
     if youngest_ms < age_ms:
-        return Unknown('a daemon has just started', age_ms - youngest_ms)
+        return Unknown(
+            'a daemon may have started after the first attempt',
+            age_ms - youngest_ms,
+        )
     return MayRun()
--- a/waxwingford/routing/_router.py
+++ b/waxwingford/routing/_router.py
@@ -1,4 +1,4 @@
-"""Route of one admitted request: own servers, peers, and retries."""
+"""Routing of admitted requests to held servers and peers, with retries."""
 
 import dataclasses
 import random
@@ -37,13 +37,13 @@
 
 
 class DispatchPorts(NamedTuple):
-    """Everything outside that the request path speaks to.
+    """External dependencies of the request path.
 
-    :ivar servers: backend servers.
-    :ivar peers: other daemons.
-    :ivar clock: monotonic time.
-    :ivar time_line: events.
-    :ivar metrics: counters and histograms.
+    :ivar servers: client for the backend servers.
+    :ivar peers: client for the other daemons.
+    :ivar clock: source of monotonic time.
+    :ivar time_line: event log.
+    :ivar metrics: counters and latency histograms.
     """
 
     servers: BackendServerPort
@@ -55,11 +55,12 @@
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """How far a request has come.
+    """Progress of a request over its attempts.
 
-    :ivar tried: receivers that it went to.
-    :ivar evidence: why it did not run so far.
-    :ivar unknown_reason: receiver that may have run it, with the reason.
+    :ivar evidence: evidence that the request was not executed so far.
+    :ivar tried: receivers that the request was sent to.
+    :ivar unknown_reason: receiver that may have executed the request, with the
+        reason; empty if there is none.
     """
 
     evidence: NotExecutedEvidence
@@ -68,11 +69,11 @@
 
 
 class Router:
-    """Sends requests to held servers and peers within deadline and budget.
+    """Sends requests to servers and peers within deadline and retry budget.
 
     :ivar table: slots of held servers.
-    :ivar peer_table: peers with room.
-    :ivar calls: calls in progress to held servers.
+    :ivar peer_table: peers with free slots.
+    :ivar calls: calls in flight to held servers.
     """
 
     def __init__(
@@ -82,12 +83,12 @@
         rng: random.Random,
         limits: DispatchLimits,
     ) -> None:
-        """Start without servers and peers.
+        """Create a router without servers and peers.
 
-        :param failure_domain: this daemon's.
-        :param ports: what it speaks to.
-        :param rng: seeded source of chance.
-        :param limits: bounds.
+        :param failure_domain: failure domain of this daemon.
+        :param ports: external dependencies.
+        :param rng: random number generator.
+        :param limits: limits of the request path.
         """
         self.table = SlotTable(rng)
         self.peer_table = PeerTable(failure_domain, rng)
@@ -104,7 +105,7 @@
         self._budget_by_service: dict[str, RetryBudget] = {}
 
     def set_limits(self, limits: Mapping[str, ServiceLimits]) -> None:
-        """Take in the limits of a bundle.
+        """Replace the limits of services.
 
         :param limits: limits by service.
         """
@@ -113,10 +114,11 @@
             budget.share = self._service_limits(service).retry_share
 
     def free_slots(self, request: Request) -> int:
-        """Count free slots that a request could go to.
+        """Count the free slots available to a request.
 
-        :param request: the request.
-        :returns: the count, peers included if it may be forwarded.
+        :param request: request to route.
+        :returns: number of free slots, including those of peers if the request
+            may be forwarded.
         """
         service = request.service
         self.table.process_due(self._ports.clock.monotonic_ms())
@@ -129,16 +131,17 @@
     async def route(
         self, request: Request, deadline_ms: int, retry_after_ms: int
     ) -> Outcome:
-        """Send a request until it is answered or must be given up.
+        """Send a request, with retries, until its outcome is final.
 
-        :param request: the request.
-        :param deadline_ms: monotonic time of its deadline, in milliseconds.
-        :param retry_after_ms: when its caller may come back, in milliseconds.
-        :returns: the final outcome.
+        :param request: request to route.
+        :param deadline_ms: monotonic time of the deadline, in milliseconds.
+        :param retry_after_ms: delay before the caller may retry, in
+            milliseconds.
+        :returns: final outcome.
         """
         budget = self._budget(request.service)
         budget.deposit()
-        progress = _Progress(NeverSent('the deadline has passed'))
+        progress = _Progress(NeverSent('deadline has passed'))
         while self._has_time_left(deadline_ms):
             step = await self._send(request, deadline_ms, progress)
             if isinstance(step, Answered | Rejected):
@@ -164,7 +167,7 @@
         match step:
             case NoFreeSlot():
                 if not progress.tried:
-                    progress.evidence = NeverSent('no server has room')
+                    progress.evidence = NeverSent('no server has a free slot')
                 return False
             case NotExecuted(receiver=receiver, reason=reason):
                 progress.evidence = ReportedNotExecuted(receiver, reason)
@@ -179,7 +182,7 @@
         require(
             request.idempotent or not progress.unknown_reason,
             Invariant.at_most_once,
-            f'{request.request_id}: sent again after {progress.unknown_reason}',
+            f'{request.request_id}: retried after {progress.unknown_reason}',
         )
         tried = progress.tried
         step = await self.calls.call(request, deadline_ms, tried)
--- a/waxwingford/routing/_server_pool.py
+++ b/waxwingford/routing/_server_pool.py
@@ -1,4 +1,4 @@
-"""Held servers of one service: which of them are open to new calls."""
+"""Pool of the held servers of one service."""
 
 import random
 from collections.abc import Iterable
@@ -10,23 +10,24 @@
     ServerState,
 )
 
-#: Share of a service's servers that may be ejected at once.
+#: Maximum fraction of the servers of a service ejected at the same time.
 MAX_EJECTED_FRACTION = 0.3
-#: An answer slower than this many times the service's average is slow.
+#: Multiple of the average latency of the service above which an answer is slow.
 SLOW_ANSWER_FACTOR = 4
 
 
 class ServerPool:
-    """Counts over the held servers of one service, kept up by each change.
+    """Incrementally updated totals over the held servers of one service.
 
-    :ivar servers: held servers.
-    :ivar ejected: servers ejected now.
-    :ivar free_slots: free slots.
-    :ivar latency_ms: moving average over all servers, in milliseconds.
+    :ivar servers: number of held servers.
+    :ivar ejected: number of ejected servers.
+    :ivar free_slots: number of free slots.
+    :ivar latency_ms: moving average of latency over all servers, in
+        milliseconds.
     """
 
     def __init__(self) -> None:
-        """Start without servers."""
+        """Create an empty pool."""
         self.servers = 0
         self.ejected = 0
         self.free_slots = 0
@@ -34,24 +35,24 @@
         self._available_servers = IndexedSet()
 
     def available_count(self) -> int:
-        """Count the servers open to new calls.
+        """Count the servers available for new calls.
 
-        :returns: the count.
+        :returns: number of servers.
         """
         return len(self._available_servers)
 
     def sample_two(self, rng: random.Random) -> tuple[str, ...]:
-        """Draw two candidates.
+        """Sample two available servers.
 
-        :param rng: source of chance.
-        :returns: two server ids, or as many as are open.
+        :param rng: random number generator.
+        :returns: two server ids, or all available ones if there are fewer.
         """
         return self._available_servers.sample_two(rng)
 
     def remove(self, state: ServerState) -> None:
-        """Take a server out.
+        """Remove a server from the pool.
 
-        :param state: a server of this service.
+        :param state: server of this pool.
         """
         self.servers -= 1
         self.free_slots -= state.counted_free_slots
@@ -62,9 +63,9 @@
             state.ejected_until_ms = 0
 
     def refresh(self, state: ServerState, now_ms: int) -> None:
-        """Bring a changed server's part of the counts up to date.
+        """Update the totals after a change of a server.
 
-        :param state: a server of this service.
+        :param state: server of this pool.
         :param now_ms: monotonic time, in milliseconds.
         """
         is_available = state.is_available(now_ms)
@@ -78,11 +79,11 @@
             self._available_servers.discard(state.held.server_id)
 
     def record_latency(self, state: ServerState, latency_ms: float) -> bool:
-        """Take in the latency of an answer.
+        """Update the moving averages of latency.
 
-        :param state: who answered.
-        :param latency_ms: milliseconds.
-        :returns: whether the answer was slow for this service.
+        :param state: server that answered.
+        :param latency_ms: latency of the answer, in milliseconds.
+        :returns: whether the answer was slow compared with the service average.
         """
         average_ms = self.latency_ms
         state.record_latency(latency_ms)
@@ -91,14 +92,14 @@
         return average_ms > 0 and latency_ms > SLOW_ANSWER_FACTOR * average_ms
 
     def eject_if_failing(self, state: ServerState, now_ms: int) -> bool:
-        """Eject a server after too many bad calls in a row.
+        """Eject a server after too many consecutive failures.
 
-        No more than a share is ejected: when all servers fail, the fault is
-        elsewhere, and the last servers would drown in what the others shed.
+        The ejected fraction is limited, so that a fault common to all servers
+        does not concentrate the load on a few of them.
 
-        :param state: a server of this service.
+        :param state: server of this pool.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: whether it was ejected.
+        :returns: whether the server was ejected.
         """
         at_ejection_limit = (
             self.ejected + 1 > MAX_EJECTED_FRACTION * self.servers
@@ -113,9 +114,9 @@
         return True
 
     def end_ejection_if_due(self, state: ServerState, now_ms: int) -> None:
-        """Let a server whose ejection is over come back.
+        """End the ejection of a server if its time has passed.
 
-        :param state: a server of this service.
+        :param state: server of this pool.
         :param now_ms: monotonic time, in milliseconds.
         """
         if 0 < state.ejected_until_ms <= now_ms:
@@ -124,9 +125,9 @@
 
 
 def lowest_latency(states: Iterable[ServerState]) -> ServerState | None:
-    """Choose the server with the least expected latency.
+    """Choose the server with the lowest expected latency.
 
     :param states: candidates.
-    :returns: the best; nothing if there are none.
+    :returns: chosen server; None if there are no candidates.
     """
     return min(states, key=ServerState.expected_ms, default=None)
--- a/waxwingford/routing/_server_state.py
+++ b/waxwingford/routing/_server_state.py
@@ -1,42 +1,48 @@
-"""State of one backend server as its holder counts it."""
+"""State of one backend server, maintained by the holder of its lease."""
 
 import dataclasses
 import math
 
 from waxwingford.routing._messages import HeldServer
 
-#: Weight of the newest latency in the moving average.
+#: Weight of the latest sample in the moving averages of latency.
 LATENCY_WEIGHT = 0.2
-#: Number of measured answers that weigh as much as the prediction.
+#: Weight of the predicted latency, in latency samples.
 PREDICTION_SAMPLES = 4
-#: Measured answers beyond this number add no weight.
+#: Maximum weight of the measured latency, in latency samples.
 MAX_SAMPLES = 16
-#: Time over which a new or returning server reaches all its slots.
+#: Duration of slow start, in milliseconds.
 SLOW_START_MS = 5000
-#: Bad calls in a row that eject a server.
+#: Number of consecutive failures after which a server is ejected.
 EJECT_AFTER_FAILURES = 5
-#: First ejection; doubled at each further one up to the longest.
+#: Duration of the first ejection, in milliseconds; doubled by each further
+#: ejection up to the maximum.
 BASE_EJECTION_MS = 5000
 MAX_EJECTION_MS = 60_000
-#: Connections kept for control exchanges.
+#: Number of connections reserved for control exchanges.
 CONTROL_CONNECTIONS = 1
 
 
 @dataclasses.dataclass(slots=True)
 class ServerState:
-    """What the holder knows of one backend server.
+    """State of one backend server.
 
     :ivar held: the server and its control lease.
-    :ivar in_flight: calls that the server may still run.
+    :ivar slow_start_from_ms: monotonic time at which slow start begins, in
+        milliseconds.
+    :ivar in_flight: number of calls that the server may still run.
     :ivar latency_ms: moving average of measured latency, in milliseconds.
-    :ivar samples: measured answers, up to the number that adds weight.
-    :ivar consecutive_failures: calls in a row that were not run, unknown or slow.
-    :ivar ejections: times ejected without a good call in between.
-    :ivar ejected_until_ms: end of the ejection; 0 when not ejected.
-    :ivar slow_start_from_ms: start of the slow start.
-    :ivar next_update_ms: when slow start is looked at again; past if no such time.
-    :ivar counted_free_slots: free slots counted for its service.
-    :ivar removed: no longer held; kept until its last call has ended.
+    :ivar samples: number of latency samples, up to ``MAX_SAMPLES``.
+    :ivar consecutive_failures: number of consecutive calls that were not
+        executed, had an unknown outcome or were slow.
+    :ivar ejections: number of ejections since the last successful call.
+    :ivar ejected_until_ms: monotonic time at which the ejection ends, in
+        milliseconds; 0 if not ejected.
+    :ivar next_update_ms: monotonic time of the next update during slow start,
+        in milliseconds; in the past if none is scheduled.
+    :ivar counted_free_slots: free slots included in the total of the pool.
+    :ivar removed: whether the server is no longer held; its state is retained
+        until its last call has ended.
     """
 
     held: HeldServer
@@ -52,18 +58,18 @@
     removed: bool = False
 
     def max_in_flight(self) -> int:
-        """Count calls that slots and connections allow at once.
+        """Compute the concurrency limit given by slots and connections.
 
-        :returns: the count.
+        :returns: maximum number of calls in flight.
         """
         usable = self.held.connections - CONTROL_CONNECTIONS
         return max(0, min(self.held.slots, usable))
 
     def allowed_slots(self, now_ms: int) -> int:
-        """Count the slots that slow start allows now.
+        """Compute the number of slots usable under slow start.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: the count, at least 1 of a server with slots.
+        :returns: number of slots, at least 1 for a server with slots.
         """
         elapsed_ms = now_ms - self.slow_start_from_ms
         max_calls = self.max_in_flight()
@@ -74,7 +80,7 @@
         )
 
     def next_slot_ms(self, now_ms: int) -> int:
-        """Tell when slow start opens the next slot.
+        """Compute when slow start allows the next slot.
 
         :param now_ms: monotonic time, in milliseconds.
         :returns: monotonic time, in milliseconds.
@@ -86,18 +92,18 @@
         return max(now_ms + 1, self.slow_start_from_ms + wait_ms)
 
     def in_slow_start(self, now_ms: int) -> bool:
-        """Say whether slow start holds slots back.
+        """Test whether slow start withholds slots.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: whether it does.
+        :returns: whether fewer slots than the maximum are usable.
         """
         return self.allowed_slots(now_ms) < self.max_in_flight()
 
     def is_available(self, now_ms: int) -> bool:
-        """Say whether a new call may go to the server.
+        """Test whether a new call may be sent to the server.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: whether it may.
+        :returns: whether the server is eligible and has a free slot.
         """
         if self.removed or self.held.leaving or self.ejected_until_ms > now_ms:
             return False
@@ -106,9 +112,9 @@
         return self.in_flight < self.allowed_slots(now_ms)
 
     def expected_ms(self) -> float:
-        """Expect the latency of one more call.
+        """Estimate the latency of an additional call.
 
-        :returns: milliseconds.
+        :returns: expected latency, in milliseconds.
         """
         weighted_sum_ms = (
             self.held.predicted_ms * PREDICTION_SAMPLES
@@ -118,9 +124,9 @@
         return base_ms * (1 + self.in_flight / max(1, self.held.slots))
 
     def record_latency(self, latency_ms: float) -> None:
-        """Take in the latency of an answer.
+        """Update the moving average of latency.
 
-        :param latency_ms: milliseconds.
+        :param latency_ms: latency of an answer, in milliseconds.
         """
         if self.samples:
             latency_ms = self.latency_ms + LATENCY_WEIGHT * (
@@ -130,7 +136,7 @@
         self.samples = min(MAX_SAMPLES, self.samples + 1)
 
     def eject(self, now_ms: int) -> None:
-        """Leave the server out for a while, longer at each time in a row.
+        """Eject the server, with exponential backoff.
 
         :param now_ms: monotonic time, in milliseconds.
         """
--- a/waxwingford/routing/_slots.py
+++ b/waxwingford/routing/_slots.py
@@ -1,4 +1,4 @@
-"""Slots of held backend servers: who has room, and which one to take."""
+"""Slot accounting and load balancing over the held backend servers."""
 
 import dataclasses
 import heapq
@@ -11,18 +11,19 @@
 from waxwingford.routing._server_pool import ServerPool, lowest_latency
 from waxwingford.routing._server_state import SLOW_START_MS, ServerState
 
-#: Draws of candidates beyond one for each open server.
+#: Samplings of candidates in addition to one per available server.
 EXTRA_DRAWS = 8
 _NONE_TRIED: frozenset[str] = frozenset()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slot:
-    """One slot of a server, taken for one call.
+    """Slot of a server, occupied by one call.
 
-    :ivar call_id: of this table, unique.
-    :ivar held: the server as it was when the slot was taken.
-    :ivar taken_ms: monotonic time, in milliseconds.
+    :ivar call_id: id of the call, unique in the table.
+    :ivar held: server and lease at the time the slot was taken.
+    :ivar taken_ms: monotonic time at which the slot was taken, in
+        milliseconds.
     """
 
     call_id: int
@@ -31,16 +32,16 @@
 
 
 class SlotTable:
-    """Counts of calls in flight, kept only at the holder of each server.
+    """Slots of the servers whose control leases this daemon holds.
 
-    :ivar state_by_server: read only, for tests and reports.
-    :ivar pool_by_service: read only, for heartbeats and reports.
+    :ivar state_by_server: state by server id; read-only for callers.
+    :ivar pool_by_service: pool by service; read-only for callers.
     """
 
     def __init__(self, rng: random.Random) -> None:
-        """Start without servers.
+        """Create a table without servers.
 
-        :param rng: seeded source of chance.
+        :param rng: random number generator.
         """
         self.state_by_server: dict[str, ServerState] = {}
         self.pool_by_service: dict[str, ServerPool] = {}
@@ -52,7 +53,7 @@
     def set_servers(self, servers: Iterable[HeldServer], now_ms: int) -> None:
         """Replace the set of held servers.
 
-        :param servers: all servers held now.
+        :param servers: all servers currently held.
         :param now_ms: monotonic time, in milliseconds.
         """
         by_id = {server.server_id: server for server in servers}
@@ -67,9 +68,9 @@
             self.add_or_renew(server, now_ms)
 
     def add_or_renew(self, server: HeldServer, now_ms: int) -> None:
-        """Add or renew one server.
+        """Add a server or renew its lease.
 
-        :param server: the server with its lease.
+        :param server: server and lease.
         :param now_ms: monotonic time, in milliseconds.
         """
         state = self.state_by_server.get(server.server_id)
@@ -79,9 +80,9 @@
         self._refresh(state, now_ms)
 
     def remove(self, server_id: str) -> None:
-        """Forget a server that is no longer held, once its calls ended.
+        """Remove a server; its state is dropped after its last call has ended.
 
-        :param server_id: which server.
+        :param server_id: id of the server.
         """
         state = self.state_by_server[server_id]
         if not state.removed:
@@ -96,15 +97,15 @@
         now_ms: int,
         tried: frozenset[str] = _NONE_TRIED,
     ) -> str | None:
-        """Choose a server by the better of two random candidates.
+        """Choose the better of two random servers.
 
-        A candidate whose lease lapsed is taken out of the open set, so that
-        the loop is paid for by what put it there.
+        Candidates whose lease has expired are removed from the available set,
+        which keeps the amortized cost constant.
 
-        :param service: which service.
+        :param service: requested service.
         :param now_ms: monotonic time, in milliseconds.
-        :param tried: servers that the request already went to.
-        :returns: server id; nothing if no held server has room.
+        :param tried: servers that the request was already sent to.
+        :returns: server id; None if no held server has a free slot.
         """
         self.process_due(now_ms)
         pool = self.pool_by_service.get(service)
@@ -120,14 +121,14 @@
         return None
 
     def take(self, server_id: str, now_ms: int) -> Slot | None:
-        """Take a slot at the moment of dispatch.
+        """Take a slot immediately before dispatch.
 
-        A daemon may have been frozen between choice and dispatch: the lease
-        can have lapsed, and the new holder counts the slots.
+        Checks the lease again, because it may have expired and passed to
+        another holder if the process was suspended after the choice.
 
-        :param server_id: the chosen server.
-        :param now_ms: monotonic time read just now, in milliseconds.
-        :returns: the slot; nothing if the server may no longer be used.
+        :param server_id: id of the chosen server.
+        :param now_ms: current monotonic time, in milliseconds.
+        :returns: slot; None if the server is no longer available.
         """
         state = self.state_by_server.get(server_id)
         if state is None or not state.is_available(now_ms):
@@ -136,7 +137,7 @@
         require(
             held.lease_until_ms > now_ms,
             Invariant.lease_before_effect,
-            f'{server_id}: lease ended {now_ms - held.lease_until_ms} ms ago',
+            f'{server_id}: lease expired {now_ms - held.lease_until_ms} ms ago',
         )
         require(not held.leaving, Invariant.leaving_server, server_id)
         state.in_flight += 1
@@ -149,9 +150,9 @@
         return Slot(self._tracker.begin(server_id), held, now_ms)
 
     def answered(self, slot: Slot, now_ms: int) -> float:
-        """Give a slot back after a whole answer.
+        """Release a slot after a complete answer.
 
-        :param slot: the slot.
+        :param slot: slot of the call.
         :param now_ms: monotonic time, in milliseconds.
         :returns: latency of the call, in milliseconds.
         """
@@ -169,11 +170,11 @@
         return latency_ms
 
     def record_failure(self, slot: Slot, now_ms: int) -> bool:
-        """Count a call that was not run, unknown or slow.
+        """Record a call that was not executed, of unknown outcome or slow.
 
-        :param slot: slot of the call, given back or not.
+        :param slot: slot of the call, released or not.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: whether the server was ejected by this.
+        :returns: whether the server was ejected.
         """
         state = self.state_by_server.get(slot.held.server_id)
         if state is None or state.removed or state.ejected_until_ms:
@@ -187,27 +188,27 @@
         return True
 
     def abandon(self, slot: Slot, until_ms: int) -> None:
-        """Keep a slot of a call without an answer until the server is done.
+        """Keep the slot of an unanswered call occupied until a given time.
 
-        Given back at once, the slot would be given out again while the server
-        still runs the old call; one would notice more calls than slots there.
+        Releasing it at once would let the server get more calls than slots
+        while it still runs the unanswered one.
 
-        :param slot: the slot.
-        :param until_ms: monotonic time at which the server has ended the call
-            for certain, in milliseconds.
+        :param slot: slot of the call.
+        :param until_ms: monotonic time at which the server has certainly ended
+            the call, in milliseconds.
         """
         self._tracker.abandon(slot.call_id, until_ms)
 
     def release(self, slot: Slot, now_ms: int) -> None:
-        """Give a slot back; a second time does nothing.
+        """Release a slot; has no effect if it was already released.
 
-        :param slot: the slot.
+        :param slot: slot to release.
         :param now_ms: monotonic time, in milliseconds.
         """
         self._end_call(slot.call_id, now_ms)
 
     def process_due(self, now_ms: int) -> None:
-        """Do what has become due: abandoned calls, ejections, slow starts.
+        """Process abandoned calls, ejections and slow starts that are due.
 
         :param now_ms: monotonic time, in milliseconds.
         """
@@ -224,13 +225,13 @@
     def _start_tracking(
         self, server: HeldServer, old: ServerState | None, now_ms: int
     ) -> ServerState:
-        # Slow start spares a new server while others can take the load.  Where
-        # all are new, as after the start of a daemon, it would only refuse.
+        # Slow start requires other servers that can take the load.  If all are
+        # new, as after the start of a daemon, it would only cause refusals.
         has_warm_servers = server.service in self._warm_services
         start_ms = now_ms if has_warm_servers else now_ms - SLOW_START_MS
         state = ServerState(server, slow_start_from_ms=start_ms)
         if old is not None:
-            # Calls of the earlier holding may still run: they keep counting.
+            # Calls from before the server was removed may still run.
             state.in_flight = old.in_flight
             if not old.removed:
                 self.pool_by_service[old.held.service].remove(old)
@@ -246,8 +247,8 @@
         for name in names:
             state = self.state_by_server[name]
             if not state.is_available(now_ms):
-                # Its lease lapsed since it was put here; a renewal brings it
-                # back.
+                # The lease has expired; a renewal makes the server available
+                # again.
                 self._refresh(state, now_ms)
             elif name not in tried:
                 found.append(state)
@@ -271,7 +272,7 @@
         require(
             state.in_flight >= 0,
             Invariant.capacity,
-            f'{server_id}: a slot was given back twice',
+            f'{server_id}: slot released twice',
         )
         if not state.removed:
             self._refresh(state, now_ms)
--- a/waxwingford/routing/_stall_detector.py
+++ b/waxwingford/routing/_stall_detector.py
@@ -1,29 +1,26 @@
-"""Watch for stalls of the process: time in which it was frozen.
+"""Detection of periods in which the process was suspended.
 
-A request may have lain unread in a socket during the whole stall.  Taken for
-fresh, a retry would seem younger than it is, and records of its first attempt
-that have expired meanwhile would seem never to have been there; one would
-notice a reservation that ran twice after a daemon was paused for minutes.
+Requests that waited in a socket during a stall are older than they state.
 """
 
-#: A gap between two signs of life that is longer counts as a stall; requests
-#: may always have waited up to this long.
+#: Gap between two ticks above which the process counts as stalled, in
+#: milliseconds; a request may always have waited this long unnoticed.
 STALL_THRESHOLD_MS = 2000
 
 
 class StallDetector:
-    """Measures stalls from signs of life.
+    """Detects stalls from the gaps between ticks.
 
-    They must come more often than what counts as a stall; fewer of them make
-    it see stalls that there were not, which is safe.
+    Ticks must be more frequent than the threshold.  Missing ticks cause false
+    positives, which are safe.
     """
 
     def __init__(self, now_ms: int, backlog_ms: int) -> None:
-        """Start now.
+        """Create a detector without stalls.
 
         :param now_ms: monotonic time, in milliseconds.
-        :param backlog_ms: time after a stall in which requests may still come
-            that waited during it, in milliseconds.
+        :param backlog_ms: time after a stall in which requests that waited
+            during the stall may still be read, in milliseconds.
         """
         self._backlog_ms = backlog_ms
         self._last_tick_ms = now_ms
@@ -32,7 +29,7 @@
         self._backlog_until_ms = 0
 
     def tick(self, now_ms: int) -> None:
-        """Take in a sign of life.
+        """Record that the process is running.
 
         :param now_ms: monotonic time, in milliseconds.
         """
@@ -48,18 +45,19 @@
         self._backlog_until_ms = now_ms + self._backlog_ms
 
     def active_ms(self, now_ms: int) -> int:
-        """Read a clock that stands still during stalls.
+        """Compute monotonic time without stalls.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: milliseconds.
+        :returns: monotonic time less the duration of all stalls, in
+            milliseconds.
         """
         return now_ms - self._stalled_ms
 
     def max_wait_ms(self, now_ms: int) -> int:
-        """Bound how long a request that is read now may have waited.
+        """Compute the maximum time that a request just read has waited.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: milliseconds.
+        :returns: upper bound of the wait, in milliseconds.
         """
         if now_ms < self._backlog_until_ms:
             return STALL_THRESHOLD_MS + self._last_stall_ms
