--- a/waxwingford/routing/tests/admission_steps.py
+++ b/waxwingford/routing/tests/admission_steps.py
@@ -1,4 +1,4 @@
-"""Steps for admission."""
+"""Steps for admission control."""
 
 import asyncio
 import collections
@@ -15,12 +15,12 @@
     Urgency,
 )
 from waxwingford.routing.tests.fakes import FakeServer
-from waxwingford.routing.tests.slots_steps import region_of
+from waxwingford.routing.tests.slots_steps import region_fixture
 
 _TARGET_MS = 50.0
 
 
-def admission_for(context, limit, members):
+def create_admission(context, limit, members):
     context.rng = random.Random(5)
     context.admission = AdmissionController(limit, context.rng)
     context.limit = limit
@@ -44,7 +44,7 @@
 
 
 def fill(context, member):
-    """Let a member in until it is refused; returns what was admitted."""
+    """Admit requests of a member until one is shed; returns the admitted."""
     decisions = (admit(context, member) for _ in itertools.count())
     return list(itertools.takewhile(is_admitted, decisions))
 
@@ -53,17 +53,17 @@
     return isinstance(decision, Admitted)
 
 
-@given('admission of {limit:d} requests for a service of member "{member}"')
+@given('an admission limit of {limit:d} requests and a service of "{member}"')
 def admission_of_one(context, limit, member):
-    admission_for(context, limit, [member])
+    create_admission(context, limit, [member])
 
 
-@given('admission of {limit:d} requests for services of "{one}" and "{other}"')
+@given('an admission limit of {limit:d} and services of "{one}" and "{other}"')
 def admission_of_two(context, limit, one, other):
-    admission_for(context, limit, [one, other])
+    create_admission(context, limit, [one, other])
 
 
-@when('{count:d} requests of mixed urgency come and none ends')
+@when('{count:d} requests of mixed urgency arrive and none ends')
 def mixed_requests(context, count):
     context.decisions = []
     for _ in range(count):
@@ -72,7 +72,7 @@
         context.decisions.append((urgency, decision))
 
 
-@when('{count:d} requests of each urgency come, the least urgent first')
+@when('{count:d} requests of each urgency arrive, least urgent first')
 def least_urgent_first(context, count):
     context.decisions = [
         (urgency, admit(context, 'qadri', urgency))
@@ -81,7 +81,7 @@
     ]
 
 
-@then('{low:d} background, {mid:d} normal and {top:d} urgent ones are admitted')
+@then('{low:d} background, {mid:d} normal and {top:d} urgent are admitted')
 def shed_in_order(context, low, mid, top):
     admitted = collections.Counter(
         urgency
@@ -91,39 +91,42 @@
     assert admitted == {0: low, 1: mid, 2: top}, admitted
 
 
-@then('{count:d} requests are admitted in all')
+@then('{count:d} requests are admitted in total')
 def admitted_in_all(context, count):
     assert context.admission.in_progress() == count
 
 
-@when('"{member}" keeps as many urgent requests in progress as it can')
-def flood(context, member):
+@when('"{member}" sends urgent requests until one is refused')
+def fill_with_urgent(context, member):
     context.borrowed = fill(context, member)
 
 
-@then('"{member}" has more than its half of {half:d}')
+@then('"{member}" exceeds its fair share of {half:d}')
 def more_than_half(context, member, half):
     assert half < len(context.borrowed) < context.limit, len(context.borrowed)
 
 
-@then('"{member}" gets {count:d} requests in at once')
-def gets_in(context, member, count):
+@then('at least {count:d} requests of "{member}" are admitted at once')
+def admitted_immediately(context, member, count):
     context.other = fill(context, member)
     assert len(context.other) >= count, len(context.other)
 
 
-@then('"{member}" gets {count:d} requests in once borrowed ones have ended')
-def gets_share(context, member, count):
+@then(
+    'at least {count:d} requests of "{member}" are admitted'
+    ' after borrowed ones end'
+)
+def admitted_after_borrowed(context, member, count):
     for ended in context.borrowed:
-        # Who is next in line after each end: the flood tries first.
+        # After each release the flooding member tries first.
         context.admission.release(ended)
         admit(context, 'qadri')
         context.other.extend(fill(context, member))
     assert len(context.other) >= count, len(context.other)
 
 
-@then('the last times to come back are longer than the first and differ')
-def times_grow(context):
+@then('the last retry delays are longer than the first and differ')
+def retry_delays_grow(context):
     times_ms = [
         decision.retry_after_ms
         for _, decision in context.decisions
@@ -135,7 +138,7 @@
     assert len(set(last)) > 10, last
 
 
-@when('requests wait {wait_ms:d} ms for the processor during {time_ms:d} ms')
+@when('the CPU queueing delay is {wait_ms:d} ms for {time_ms:d} ms')
 def waiting_requests(context, wait_ms, time_ms):
     for _ in range(0, time_ms, 20):
         context.admission.record_wait(wait_ms, context.now_ms)
@@ -145,26 +148,26 @@
         context.now_ms += 20
 
 
-@then('fewer than {bound:d} requests are let in')
-def limit_below(context, bound):
-    count = len(fill_and_leave(context))
+@then('fewer than {bound:d} requests are admitted')
+def fewer_admitted(context, bound):
+    count = len(admit_and_release_all(context))
     assert count < bound, count
 
 
-@then('more than {bound:d} requests are let in')
-def limit_above(context, bound):
-    count = len(fill_and_leave(context))
+@then('more than {bound:d} requests are admitted')
+def more_admitted(context, bound):
+    count = len(admit_and_release_all(context))
     assert count > bound, count
 
 
-def fill_and_leave(context):
+def admit_and_release_all(context):
     admitted = fill(context, 'qadri')
     for one in admitted:
         context.admission.release(one)
     return admitted
 
 
-@when('{count:d} requests have taken all but a few of {slots:d} free slots')
+@when('{count:d} urgent requests take {slots:d} free slots one by one')
 def slots_taken(context, count, slots):
     context.refused_from = {}
     for taken in range(count):
@@ -178,13 +181,13 @@
         assert is_admitted(admit(context, 'qadri', Urgency.urgent, free_slots))
 
 
-@then('the last slots are refused to background requests first')
+@then('background requests are refused the last slots first')
 def background_first(context):
     expected = {Urgency.background: 6, Urgency.normal: 2}
     assert context.refused_from == expected, context.refused_from
 
 
-@when('its servers take {latency_ms:d} ms for a target of {target_ms:d} ms')
+@when('its latency is {latency_ms:d} ms with a target of {target_ms:d} ms')
 def slow_servers(context, latency_ms, target_ms):
     for server in context.region.server_by_id.values():
         server.latency_ms = latency_ms
@@ -192,7 +195,7 @@
     context.region.dispatcher_by_id['centre-1'].set_limits(limits)
 
 
-@then('{callers:d} callers who each send {count:d} requests are all answered')
+@then('{callers:d} callers that each send {count:d} requests are all answered')
 def callers_answered(context, callers, count):
     region = context.region
 
@@ -208,7 +211,7 @@
     assert kinds == {'Answered'}, kinds
 
 
-@when('{count:d} background requests come to "{daemon_id}" at once')
+@when('{count:d} background requests arrive at "{daemon_id}" at once')
 def background_burst(context, count, daemon_id):
     region = context.region
     region.advance_ms(10_000)
@@ -224,7 +227,7 @@
     context.outcomes = [type(one).__name__ for one in outcomes]
 
 
-@then('{count:d} of them are answered')
+@then('{count:d} of the background requests are answered')
 def burst_answered(context, count):
     assert context.outcomes.count('Answered') == count, context.outcomes
 
@@ -235,10 +238,10 @@
         name: [FakeServer(f'server-{name}', slots=slots)]
         for name in (one, other)
     }
-    use_fixture(region_of, context, servers)
+    use_fixture(region_fixture, context, servers)
 
 
-@when('"{one}" and "{other}" in turn use the single slot of one service')
+@when('"{one}" and "{other}" alternately use the only slot of a service')
 def use_in_turn(context, one, other):
     context.entered = collections.Counter()
     for _ in range(5):
@@ -251,7 +254,7 @@
                 context.admission.release(decision)
 
 
-@then('each of them got in {count:d} times')
-def got_in(context, count):
+@then('each of them was admitted {count:d} times')
+def admitted_times(context, count):
     counts = set(context.entered.values())
     assert counts == {count}, context.entered
--- a/waxwingford/routing/tests/at_most_once_steps.py
+++ b/waxwingford/routing/tests/at_most_once_steps.py
@@ -1,4 +1,4 @@
-"""Steps for non-idempotent requests."""
+"""Steps for at-most-once execution."""
 
 import asyncio
 import collections
@@ -7,12 +7,12 @@
 
 from waxwingford.routing import DispatchLimits, Unknown
 from waxwingford.routing.tests.fakes import FakeServer
-from waxwingford.routing.tests.slots_steps import region_of
+from waxwingford.routing.tests.slots_steps import region_fixture
 
 
-def begin_region(context, daemon_ids, limits):
+def create_region(context, daemon_ids, limits):
     use_fixture(
-        region_of,
+        region_fixture,
         context,
         {one: [FakeServer(f'server-{one}')] for one in daemon_ids},
         limits=limits,
@@ -30,54 +30,54 @@
     task = region.begin(daemon_id, request)
     began_s = region.loop.time()
     context.outcomes.append(region.loop.run_until_complete(task))
-    context.took_s = region.loop.time() - began_s
+    context.elapsed_s = region.loop.time() - began_s
 
 
 def kinds(context):
     return [type(outcome).__name__ for outcome in context.outcomes]
 
 
-@given('a region of daemons "{names}" that have long been up')
+@given('a region of daemons "{names}" past their startup period')
 def region_long_up(context, names):
-    begin_region(context, names.split(', '), DispatchLimits())
+    create_region(context, names.split(', '), DispatchLimits())
 
 
-@given('the key memory holds {count:d} keys of a member')
-def small_memory(context, count):
+@given('the key store holds at most {count:d} keys per member')
+def small_key_store(context, count):
     limits = DispatchLimits(max_keys_per_member=count)
-    begin_region(context, context.daemon_ids, limits)
+    create_region(context, context.daemon_ids, limits)
 
 
-@given('every backend server loses its answers')
+@given('the answers of all backend servers are lost')
 def answers_lost(context):
     for server in context.region.server_by_id.values():
         server.loses_answers = True
 
 
-@given('every backend server answers {late_ms:d} ms late')
+@given('all backend servers delay their answers by {late_ms:d} ms')
 def answers_late(context, late_ms):
     for server in context.region.server_by_id.values():
         server.late_ms = late_ms
 
 
-@when('key "{key}" is sent first to "{daemon_id}"')
+@when('the first attempt of key "{key}" arrives at "{daemon_id}"')
 def sent_first(context, key, daemon_id):
     attempt(context, daemon_id, key=key)
 
 
-@when('first attempts of keys "{keys}" come to "{daemon_id}"')
+@when('first attempts of keys "{keys}" arrive at "{daemon_id}"')
 def keys_sent_first(context, keys, daemon_id):
     for key in keys.split(', '):
         attempt(context, daemon_id, key=key)
 
 
-@when('a first attempt of "{key}" with {time_ms:d} ms left comes to "{one}"')
+@when('a first attempt of "{key}" with {time_ms:d} ms left arrives at "{one}"')
 def sent_first_deadline(context, key, time_ms, one):
     attempt(context, one, key=key, deadline_ms=time_ms)
 
 
-@when('member "{member}" sends key "{key}" first to "{one}" with body "{body}"')
-@then('member "{member}" sends key "{key}" first to "{one}" with body "{body}"')
+@when('member "{member}" sends key "{key}" with body "{body}" to "{one}"')
+@then('member "{member}" sends key "{key}" with body "{body}" to "{one}"')
 def other_member_sends(context, member, key, one, body):
     attempt(context, one, key=key, member=member, body=body.encode())
 
@@ -87,17 +87,17 @@
     attempt(context, daemon_id, key=key, attempt=2, age_ms=1000)
 
 
-@when('a retry of "{key}" with an age of {age_ms:d} ms comes to "{one}"')
+@when('a retry of "{key}" with an age of {age_ms:d} ms arrives at "{one}"')
 def retried_with_age(context, key, age_ms, one):
     attempt(context, one, key=key, attempt=2, age_ms=age_ms)
 
 
-@when('a retry of "{key}" with body "{body}" comes to "{daemon_id}"')
+@when('a retry of "{key}" with body "{body}" arrives at "{daemon_id}"')
 def retried_with_body(context, key, body, daemon_id):
     attempt(context, daemon_id, key=key, attempt=2, body=body.encode())
 
 
-@when('retries of "{key}" come to "{daemon_ids}" at once')
+@when('retries of "{key}" arrive at "{daemon_ids}" at once')
 def retried_at_once(context, key, daemon_ids):
     region = context.region
     tasks = [
@@ -119,12 +119,12 @@
     context.region.refresh()
 
 
-@when('daemon "{daemon_id}" is frozen for {duration_ms:d} ms')
-def daemon_frozen(context, daemon_id, duration_ms):
-    context.region.run_for_ms(duration_ms, frozen=daemon_id)
+@when('daemon "{daemon_id}" is suspended for {duration_ms:d} ms')
+def daemon_suspended(context, daemon_id, duration_ms):
+    context.region.run_for_ms(duration_ms, suspended=daemon_id)
 
 
-@when('daemon "{daemon_id}" stops')
+@when('daemon "{daemon_id}" drains')
 def daemon_stops(context, daemon_id):
     drained = context.region.dispatcher_by_id[daemon_id].drain(100)
     context.region.loop.run_until_complete(drained)
@@ -145,26 +145,28 @@
     assert kinds(context) == expected.split(', '), context.outcomes
 
 
-@when('every backend server refuses connections for a while')
+@when('all backend servers refuse connections')
 def servers_refuse(context):
     for server in context.region.server_by_id.values():
-        server.refuses = True
+        server.refuses_calls = True
 
 
-@when('the backend servers are back')
-def servers_back(context):
+@when('all backend servers accept connections again')
+def servers_accept(context):
     for server in context.region.server_by_id.values():
-        server.refuses = False
+        server.refuses_calls = False
 
 
-@then('the key did not run')
-def key_did_not_run(context):
-    assert not context.region.ran(), context.region.ran()
+@then('the request was not executed')
+def not_executed(context):
+    assert not context.region.executed_ids(), context.region.executed_ids()
 
 
-@then('the key ran once')
-def key_ran_once(context):
-    assert len(context.region.ran()) == 1, context.region.ran()
+@then('the request was executed once')
+def executed_once(context):
+    assert len(context.region.executed_ids()) == 1, (
+        context.region.executed_ids()
+    )
 
 
 @then('one attempt is answered and the others are unknown')
@@ -173,15 +175,15 @@
     assert counts == {'Answered': 1, 'Unknown': 2}, context.outcomes
 
 
-@then('the unknown outcome came at once with a time to come back')
+@then('the unknown outcome was returned at once with a retry delay')
 def unknown_at_once(context):
     outcome = context.outcomes[-1]
     assert isinstance(outcome, Unknown)
     assert outcome.retry_after_ms > 0
-    assert context.took_s * 1000 < 10, context.took_s
+    assert context.elapsed_s * 1000 < 10, context.elapsed_s
 
 
-@then('each answer is the body of its own request')
+@then('each answer contains the body of its request')
 def own_bodies(context):
     pairs = zip(context.outcomes, context.requests, strict=True)
     assert all(outcome.body == request.body for outcome, request in pairs)
--- a/waxwingford/routing/tests/callers.py
+++ b/waxwingford/routing/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a region, and the account of what they were told."""
+"""Callers that check their outcomes against the executed requests."""
 
 import asyncio
 import collections
@@ -9,7 +9,7 @@
 
 
 class Callers:
-    """Sends requests and compares the outcomes with what the servers ran."""
+    """Sends requests and checks the outcomes against the executed ones."""
 
     def __init__(self, region):
         self._region = region
@@ -18,8 +18,8 @@
         self._sent = []
         self._ids_by_key = collections.defaultdict(list)
 
-    def keyed(self, key, daemon_id, delay_ms, says_age):
-        """Send the next attempt of a key; a key is used for a while."""
+    def send_keyed(self, key, daemon_id, delay_ms, states_age):
+        """Send the next attempt of a key."""
         now_s = self._region.loop.time()
         first_s = self._first_s_by_key.setdefault(key, now_s)
         self._attempts_by_key[key] += 1
@@ -30,15 +30,15 @@
             'idempotent': False,
             'key': key,
             'attempt': attempt,
-            # Beyond half of the memory's time callers have to say the age.
-            'age_ms': age_ms if says_age or late else -1,
+            # Callers must state the age after half the retention period.
+            'age_ms': age_ms if states_age or late else -1,
             'body': key.encode(),
             'deadline_ms': 400,
         }
         self._send(daemon_id, delay_ms, key, fields)
 
-    def burst(self, daemon_id, count, urgency):
-        """Send idempotent requests and some without a key."""
+    def send_burst(self, daemon_id, count, urgency):
+        """Send idempotent requests and non-idempotent ones without a key."""
         for number in range(count):
             fields = {
                 'idempotent': number % 3 > 0,
@@ -53,25 +53,27 @@
         return collections.Counter(type(one).__name__ for one in outcomes)
 
     def check_all(self):
-        """Compare what callers were told with what ran."""
-        counts = collections.Counter(self._region.ran())
+        """Check all outcomes against the executed requests."""
+        counts = collections.Counter(self._region.executed_ids())
         for request, task in self._sent:
             self._check_one(request, self._outcome(task), counts)
         for key, request_ids in self._ids_by_key.items():
             runs = sum(counts[one] for one in request_ids)
-            assert runs <= 1, f'{key} ran {runs} times: {request_ids}'
+            assert runs <= 1, f'{key} executed {runs} times: {request_ids}'
 
     def _check_one(self, request, outcome, counts):
-        ran = counts[request.request_id]
+        executions = counts[request.request_id]
         if not request.idempotent:
-            assert ran <= 1, f'{request} ran {ran} times'
+            assert executions <= 1, f'{request} was executed {executions} times'
         if isinstance(outcome, Refused):
-            assert not ran, f'{request} ran, but {outcome}'
+            assert not executions, f'{request} was executed, but {outcome}'
         if isinstance(outcome, Answered):
             assert outcome.body == request.body, (request, outcome)
             ids = self._ids_by_key[request.key] if request.key else ()
             replayed = any(counts[one] for one in ids)
-            assert ran or replayed, f'{request} never ran, but {outcome}'
+            assert executions or replayed, (
+                f'{request} was never executed, but {outcome}'
+            )
 
     def _send(self, daemon_id, delay_ms, key, fields):
         request = self._region.request(daemon_id, **fields)
@@ -95,8 +97,8 @@
         return outcome
 
     def _check_refused_retry(self, key):
-        # To the caller "not run" speaks of the key, not of the attempt.
-        counts = collections.Counter(self._region.ran())
+        # A refused retry means that no attempt of the key was executed.
+        counts = collections.Counter(self._region.executed_ids())
         assert not any(counts[one] for one in self._ids_by_key[key]), key
 
     def _outcome(self, task):
--- a/waxwingford/routing/tests/fakes.py
+++ b/waxwingford/routing/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fake backend servers and peers that keep account of what ran."""
+"""Fake backend servers and peers that record the executed requests."""
 
 import asyncio
 import contextvars
@@ -9,7 +9,7 @@
 
 _MS_IN_S = 1000
 _LEASE_MS = 100_000_000
-_DELAY_MS = 1
+_NETWORK_DELAY_MS = 1
 
 
 async def sleep_ms(duration_ms):
@@ -18,64 +18,64 @@
 
 @dataclasses.dataclass
 class FakeServer:
-    """A backend server: runs calls up to its slots, also abandoned ones."""
+    """Backend server that also completes abandoned calls."""
 
     server_id: str
     service: str = 'dispatcher'
     slots: int = 8
     connections: int = 64
     latency_ms: float = 10
-    refuses: bool = False
+    refuses_calls: bool = False
     loses_answers: bool = False
-    frozen: bool = False
-    foreign: bool = False
-    faulty: bool = False
-    drops: bool = False
+    suspended: bool = False
+    wrong_request_id: bool = False
+    raises: bool = False
+    drops_connection: bool = False
     overrun_ms: float = 0
     late_ms: float = 0
     leaving: bool = False
     lease_until_ms: int = _LEASE_MS
     boot_id: str = 'boot-1'
     in_flight: int = 0
-    peak: int = 0
-    overflows: int = 0
-    ran: list = dataclasses.field(default_factory=list)
+    peak_in_flight: int = 0
+    rejected_calls: int = 0
+    executed_ids: list = dataclasses.field(default_factory=list)
 
     async def serve(self, call):
-        if self.faulty:
-            raise ValueError('fault in the adapter')
-        if self.refuses:
+        if self.raises:
+            raise ValueError('error in the adapter')
+        if self.refuses_calls:
             return ServiceNotRun('connection refused')
         if self.in_flight >= self.slots:
-            self.overflows += 1
+            self.rejected_calls += 1
             return ServiceNotRun('server is full')
-        # The server goes on even when nobody waits for the answer any more.
+        # The server continues after its client has stopped waiting.
         running = asyncio.get_running_loop().create_task(
             self._run(call), context=contextvars.Context()
         )
-        if self.drops:
-            await sleep_ms(_DELAY_MS)
+        if self.drops_connection:
+            await sleep_ms(_NETWORK_DELAY_MS)
             return ServiceUnknown('connection reset')
         return await asyncio.shield(running)
 
     async def _run(self, call):
         self.in_flight += 1
-        self.peak = max(self.peak, self.in_flight)
-        self.ran.append(call.request_id.rpartition('.')[0])
-        lost = self.loses_answers or self.frozen
+        self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
+        self.executed_ids.append(call.request_id.rpartition('.')[0])
+        is_lost = self.loses_answers or self.suspended
         max_run_ms = call.deadline_ms + self.overrun_ms
-        run_ms = max_run_ms if self.frozen else self.latency_ms
+        run_ms = max_run_ms if self.suspended else self.latency_ms
         await sleep_ms(min(run_ms, max_run_ms))
         self.in_flight -= 1
         await sleep_ms(self.late_ms)
-        if lost:
+        if is_lost:
             return ServiceUnknown('connection lost')
-        request_id = 'other/1/1.0' if self.foreign else call.request_id
+        request_id = 'other/1/1.0' if self.wrong_request_id else call.request_id
         return ServiceAnswer(request_id, 200, 'text/plain', call.body)
 
 
 class FakeServers:
-    """Port to all fake servers, addressed by their id as host."""
+    """Client for the fake servers; the host is the server id."""
 
     def __init__(self, servers):
         self._server_by_id = {server.server_id: server for server in servers}
@@ -85,7 +85,7 @@
 
 
 class FakePeers:
-    """Network between dispatchers; links can be cut in one direction."""
+    """Network between dispatchers; a link can be cut in one direction."""
 
     def __init__(self, own_id, region):
         self._own_id = own_id
@@ -94,18 +94,20 @@
     async def forward(self, peer_id, request, timeout_ms):
         if self._cut(self._own_id, peer_id):
             return Refused('not connected', 100)
-        await sleep_ms(_DELAY_MS)
+        await sleep_ms(_NETWORK_DELAY_MS)
         dispatcher = self._region.dispatcher_by_id[peer_id]
         if dispatcher is None:
             return Unknown('connection lost', 100)
         forwarded = dataclasses.replace(request, hops=request.hops + 1)
         served = self._region.begin(peer_id, forwarded)
         done, _ = await asyncio.wait((served,), timeout=timeout_ms / _MS_IN_S)
-        lost = (
+        is_lost = (
             not done or served.cancelled() or self._cut(peer_id, self._own_id)
         )
         return (
-            Unknown('no answer of the peer', 100) if lost else served.result()
+            Unknown('no answer of the peer', 100)
+            if is_lost
+            else served.result()
         )
 
     async def recall_all(self, member, key, body_digest):
@@ -120,14 +122,14 @@
         return dict(zip(peers, answers, strict=True))
 
     async def _recall(self, peer_id, member, key, body_digest):
-        await sleep_ms(_DELAY_MS)
+        await sleep_ms(_NETWORK_DELAY_MS)
         dispatcher = self._region.dispatcher_by_id[peer_id]
         if dispatcher is None or self._cut(self._own_id, peer_id):
             return RecallAnswer(RecallState.unreachable, 0)
         answer = dispatcher.answer_recall(
             member, key, body_digest, self._own_id
         )
-        await sleep_ms(_DELAY_MS)
+        await sleep_ms(_NETWORK_DELAY_MS)
         if self._cut(peer_id, self._own_id):
             return RecallAnswer(RecallState.unreachable, 0)
         return answer
--- a/waxwingford/routing/tests/outcomes.feature
+++ b/waxwingford/routing/tests/outcomes.feature
@@ -1,73 +1,60 @@
-Feature: Outcomes of requests are true
-  A caller acts on what it is told: a refused request is sent again.
+Feature: Outcomes of requests
+  Callers repeat refused requests, so a refusal must be certain.
 
-  # Symptom: a reservation runs twice, the caller was told "not run".
-  # Sequence: the backend server runs the request and its answer is lost; the
-  # daemon refuses.
-  # Cause: a lost answer was taken for a refusal.
-  Scenario Outline: Only what certainly did not run is refused
+  # Guards against a refusal after a lost answer, which would cause the caller
+  # to repeat an executed request.
+  Scenario Outline: Only requests that were not executed are refused
     Given a dispatcher that holds 2 servers of 3 slots
-    When a request that is not idempotent is sent while <fault>
-    Then its outcome is "<outcome>" and it ran <count> times
+    When a non-idempotent request is sent while <fault>
+    Then its outcome is "<outcome>" and it was executed <count> times
 
     Examples:
-      | fault                            | outcome | count |
-      | every server is full             | Refused | 0     |
-      | every server refuses connections | Refused | 0     |
-      | every answer is lost             | Unknown | 1     |
-      | every server is frozen           | Unknown | 1     |
-      | every server mixes answers up    | Unknown | 1     |
-      | the port of servers has a fault  | Unknown | 0     |
-      | its deadline has passed          | Refused | 0     |
+      | fault                                   | outcome | count |
+      | every server is full                    | Refused | 0     |
+      | every server refuses connections        | Refused | 0     |
+      | every answer is lost                    | Unknown | 1     |
+      | every server is suspended               | Unknown | 1     |
+      | every server returns a wrong request id | Unknown | 1     |
+      | the server client raises an exception   | Unknown | 0     |
+      | its deadline has passed                 | Refused | 0     |
 
-  # Symptom: an agent sees another tenant's report.
-  # Sequence: a server answers with another request's id; or the answer to an
-  # attempt that was given up arrives while a later one waits.
-  # Cause: answers were matched by order instead of by id.
-  Scenario: Late and foreign answers are dropped and counted
+  # Guards against returning an answer to a different request.
+  Scenario: Late and mismatched answers are dropped and counted
     Given a dispatcher that holds 2 servers of 3 slots
-    When the first server mixes answers up and the second is in order
-    And 40 idempotent requests are sent one after another
-    Then each answered request has its own body
+    When only the first of two servers returns a wrong request id
+    And 40 idempotent requests are sent sequentially
+    Then each answered request received its own body
     And dropped answers are counted as "foreign_answers_total"
     When every server answers 100 ms after the deadline
-    And 3 idempotent requests are sent one after another
-    And the late answers have come
+    And 3 idempotent requests are sent sequentially
+    And the late answers have arrived
     Then no more requests were answered
     And dropped answers are counted as "late_answers_total"
 
-  # Symptom: an overload makes itself worse: load doubles while answers fall.
-  # Sequence: every server fails; each request is retried on each server.
-  # Cause: retries limited by request instead of by a share of traffic.
+  # Guards against retries that multiply the load when all servers fail.
   Scenario: A retry storm is bounded by the budget
     Given a dispatcher that holds 20 servers of 8 slots
     When every answer is lost from now on
-    And 200 idempotent requests are sent one after another
-    Then at most 25 more requests ran than were sent
+    And 200 idempotent requests are sent sequentially
+    Then at most 25 retries were executed
 
-  # Symptom: requests in progress are cut off by a planned stop.
-  # Sequence: the daemon stops while requests wait for their answers.
-  # Cause: the stop did not wait, or took new requests meanwhile.
-  Scenario: A drain ends requests in progress and takes no new ones
+  # Guards against requests aborted by a planned shutdown.
+  Scenario: A drain completes requests in progress and refuses new ones
     Given a dispatcher that holds 2 servers of 3 slots
     When 4 requests are in progress and the dispatcher drains
-    And another request comes
+    And another request arrives during the drain
     Then the requests in progress are answered and the other one is refused
-    And the drain says that nothing is left
+    And the drain completes
 
-  # Symptom: a refused request bounces between full daemons.
-  # Sequence: a forwards to b, b has no room and forwards to c.
-  # Cause: hops were not bounded.
-  Scenario: A forwarded request is served or refused where it arrives
+  # Guards against requests that circulate between fully loaded daemons.
+  Scenario: A forwarded request is not forwarded again
     Given daemons "a, b, c" of which only "c" holds a server
-    When a request is sent to "a" and "b" claims to have room
-    Then "b" refused it and "c" never saw it
-    And the next request of "a" is answered through "c"
+    When a request is sent to "a" while "b" appears to have free slots
+    Then "b" refused the request and "c" did not receive it
+    And the next request to "a" is forwarded to "c"
 
-  # Symptom: a caller that goes away frees a slot that is still in use.
-  # Sequence: the caller closes its connection; its handler is cancelled.
-  # Cause: the cancellation reached the call to the backend server.
-  Scenario: A caller that goes away leaves its slot counted
+  # Guards against releasing a slot that the backend server still uses.
+  Scenario: A slot stays occupied after its caller has disconnected
     Given a dispatcher that holds 1 servers of 3 slots
-    When 3 callers go away while their requests run
+    When 3 callers disconnect while their requests run
     Then no slot is free until the requests have ended
--- a/waxwingford/routing/tests/outcomes_steps.py
+++ b/waxwingford/routing/tests/outcomes_steps.py
@@ -6,26 +6,26 @@
 
 from waxwingford.routing import Answered, Drained, PeerView, Refused, Unknown
 from waxwingford.routing.tests.fakes import FakeServer, sleep_ms
-from waxwingford.routing.tests.slots_steps import region_of
+from waxwingford.routing.tests.slots_steps import region_fixture
 
 
 def break_servers(context, fault):
-    """Bring a fault about; returns changes to the request."""
+    """Inject a fault; returns fields to override in the request."""
     servers = context.region.server_by_id.values()
     for server in servers:
         match fault:
             case 'every server is full':
                 server.in_flight = server.slots
             case 'every server refuses connections':
-                server.refuses = True
+                server.refuses_calls = True
             case 'every answer is lost':
                 server.loses_answers = True
-            case 'every server is frozen':
-                server.frozen = True
-            case 'every server mixes answers up':
-                server.foreign = True
-            case 'the port of servers has a fault':
-                server.faulty = True
+            case 'every server is suspended':
+                server.suspended = True
+            case 'every server returns a wrong request id':
+                server.wrong_request_id = True
+            case 'the server client raises an exception':
+                server.raises = True
     return {'deadline_ms': 0} if fault == 'its deadline has passed' else {}
 
 
@@ -38,7 +38,7 @@
         context.pairs.append((body, outcome))
 
 
-@when('a request that is not idempotent is sent while {fault}')
+@when('a non-idempotent request is sent while {fault}')
 def faulty_request(context, fault):
     fields = break_servers(context, fault)
     context.outcome = context.region.call(
@@ -46,24 +46,26 @@
     )
 
 
-@then('its outcome is "{expected}" and it ran {count:d} times')
+@then('its outcome is "{expected}" and it was executed {count:d} times')
 def outcome_and_count(context, expected, count):
     assert type(context.outcome).__name__ == expected, context.outcome
-    assert len(context.region.ran()) == count, context.region.ran()
+    assert len(context.region.executed_ids()) == count, (
+        context.region.executed_ids()
+    )
     assert context.outcome.retry_after_ms > 0
 
 
-@when('the first server mixes answers up and the second is in order')
-def first_mixes_up(context):
-    context.region.server_by_id['server-0'].foreign = True
+@when('only the first of two servers returns a wrong request id')
+def first_returns_wrong_id(context):
+    context.region.server_by_id['server-0'].wrong_request_id = True
 
 
-@when('{count:d} idempotent requests are sent one after another')
+@when('{count:d} idempotent requests are sent sequentially')
 def requests_in_order(context, count):
     send_many(context, count)
 
 
-@then('each answered request has its own body')
+@then('each answered request received its own body')
 def each_own_body(context):
     answered = [
         (body, outcome.body)
@@ -83,13 +85,13 @@
 @when('every server answers {late_ms:d} ms after the deadline')
 def late_answers(context, late_ms):
     for server in context.region.server_by_id.values():
-        server.foreign = False
-        server.frozen = False
+        server.wrong_request_id = False
+        server.suspended = False
         server.late_ms = late_ms
 
 
-@when('the late answers have come')
-def late_came(context):
+@when('the late answers have arrived')
+def late_arrived(context):
     context.region.advance_ms(1000)
 
 
@@ -101,14 +103,14 @@
 
 
 @when('every answer is lost from now on')
-def all_lost(context):
+def lose_all_answers(context):
     break_servers(context, 'every answer is lost')
 
 
-@then('at most {max_count:d} more requests ran than were sent')
+@then('at most {max_count:d} retries were executed')
 def bounded_retries(context, max_count):
     sent = len(context.pairs)
-    retries = len(context.region.ran()) - sent
+    retries = len(context.region.executed_ids()) - sent
     assert 0 < retries <= max_count, retries
 
 
@@ -125,7 +127,7 @@
     region.advance_ms(1)
 
 
-@when('another request comes')
+@when('another request arrives during the drain')
 def another_request(context):
     assert not context.draining.done()
     context.outcome = context.region.call('centre-1')
@@ -139,8 +141,8 @@
     assert isinstance(context.outcome, Refused), context.outcome
 
 
-@then('the drain says that nothing is left')
-def drain_ends(context):
+@then('the drain completes')
+def drain_completes(context):
     ended = context.region.loop.run_until_complete(context.draining)
     assert ended == Drained()
 
@@ -148,11 +150,11 @@
 @given('daemons "a, b, c" of which only "c" holds a server')
 def only_c_holds(context):
     servers = {'a': [], 'b': [], 'c': [FakeServer('server-c')]}
-    use_fixture(region_of, context, servers)
+    use_fixture(region_fixture, context, servers)
 
 
-@when('a request is sent to "a" and "b" claims to have room')
-def sent_past_b(context):
+@when('a request is sent to "a" while "b" appears to have free slots')
+def forwarded_to_full_peer(context):
     region = context.region
     region.refresh()
     stale = PeerView('b', 'centre', True, {'dispatcher': 9}, {}, 1.0)
@@ -160,7 +162,7 @@
     context.outcome = region.call('a')
 
 
-@then('"b" refused it and "c" never saw it')
+@then('"b" refused the request and "c" did not receive it')
 def refused_at_b(context):
     region = context.region
     assert isinstance(context.outcome, Refused), context.outcome
@@ -170,7 +172,7 @@
     assert served == [1, 1, 0], served
 
 
-@then('the next request of "{one}" is answered through "{other}"')
+@then('the next request to "{one}" is forwarded to "{other}"')
 def forwarded_next(context, one, other):
     region = context.region
     region.refresh()
@@ -178,8 +180,8 @@
     assert region.metric_total(other, 'requests_total') == 1
 
 
-@when('{count:d} callers go away while their requests run')
-def callers_go_away(context, count):
+@when('{count:d} callers disconnect while their requests run')
+def callers_disconnect(context, count):
     region = context.region
     tasks = [
         region.begin('centre-1', region.request('centre-1'))
--- a/waxwingford/routing/tests/random_requests_steps.py
+++ b/waxwingford/routing/tests/random_requests_steps.py
@@ -25,12 +25,12 @@
 _delay_ms = strategies.sampled_from((0, 0, 1, 5, 40, 300, 1900))
 _urgency = strategies.sampled_from(list(Urgency))
 _FAULTS = (
-    'frozen',
-    'refuses',
+    'suspended',
+    'refuses_calls',
     'loses_answers',
-    'foreign',
+    'wrong_request_id',
     'leaving',
-    'drops',
+    'drops_connection',
     'late_ms',
     'overrun_ms',
 )
@@ -42,21 +42,21 @@
 _burst = strategies.tuples(
     _just('burst'), _daemon, strategies.integers(1, 12), _urgency
 )
-_broken = strategies.tuples(_just('fault'), _server, _fault)
+_fault_action = strategies.tuples(_just('fault'), _server, _fault)
 _RARE = (
     strategies.tuples(_just('kill'), _daemon),
     strategies.tuples(_just('start'), _daemon),
-    strategies.tuples(_just('freeze')),
+    strategies.tuples(_just('suspend')),
     strategies.tuples(_just('cut'), _daemon, _daemon),
     strategies.tuples(_just('heal')),
     strategies.tuples(_just('hand_over'), _server, _daemon),
-    strategies.tuples(_just('mend'), _server),
+    strategies.tuples(_just('repair'), _server),
 )
 _ACTION = strategies.sampled_from(
     (
         *itertools.repeat(_keyed, 5),
         *itertools.repeat(_burst, 4),
-        *itertools.repeat(_broken, 3),
+        *itertools.repeat(_fault_action, 3),
         *_RARE,
     )
 ).flatmap(lambda action: action)
@@ -64,12 +64,12 @@
 STEPS = strategies.lists(
     strategies.tuples(_WAIT_MS, _ACTION), min_size=15, max_size=60
 )
-#: Actions after which a server's calls are counted by another process.
-_UNSTABLE = frozenset(('kill', 'freeze', 'hand_over'))
+#: Actions after which another process counts the calls of a server.
+_UNSTABLE = frozenset(('kill', 'suspend', 'hand_over'))
 
 
 class RandomRun:
-    """One run: applies steps, then checks the accounts."""
+    """Applies the steps of one run and checks the invariants."""
 
     def __init__(self, *, stable):
         self._stable = stable
@@ -78,8 +78,8 @@
             {'a': servers[:2], 'b': servers[2:], 'c': []}, limits=_LIMITS
         )
         self.callers = Callers(self.region)
-        # Servers whose calls were always counted by one process.
-        self.one_holder = set(_SERVERS)
+        # Servers whose calls were counted by a single process throughout.
+        self.single_holder_servers = set(_SERVERS)
         self.step_counts = collections.Counter()
 
     def apply(self, step):
@@ -94,28 +94,28 @@
             getattr(self, f'_{name}')(*rest)
 
     def finish(self):
-        """Mend everything, wait, and check."""
+        """Remove all faults, wait for recovery and check the invariants."""
         self.region.cut_links.clear()
         for daemon_id in _DAEMONS:
             self._start(daemon_id)
         for server in _SERVERS:
-            self._mend(server)
+            self._repair(server)
         self._pass(2 * _LIMITS.key_memory_ms)
         self.callers.check_all()
         self._check_slots()
         self._check_not_stuck()
 
-    def _keyed(self, key, daemon_id, delay_ms, says_age):
-        self.callers.keyed(key, daemon_id, delay_ms, says_age)
+    def _keyed(self, key, daemon_id, delay_ms, states_age):
+        self.callers.send_keyed(key, daemon_id, delay_ms, states_age)
 
     def _burst(self, daemon_id, count, urgency):
-        self.callers.burst(daemon_id, count, urgency)
+        self.callers.send_burst(daemon_id, count, urgency)
 
     def _fault(self, server_id, fault):
         level = 200 if fault.endswith('_ms') else True
         setattr(self.region.server_by_id[server_id], fault, level)
 
-    def _mend(self, server_id):
+    def _repair(self, server_id):
         server = self.region.server_by_id[server_id]
         for fault in _FAULTS:
             setattr(server, fault, 0)
@@ -123,16 +123,16 @@
     def _kill(self, daemon_id):
         if self.region.dispatcher_by_id[daemon_id] is not None:
             self.region.kill(daemon_id)
-            self._changed_holder(daemon_id)
+            self._record_holder_change(daemon_id)
 
     def _start(self, daemon_id):
         if self.region.dispatcher_by_id[daemon_id] is None:
             self.region.start(daemon_id)
 
-    def _freeze(self):
-        # All clocks agree on it; servers, too, overrun their deadlines.
+    def _suspend(self):
+        # The stall affects all clocks, so servers overrun deadlines too.
         self.region.loop.stall(2 * _LEASE_MS / 1000)
-        self.one_holder.clear()
+        self.single_holder_servers.clear()
 
     def _cut(self, one, other):
         self.region.cut_links.add((one, other))
@@ -143,7 +143,7 @@
             if server in servers:
                 servers.remove(server)
         self.region.servers_by_daemon[daemon_id].append(server)
-        self.one_holder.discard(server_id)
+        self.single_holder_servers.discard(server_id)
 
     def _pass(self, duration_ms):
         while duration_ms > 0:
@@ -151,16 +151,16 @@
             self.region.advance_ms(min(duration_ms, _TICK_MS))
             duration_ms -= _TICK_MS
 
-    def _changed_holder(self, daemon_id):
+    def _record_holder_change(self, daemon_id):
         servers = self.region.servers_by_daemon[daemon_id]
-        self.one_holder -= {server.server_id for server in servers}
+        self.single_holder_servers -= {server.server_id for server in servers}
 
     def _check_slots(self):
         for server in self.region.server_by_id.values():
-            assert server.peak <= server.slots, server
+            assert server.peak_in_flight <= server.slots, server
             assert not server.in_flight, server
-            if server.server_id in self.one_holder:
-                assert not server.overflows, server
+            if server.server_id in self.single_holder_servers:
+                assert not server.rejected_calls, server
 
     def _check_not_stuck(self):
         free_slots = [
@@ -186,7 +186,7 @@
     return run
 
 
-@when('{count:d} random runs of the request path are made')
+@when('{count:d} random runs of the request path are executed')
 def random_runs(context, count):
     context.step_counts = collections.Counter()
     context.outcome_counts = collections.Counter()
@@ -204,8 +204,8 @@
     _one_run()
 
 
-@then('the accounts of the fake servers hold in all of them')
-def accounts_hold(context):
-    # A run that never gets to an outcome would prove nothing about it.
+@then('the invariants hold in all of them')
+def invariants_hold(context):
+    # Runs must cover each kind of outcome.
     expected = {'Answered', 'Refused', 'Unknown'}
     assert expected <= context.outcome_counts.keys(), context.outcome_counts
--- a/waxwingford/routing/tests/region.py
+++ b/waxwingford/routing/tests/region.py
@@ -1,4 +1,4 @@
-"""A region of dispatchers, fake servers and callers on one virtual event loop."""
+"""Region of dispatchers and fake servers on one virtual event loop."""
 
 import asyncio
 import collections
@@ -24,7 +24,7 @@
 )
 from waxwingford.timeline import TimeLine
 
-#: Which process a task belongs to, so that a kill ends just its tasks.
+#: Process that a task belongs to; killing the process cancels its tasks.
 PROCESS = contextvars.ContextVar('process', default='')
 MEMBER = 'svatbena'
 
@@ -46,9 +46,9 @@
 
 
 class Region:
-    """Daemons by id, each holding some servers."""
+    """Daemons of a region and the servers that they hold."""
 
-    def __init__(self, servers_by_daemon, limits=None, old_enough=True):
+    def __init__(self, servers_by_daemon, limits=None, past_startup=True):
         self.loop = VirtualLoop()
         self.loop.set_task_factory(self._make_task)
         self._tasks_by_process = collections.defaultdict(weakref.WeakSet)
@@ -67,12 +67,12 @@
         self._numbers = iter(range(1, 1_000_000))
         for daemon_id in servers_by_daemon:
             self.start(daemon_id)
-        if old_enough:
+        if past_startup:
             self.run_for_ms(self.limits.key_memory_ms + 1000)
         self.refresh()
 
     def start(self, daemon_id):
-        """Start a daemon anew: it remembers nothing."""
+        """Start a daemon with empty state."""
         self.incarnation_by_id[daemon_id] += 1
         clock = self.clock_by_id.setdefault(daemon_id, LoopClock(self.loop))
         metrics = self.metrics_by_id.setdefault(daemon_id, Metrics())
@@ -92,7 +92,7 @@
         )
 
     def kill(self, daemon_id):
-        """End a daemon's process with everything that it was doing."""
+        """Kill the process of a daemon and cancel its tasks."""
         process = self.process(daemon_id)
         for task in tuple(self._tasks_by_process.pop(process, ())):
             task.cancel()
@@ -101,10 +101,10 @@
     def process(self, daemon_id):
         return f'{daemon_id}#{self.incarnation_by_id[daemon_id]}'
 
-    def refresh(self, lease_ms=10_000_000, frozen=''):
-        """Do what control exchanges and heartbeats do in the daemon."""
+    def refresh(self, lease_ms=10_000_000, suspended=''):
+        """Update servers and peers as control exchanges and heartbeats do."""
         for daemon_id, dispatcher in self.dispatcher_by_id.items():
-            if dispatcher is not None and daemon_id != frozen:
+            if dispatcher is not None and daemon_id != suspended:
                 until_ms = self.clock_by_id[daemon_id].monotonic_ms() + lease_ms
                 servers = self.servers_by_daemon[daemon_id]
                 dispatcher.set_servers(
@@ -134,7 +134,7 @@
         return Request(**{**given, **fields})
 
     def begin(self, daemon_id, request):
-        """Send a request to a daemon in the daemon's own process."""
+        """Handle a request in the process of a daemon."""
         context = contextvars.copy_context()
         context.run(PROCESS.set, self.process(daemon_id))
         return self.loop.create_task(
@@ -153,10 +153,10 @@
     def advance_ms(self, duration_ms):
         self.loop.run_until_complete(sleep_ms(duration_ms))
 
-    def run_for_ms(self, duration_ms, frozen=''):
-        """Pass time in which all daemons but a frozen one show life."""
+    def run_for_ms(self, duration_ms, suspended=''):
+        """Advance time with updates to all daemons but the suspended one."""
         for _ in range(0, duration_ms, 1000):
-            self.refresh(frozen=frozen)
+            self.refresh(suspended=suspended)
             self.advance_ms(min(duration_ms, 1000))
 
     def metric_total(self, daemon_id, name):
@@ -167,10 +167,14 @@
             if line.startswith(prefix)
         )
 
-    def ran(self):
-        """List the request ids that ran, in no order."""
+    def executed_ids(self):
+        """List the ids of executed requests, in no order."""
         servers = self.server_by_id.values()
-        return [request_id for server in servers for request_id in server.ran]
+        return [
+            request_id
+            for server in servers
+            for request_id in server.executed_ids
+        ]
 
     def close(self):
         end_loop(self.loop)
--- a/waxwingford/routing/tests/slots_steps.py
+++ b/waxwingford/routing/tests/slots_steps.py
@@ -13,14 +13,14 @@
 
 
 @fixture
-def region_of(context, servers_by_daemon, **options):
+def region_fixture(context, servers_by_daemon, **options):
     region = Region(servers_by_daemon, **options)
     context.region = region
     yield region
     region.close()
 
 
-def table_of(context, count, **fields):
+def make_table(context, count, **fields):
     context.now_ms = 1
     context.servers = [
         FakeServer(f'server-{index}', **fields) for index in range(count)
@@ -32,7 +32,7 @@
 
 
 def take_all(context):
-    """Take every slot that is given out."""
+    """Take all free slots."""
     slots = []
     while True:
         server_id = context.slot_table.choose('dispatcher', context.now_ms)
@@ -46,19 +46,19 @@
 def dispatcher_with_servers(context, count, slots):
     servers = [FakeServer(f'server-{one}', slots=slots) for one in range(count)]
     use_fixture(
-        region_of, context, {'centre-1': servers}, limits=DispatchLimits()
+        region_fixture, context, {'centre-1': servers}, limits=DispatchLimits()
     )
     context.region.advance_ms(_PAST_SLOW_START_MS)
 
 
-@given('both servers are frozen and give up {late_ms:d} ms after the deadline')
-def servers_frozen(context, late_ms):
+@given('both servers are suspended and overrun deadlines by {late_ms:d} ms')
+def servers_suspended(context, late_ms):
     for server in context.region.server_by_id.values():
-        server.frozen = True
+        server.suspended = True
         server.overrun_ms = late_ms
 
 
-@when('{count:d} requests with a deadline of {deadline_ms:d} ms come at once')
+@when('{count:d} requests with a deadline of {deadline_ms:d} ms arrive at once')
 def requests_at_once(context, count, deadline_ms):
     region = context.region
     tasks = [
@@ -70,11 +70,13 @@
     region.loop.run_until_complete(asyncio.gather(*tasks))
 
 
-@then('no server had more calls than slots and none was refused as full')
-def slots_kept(context):
+@then('no server had more calls than slots or rejected one')
+def slots_not_exceeded(context):
     servers = context.region.server_by_id.values()
-    assert [one.peak for one in servers] == [one.slots for one in servers]
-    assert not sum(one.overflows for one in servers)
+    assert [one.peak_in_flight for one in servers] == [
+        one.slots for one in servers
+    ]
+    assert not sum(one.rejected_calls for one in servers)
 
 
 @then('after {wait_ms:d} ms all slots are free again')
@@ -89,13 +91,13 @@
     ' and {connections:d} connections'
 )
 def table_with_one(context, slots, connections):
-    table_of(context, 1, slots=slots, connections=connections)
+    make_table(context, 1, slots=slots, connections=connections)
     context.now_ms += _PAST_SLOW_START_MS
 
 
 @given('a slot table with {count:d} servers of {slots:d} slots')
 def table_with_many(context, count, slots):
-    table_of(context, count, slots=slots)
+    make_table(context, count, slots=slots)
     context.now_ms += _PAST_SLOW_START_MS
 
 
@@ -103,7 +105,7 @@
     'a slot table with a server that is full and a new one of {slots:d} slots'
 )
 def table_with_new(context, slots):
-    table_of(context, 1, slots=slots)
+    make_table(context, 1, slots=slots)
     assert len(take_all(context)) == slots
     context.servers.append(FakeServer('server-new', slots=slots))
     context.slot_table.set_servers(
@@ -113,7 +115,7 @@
 
 @given('a slot table that gets {count:d} servers of {slots:d} slots at once')
 def table_all_new(context, count, slots):
-    table_of(context, count, slots=slots)
+    make_table(context, count, slots=slots)
 
 
 @then('{count:d} slots can be taken')
@@ -123,7 +125,7 @@
 
 
 @then('after {wait_ms:d} ms {count:d} more slots can be taken')
-def can_take_later(context, wait_ms, count):
+def can_take_after(context, wait_ms, count):
     context.now_ms = 1 + wait_ms
     can_take(context, count)
 
@@ -136,8 +138,8 @@
     )
 
 
-@when('the server is chosen and its lease lapses before the dispatch')
-def lease_lapses(context):
+@when('the lease of the chosen server expires before dispatch')
+def lease_expires(context):
     server = context.servers[0]
     server.lease_until_ms = context.now_ms + 10
     context.slot_table.add_or_renew(held_server(server), context.now_ms)
@@ -145,8 +147,8 @@
     context.now_ms += 10
 
 
-@then('the dispatch is given up')
-def dispatch_given_up(context):
+@then('the call is not dispatched')
+def not_dispatched(context):
     assert context.chosen == 'server-0'
     assert context.slot_table.take(context.chosen, context.now_ms) is None
 
@@ -181,8 +183,8 @@
     assert len(take_all(context)) == 8 * (len(context.servers) - count)
 
 
-@then('after the ejection they come back with a slow start')
-def back_slowly(context):
+@then('they return after the ejection with a slow start')
+def return_with_slow_start(context):
     context.now_ms += 5000
     back = {slot.held.server_id for slot in take_all(context)}
     assert back == context.ejected, back
@@ -190,8 +192,8 @@
     assert len(take_all(context)) == 7 * len(context.ejected)
 
 
-@when('{count:d} slots are taken and the server is lost and held again')
-def lost_and_held(context, count):
+@when('{count:d} slots are taken and the lease is lost and acquired again')
+def lease_lost_and_acquired(context, count):
     for _ in range(count):
         assert context.slot_table.take('server-0', context.now_ms)
     context.slot_table.set_servers((), context.now_ms)
--- a/waxwingford/routing/tests/virtual_loop.py
+++ b/waxwingford/routing/tests/virtual_loop.py
@@ -1,4 +1,4 @@
-"""Event loop with virtual time: sleeping costs nothing and is exact."""
+"""Event loop with virtual time."""
 
 import asyncio
 import selectors
@@ -8,7 +8,7 @@
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """Moves time on where a real selector would wait."""
+    """Advances virtual time instead of waiting."""
 
     def __init__(self):
         super().__init__()
@@ -22,10 +22,10 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Event loop whose clock moves only when all tasks wait."""
+    """Event loop whose clock advances only when all tasks wait."""
 
     def __init__(self):
-        """Start at time 0."""
+        """Create a loop at time 0."""
         self.selector = _VirtualTimeSelector()
         super().__init__(self.selector)
         self._clock_resolution = _RESOLUTION_S
@@ -38,9 +38,9 @@
         return self.selector.now_s
 
     def stall(self, duration_s):
-        """Let time pass while nothing runs, as in a freeze.
+        """Advance time without running tasks, as in a suspended process.
 
-        :param duration_s: seconds.
+        :param duration_s: duration, in seconds.
         """
         self.selector.now_s += duration_s
 
@@ -49,10 +49,10 @@
     """Clock of a virtual loop."""
 
     def __init__(self, loop, start_ms=1_000_000):
-        """Follow a loop.
+        """Create a clock for a virtual loop.
 
-        :param loop: the virtual loop.
-        :param start_ms: reading at its time 0, in milliseconds.
+        :param loop: loop that provides the time.
+        :param start_ms: clock reading at loop time 0, in milliseconds.
         """
         self._loop = loop
         self._start_ms = start_ms
@@ -73,9 +73,9 @@
 
 
 def end_loop(loop: VirtualLoop) -> None:
-    """Cancel what still runs and close the loop.
+    """Cancel all tasks and close the loop.
 
-    :param loop: the loop.
+    :param loop: loop to close.
     """
     for task in asyncio.all_tasks(loop):
         task.cancel()
