--- a/waxwingford/routing/_key_gate.py
+++ b/waxwingford/routing/_key_gate.py
@@ -182,7 +182,7 @@
         """
         self.tick()
         now_ms = self._now_ms()
-        state, outcome = self._key_store.answer_query(
+        state, outcome = self._key_store.answer_lookup(
             KeyId(member, key),
             digest,
             Requester(requester, requester < self._daemon_id),
@@ -194,8 +194,8 @@
         # A daemon that started while the attempt was in transit has lost the
         # lookups that its predecessor answered, so a retry may be running
         # elsewhere.  It handles the first attempt like a retry.
-        old_enough = self._uptime_ms() >= self._limits.delivery_ms
-        return request.attempt == 1 and old_enough
+        is_past_startup = self._uptime_ms() >= self._limits.delivery_ms
+        return request.attempt == 1 and is_past_startup
 
     def _begin(self, request: Request, is_first: bool) -> KeyDecision:
         key_id = _key_id(request)
@@ -215,7 +215,7 @@
             'too many key lookups in progress', UNREACHABLE_RETRY_MS
         )
         try:
-            decision = await self._ask_and_decide(
+            decision = await self._query_and_decide(
                 request, daemon_ids, max_wait_ms
             )
         finally:
@@ -232,7 +232,7 @@
                     self._key_store.abandon_lookup(key_id, self._now_ms())
         return decision
 
-    async def _ask_and_decide(
+    async def _query_and_decide(
         self, request: Request, daemon_ids: frozenset[str], max_wait_ms: int
     ) -> MayRun | Answered | Unknown | Rejected:
         limits = self._limits
@@ -253,13 +253,13 @@
         answers = dict.fromkeys(
             daemon_ids, RecallAnswer(RecallState.unreachable, 0)
         )
-        answers.update(await self._ask_all(request))
+        answers.update(await self._query_peers(request))
         answers[self._daemon_id] = RecallAnswer(
             RecallState.never_seen, self._uptime_ms()
         )
         return decide_retry(answers, age_ms)
 
-    async def _ask_all(self, request: Request) -> dict[str, RecallAnswer]:
+    async def _query_peers(self, request: Request) -> dict[str, RecallAnswer]:
         timeout_ms = min(self._limits.lookup_timeout_ms, request.deadline_ms)
         lookups = self._peers.recall_all(
             request.member, request.key, body_digest(request)
--- a/waxwingford/routing/_key_store.py
+++ b/waxwingford/routing/_key_store.py
@@ -30,7 +30,7 @@
 
 
 class _KeyState(enum.Enum):
-    queried = (
+    looked_up = (
         'looked up by another daemon or a declined retry; not executed here'
     )
     looking_up = 'a retry on this daemon queries the other daemons'
@@ -44,7 +44,7 @@
     digest: bytes
     state: _KeyState
     expires_ms: int = 0
-    was_queried: bool = False
+    was_looked_up: bool = False
     yielded: bool = False
     requester: str = ''
 
@@ -83,10 +83,10 @@
         if record.digest not in {b'', digest}:
             return KeyBodyMismatch()
         match record.state:
-            case _KeyState.queried if is_first:
+            case _KeyState.looked_up if is_first:
                 # Its caller may have been told that the retry was refused.
                 return KeySuperseded()
-            case _KeyState.queried:
+            case _KeyState.looked_up:
                 record.digest = digest
                 record.yielded = False
                 record.state = _KeyState.looking_up
@@ -136,7 +136,7 @@
         record.state = _KeyState.running
         return True
 
-    def answer_query(
+    def answer_lookup(
         self, key_id: KeyId, digest: bytes, requester: Requester, now_ms: int
     ) -> tuple[RecallState, Answered | None]:
         """Answer a lookup by another daemon and record the key.
@@ -153,11 +153,11 @@
         self._expire(now_ms)
         record = self._record_by_id.get(key_id)
         if record is None:
-            return self._record_query(key_id, requester, now_ms), None
+            return self._record_lookup(key_id, requester, now_ms), None
         if record.digest not in {b'', digest}:
             return RecallState.other_body, None
         match record.state:
-            case _KeyState.queried:
+            case _KeyState.looked_up:
                 record.requester = requester.daemon_id
                 self._schedule_expiry(key_id, record, now_ms)
                 return RecallState.never_seen, None
@@ -216,16 +216,16 @@
         if self._is_full(key_id.member):
             return KeyStoreFull()
         state = _KeyState.running if is_first else _KeyState.looking_up
-        self._add(key_id, _KeyRecord(digest, state, was_queried=not is_first))
+        self._add(key_id, _KeyRecord(digest, state, was_looked_up=not is_first))
         return MayRun() if is_first else MustLookUp()
 
-    def _record_query(
+    def _record_lookup(
         self, key_id: KeyId, requester: Requester, now_ms: int
     ) -> RecallState:
         if self._is_full(key_id.member):
             # Without a record, a delayed first attempt could still run here.
             return RecallState.unknown
-        record = _KeyRecord(b'', _KeyState.queried, was_queried=True)
+        record = _KeyRecord(b'', _KeyState.looked_up, was_looked_up=True)
         record.requester = requester.daemon_id
         self._add(key_id, record)
         self._schedule_expiry(key_id, record, now_ms)
@@ -241,8 +241,8 @@
     def _record_not_executed(
         self, key_id: KeyId, record: _KeyRecord, now_ms: int
     ) -> None:
-        if record.was_queried:
-            record.state = _KeyState.queried
+        if record.was_looked_up:
+            record.state = _KeyState.looked_up
             record.digest = b''
             self._schedule_expiry(key_id, record, now_ms)
         else:
--- a/waxwingford/routing/_peer_table.py
+++ b/waxwingford/routing/_peer_table.py
@@ -70,9 +70,10 @@
         candidates = self._by_service.get(service)
         if candidates is None:
             return None
-        for group in candidates:
+        for domain_peers in candidates:
             best = min(
-                self._costs(group, service, time_left_ms, tried), default=None
+                self._costs(domain_peers, service, time_left_ms, tried),
+                default=None,
             )
             if best is not None:
                 return best[1]
@@ -100,13 +101,13 @@
         free_slots = self._free_slots.pop((daemon_id, service), 0)
         self._free_slots_by_service[service] -= free_slots
         candidates = self._by_service.get(service)
-        for group in candidates or ():
-            group.discard(daemon_id)
+        for domain_peers in candidates or ():
+            domain_peers.discard(daemon_id)
 
     def free_slots(self, service: str) -> int:
         """Count the free slots of all peers.
 
-        :param service: service name.
+        :param service: service daemon_id.
         :returns: number of free slots.
         """
         return self._free_slots_by_service[service]
@@ -127,23 +128,23 @@
 
     def _costs(
         self,
-        group: IndexedSet,
+        domain_peers: IndexedSet,
         service: str,
         time_left_ms: float,
         tried: frozenset[str],
     ) -> list[tuple[float, str]]:
         return [
-            (self._cost(name, service), name)
-            for name in group.sample_two(self._rng)
-            if name not in tried
-            and self._expected_ms(name, service) <= time_left_ms
+            (self._cost(daemon_id, service), daemon_id)
+            for daemon_id in domain_peers.sample_two(self._rng)
+            if daemon_id not in tried
+            and self._expected_ms(daemon_id, service) <= time_left_ms
         ]
 
-    def _expected_ms(self, name: str, service: str) -> float:
-        peer = self._peer_by_id[name]
-        served_ms = peer.expected_ms_by_service.get(service, 0)
-        return peer.distance_ms + served_ms
+    def _expected_ms(self, daemon_id: str, service: str) -> float:
+        peer = self._peer_by_id[daemon_id]
+        latency_ms = peer.expected_ms_by_service.get(service, 0)
+        return peer.distance_ms + latency_ms
 
-    def _cost(self, name: str, service: str) -> float:
-        free_slots = max(1, self._free_slots[name, service])
-        return (1 + self._expected_ms(name, service)) / free_slots
+    def _cost(self, daemon_id: str, service: str) -> float:
+        free_slots = max(1, self._free_slots[daemon_id, service])
+        return (1 + self._expected_ms(daemon_id, service)) / free_slots
--- a/waxwingford/routing/_server_state.py
+++ b/waxwingford/routing/_server_state.py
@@ -99,7 +99,7 @@
         """
         return self.allowed_slots(now_ms) < self.max_in_flight()
 
-    def is_available(self, now_ms: int) -> bool:
+    def choosable(self, now_ms: int) -> bool:
         """Test whether a new call may be sent to the server.
 
         :param now_ms: monotonic time, in milliseconds.
--- a/waxwingford/routing/_slots.py
+++ b/waxwingford/routing/_slots.py
@@ -112,11 +112,11 @@
         if pool is None:
             return None
         for _ in range(EXTRA_DRAWS + pool.available_count()):
-            names = pool.sample_two(self._rng)
-            best = lowest_latency(self._available_of(names, tried, now_ms))
+            server_ids = pool.sample_two(self._rng)
+            best = lowest_latency(self._available_of(server_ids, tried, now_ms))
             if best:
                 return best.held.server_id
-            if not names:
+            if not server_ids:
                 break
         return None
 
@@ -131,7 +131,7 @@
         :returns: slot; None if the server is no longer available.
         """
         state = self.state_by_server.get(server_id)
-        if state is None or not state.is_available(now_ms):
+        if state is None or not state.choosable(now_ms):
             return None
         held = state.held
         require(
@@ -241,16 +241,16 @@
         return state
 
     def _available_of(
-        self, names: tuple[str, ...], tried: frozenset[str], now_ms: int
+        self, server_ids: tuple[str, ...], tried: frozenset[str], now_ms: int
     ) -> list[ServerState]:
         found = []
-        for name in names:
-            state = self.state_by_server[name]
-            if not state.is_available(now_ms):
+        for server_id in server_ids:
+            state = self.state_by_server[server_id]
+            if not state.choosable(now_ms):
                 # The lease has expired; a renewal makes the server available
                 # again.
                 self._refresh(state, now_ms)
-            elif name not in tried:
+            elif server_id not in tried:
                 found.append(state)
         return found
 
--- a/waxwingford/routing/tests/admission_steps.py
+++ b/waxwingford/routing/tests/admission_steps.py
@@ -43,7 +43,7 @@
     )
 
 
-def fill(context, member):
+def admit_until_shed(context, member):
     """Admit requests of a member until one is shed; returns the admitted."""
     decisions = (admit(context, member) for _ in itertools.count())
     return list(itertools.takewhile(is_admitted, decisions))
@@ -98,7 +98,7 @@
 
 @when('"{member}" sends urgent requests until one is refused')
 def fill_with_urgent(context, member):
-    context.borrowed = fill(context, member)
+    context.borrowed = admit_until_shed(context, member)
 
 
 @then('"{member}" exceeds its fair share of {half:d}')
@@ -108,7 +108,7 @@
 
 @then('at least {count:d} requests of "{member}" are admitted at once')
 def admitted_immediately(context, member, count):
-    context.other = fill(context, member)
+    context.other = admit_until_shed(context, member)
     assert len(context.other) >= count, len(context.other)
 
 
@@ -121,7 +121,7 @@
         # After each release the flooding member tries first.
         context.admission.release(ended)
         admit(context, 'qadri')
-        context.other.extend(fill(context, member))
+        context.other.extend(admit_until_shed(context, member))
     assert len(context.other) >= count, len(context.other)
 
 
@@ -142,7 +142,7 @@
 def waiting_requests(context, wait_ms, time_ms):
     for _ in range(0, time_ms, 20):
         context.admission.record_wait(wait_ms, context.now_ms)
-        for admitted in fill(context, 'qadri'):
+        for admitted in admit_until_shed(context, 'qadri'):
             context.admission.record_wait(wait_ms, context.now_ms)
             context.admission.release(admitted)
         context.now_ms += 20
@@ -161,7 +161,7 @@
 
 
 def admit_and_release_all(context):
-    admitted = fill(context, 'qadri')
+    admitted = admit_until_shed(context, 'qadri')
     for one in admitted:
         context.admission.release(one)
     return admitted
--- a/waxwingford/routing/tests/at_most_once_steps.py
+++ b/waxwingford/routing/tests/at_most_once_steps.py
@@ -22,7 +22,7 @@
     context.outcomes = []
 
 
-def attempt(context, daemon_id, **fields):
+def send_attempt(context, daemon_id, **fields):
     region = context.region
     given = {'idempotent': False, 'key': 'k', **fields}
     request = region.request(daemon_id, **given)
@@ -62,39 +62,39 @@
 
 @when('the first attempt of key "{key}" arrives at "{daemon_id}"')
 def sent_first(context, key, daemon_id):
-    attempt(context, daemon_id, key=key)
+    send_attempt(context, daemon_id, key=key)
 
 
 @when('first attempts of keys "{keys}" arrive at "{daemon_id}"')
 def keys_sent_first(context, keys, daemon_id):
     for key in keys.split(', '):
-        attempt(context, daemon_id, key=key)
+        send_attempt(context, daemon_id, key=key)
 
 
 @when('a first attempt of "{key}" with {time_ms:d} ms left arrives at "{one}"')
 def sent_first_deadline(context, key, time_ms, one):
-    attempt(context, one, key=key, deadline_ms=time_ms)
+    send_attempt(context, one, key=key, deadline_ms=time_ms)
 
 
 @when('member "{member}" sends key "{key}" with body "{body}" to "{one}"')
 @then('member "{member}" sends key "{key}" with body "{body}" to "{one}"')
 def other_member_sends(context, member, key, one, body):
-    attempt(context, one, key=key, member=member, body=body.encode())
+    send_attempt(context, one, key=key, member=member, body=body.encode())
 
 
 @when('key "{key}" is retried at "{daemon_id}"')
 def retried(context, key, daemon_id):
-    attempt(context, daemon_id, key=key, attempt=2, age_ms=1000)
+    send_attempt(context, daemon_id, key=key, attempt=2, age_ms=1000)
 
 
 @when('a retry of "{key}" with an age of {age_ms:d} ms arrives at "{one}"')
 def retried_with_age(context, key, age_ms, one):
-    attempt(context, one, key=key, attempt=2, age_ms=age_ms)
+    send_attempt(context, one, key=key, attempt=2, age_ms=age_ms)
 
 
 @when('a retry of "{key}" with body "{body}" arrives at "{daemon_id}"')
 def retried_with_body(context, key, body, daemon_id):
-    attempt(context, daemon_id, key=key, attempt=2, body=body.encode())
+    send_attempt(context, daemon_id, key=key, attempt=2, body=body.encode())
 
 
 @when('retries of "{key}" arrive at "{daemon_ids}" at once')
--- a/waxwingford/routing/tests/fakes.py
+++ b/waxwingford/routing/tests/fakes.py
@@ -92,7 +92,7 @@
         self._region = region
 
     async def forward(self, peer_id, request, timeout_ms):
-        if self._cut(self._own_id, peer_id):
+        if self._is_cut(self._own_id, peer_id):
             return Refused('not connected', 100)
         await sleep_ms(_NETWORK_DELAY_MS)
         dispatcher = self._region.dispatcher_by_id[peer_id]
@@ -102,7 +102,9 @@
         served = self._region.begin(peer_id, forwarded)
         done, _ = await asyncio.wait((served,), timeout=timeout_ms / _MS_IN_S)
         is_lost = (
-            not done or served.cancelled() or self._cut(peer_id, self._own_id)
+            not done
+            or served.cancelled()
+            or self._is_cut(peer_id, self._own_id)
         )
         return (
             Unknown('no answer of the peer', 100)
@@ -117,22 +119,22 @@
             if name != self._own_id
         ]
         answers = await asyncio.gather(
-            *(self._recall(name, member, key, body_digest) for name in peers)
+            *(self._look_up(name, member, key, body_digest) for name in peers)
         )
         return dict(zip(peers, answers, strict=True))
 
-    async def _recall(self, peer_id, member, key, body_digest):
+    async def _look_up(self, peer_id, member, key, body_digest):
         await sleep_ms(_NETWORK_DELAY_MS)
         dispatcher = self._region.dispatcher_by_id[peer_id]
-        if dispatcher is None or self._cut(self._own_id, peer_id):
+        if dispatcher is None or self._is_cut(self._own_id, peer_id):
             return RecallAnswer(RecallState.unreachable, 0)
         answer = dispatcher.answer_recall(
             member, key, body_digest, self._own_id
         )
         await sleep_ms(_NETWORK_DELAY_MS)
-        if self._cut(peer_id, self._own_id):
+        if self._is_cut(peer_id, self._own_id):
             return RecallAnswer(RecallState.unreachable, 0)
         return answer
 
-    def _cut(self, sender, receiver):
+    def _is_cut(self, sender, receiver):
         return (sender, receiver) in self._region.cut_links
