--- a/waxwingford/routing/_key_store.py
+++ b/waxwingford/routing/_key_store.py
@@ -63,7 +63,7 @@
         self._expiries: collections.deque[tuple[int, KeyId]] = (
             collections.deque()
         )
-        self._answers = AnswerCache(limits.answer_bytes)
+        self._answers = AnswerCache(limits.answer_cache_bytes)
 
     def begin(
         self, key_id: KeyId, digest: bytes, is_first: bool, now_ms: int
--- a/waxwingford/routing/_limits.py
+++ b/waxwingford/routing/_limits.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 #: Default size of the cache of answers, in bytes.
-ANSWER_BYTES = 33_554_432
+ANSWER_CACHE_BYTES = 33_554_432
 
 
 class ServiceLimits(NamedTuple):
@@ -40,7 +40,7 @@
     :ivar key_memory_ms: retention period of an idempotency key after its
         request has ended, in milliseconds.
     :ivar max_keys_per_member: maximum number of keys stored per member.
-    :ivar answer_bytes: maximum size of the cache of answers, in bytes.
+    :ivar answer_cache_bytes: maximum size of the cache of answers, in bytes.
     :ivar delivery_ms: maximum transit time of a first attempt from caller to
         daemon, in milliseconds; 0 if no intermediary stores and forwards
         requests, since a request on a connection that this process accepted
@@ -57,7 +57,7 @@
     max_lookups: int = 32
     key_memory_ms: int = 120_000
     max_keys_per_member: int = 50_000
-    answer_bytes: int = ANSWER_BYTES
+    answer_cache_bytes: int = ANSWER_CACHE_BYTES
     delivery_ms: int = 5000
     lookup_timeout_ms: int = 1000
     min_time_left_ms: int = 1
