--- a/waxwingford/routing/_admission.py
+++ b/waxwingford/routing/_admission.py
@@ -169,7 +169,7 @@
             return 'concurrency limit of the daemon reached'
         member_limit = self._shares.member_limit(member, limit, now_ms)
         if self._shares.in_progress(member) + 1 > member_limit:
-            return 'fair share of the member on the daemon used up'
+            return "member's share of the daemon is used up"
         return ''
 
     def _state_of(self, service: str) -> _ServiceAdmission:
@@ -199,8 +199,8 @@
         free_slots <= int(RESERVED_FRACTION_BY_URGENCY[urgency] * capacity)
         and free_slots
     ):
-        return 'remaining slots are reserved for more urgent requests'
+        return 'what is free is kept for more urgent requests'
     member_limit = state.shares.member_limit(member, capacity, now_ms)
     if free_slots and in_progress + 1 > member_limit:
-        return 'fair share of the member in the service used up'
+        return "member's share of the service is used up"
     return ''
--- a/waxwingford/routing/_dispatcher.py
+++ b/waxwingford/routing/_dispatcher.py
@@ -106,7 +106,7 @@
         """
         if self._draining:
             retry_after_ms = self._admission.retry_after_ms(request.service)
-            return turn_away(request, 'daemon is shutting down', retry_after_ms)
+            return turn_away(request, 'daemon is stopping', retry_after_ms)
         if request.attempt > 1 and not request.idempotent and not request.key:
             return Rejected(
                 'retry of a non-idempotent request requires an idempotency key'
--- a/waxwingford/routing/_retry_decision.py
+++ b/waxwingford/routing/_retry_decision.py
@@ -19,7 +19,7 @@
 UNREACHABLE_RETRY_MS = 2000
 #: Outcome of a request whose key was used for a different request.
 BODY_MISMATCH = Rejected(
-    'idempotency key was used for a different request',
+    'key was used with another body',
     HTTPStatus.UNPROCESSABLE_ENTITY,
 )
 
@@ -68,11 +68,9 @@
             'an earlier attempt may have been executed', UNREACHABLE_RETRY_MS
         )
     if RecallState.running in states:
-        return Unknown('another attempt is in progress', IN_PROGRESS_RETRY_MS)
+        return Unknown('an attempt is in progress', IN_PROGRESS_RETRY_MS)
     if RecallState.unreachable in states:
-        return Unknown(
-            'key lookup failed at one or more daemons', UNREACHABLE_RETRY_MS
-        )
+        return Unknown('not all daemons could be asked', UNREACHABLE_RETRY_MS)
     youngest_ms = min(answer.up_ms for answer in answers)
     if youngest_ms < age_ms:
         return Unknown(
--- a/waxwingford/routing/_router.py
+++ b/waxwingford/routing/_router.py
@@ -141,7 +141,7 @@
         """
         budget = self._budget(request.service)
         budget.deposit()
-        progress = _Progress(NeverSent('deadline has passed'))
+        progress = _Progress(NeverSent('the deadline has passed'))
         while self._has_time_left(deadline_ms):
             step = await self._send(request, deadline_ms, progress)
             if isinstance(step, Answered | Rejected):
@@ -167,7 +167,7 @@
         match step:
             case NoFreeSlot():
                 if not progress.tried:
-                    progress.evidence = NeverSent('no server has a free slot')
+                    progress.evidence = NeverSent('no server has room')
                 return False
             case NotExecuted(receiver=receiver, reason=reason):
                 progress.evidence = ReportedNotExecuted(receiver, reason)
