--- a/waxwingford/routing/_kept_answers.py
+++ b/waxwingford/routing/_answer_cache.py
@@ -1,4 +1,4 @@
-"""Answers kept for replay: the oldest go first when their bytes run out."""
+"""Size-bounded cache of answers that retries replay."""
 
 import collections
 
@@ -6,43 +6,43 @@
 from waxwingford.routing._messages import Answered
 
 
-class KeptAnswers:
-    """Answers by key, bounded in bytes."""
+class AnswerCache:
+    """Answers by key; the oldest are evicted when the cache is full."""
 
-    def __init__(self, most_bytes: int) -> None:
-        """Start empty.
+    def __init__(self, max_bytes: int) -> None:
+        """Create an empty cache.
 
-        :param most_bytes: bytes of bodies kept at most.
+        :param max_bytes: maximum total size of the bodies, in bytes.
         """
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
         self._bytes = 0
         self._answer_by_id: collections.OrderedDict[KeyId, Answered] = (
             collections.OrderedDict()
         )
 
-    def keep(self, key_id: KeyId, answer: Answered) -> None:
-        """Keep an answer as long as there is room.
+    def put(self, key_id: KeyId, answer: Answered) -> None:
+        """Store an answer, evicting the oldest ones if necessary.
 
         :param key_id: member and key.
-        :param answer: the answer.
+        :param answer: answer to store.
         """
-        self.drop(key_id)
+        self.discard(key_id)
         self._answer_by_id[key_id] = answer
         self._bytes += len(answer.body)
-        while self._bytes > self._most_bytes:
+        while self._bytes > self._max_bytes:
             _, oldest = self._answer_by_id.popitem(last=False)
             self._bytes -= len(oldest.body)
 
     def get(self, key_id: KeyId) -> Answered | None:
-        """Look an answer up.
+        """Look up an answer.
 
         :param key_id: member and key.
-        :returns: the answer, if it is still kept.
+        :returns: cached answer, or None.
         """
         return self._answer_by_id.get(key_id)
 
-    def drop(self, key_id: KeyId) -> None:
-        """Forget an answer; nothing happens if there is none.
+    def discard(self, key_id: KeyId) -> None:
+        """Remove an answer if present.
 
         :param key_id: member and key.
         """
--- a/waxwingford/routing/_calls.py
+++ b/waxwingford/routing/_calls.py
@@ -1,4 +1,4 @@
-"""Calls to backend servers: slot, deadline, and answers that come late."""
+"""Calls to backend servers, with deadlines and late answers."""
 
 import asyncio
 import dataclasses
@@ -18,21 +18,21 @@
 from waxwingford.routing._slots import Slot, SlotTable
 
 _MS_IN_S = 1000
-#: Times that a choice is made anew when the lease lapsed before dispatch.
-MOST_CHOICES = 4
+#: Maximum attempts to choose a server whose lease is valid at dispatch.
+MAX_CHOICES = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NoRoom:
-    """No held server has a free slot; nothing was sent."""
+class NoFreeSlot:
+    """No held server has a free slot; the request was not sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotRun:
-    """The receiver said that the request did not run there.
+class NotExecuted:
+    """The receiver reported that it did not execute the request.
 
     :ivar receiver: backend server or peer.
-    :ivar reason: what it said.
+    :ivar reason: reason given by the receiver.
     """
 
     receiver: str
@@ -40,24 +40,28 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
-    """It may have run: no whole answer came in time.
+class OutcomeUnknown:
+    """The request may have been executed; no complete answer arrived in time.
 
     :ivar receiver: backend server or peer.
-    :ivar reason: for people.
+    :ivar reason: human-readable reason.
     """
 
     receiver: str
     reason: str
 
 
-CallOutcome = Answered | NotRun | Lost
-#: Hears of an outcome that came after the caller had its final answer.
-LateListener = Callable[[Request, CallOutcome], None]
+CallOutcome = Answered | NotExecuted | OutcomeUnknown
+#: Called with an outcome that arrived after the caller was answered.
+LateOutcomeListener = Callable[[Request, CallOutcome], None]
 
 
 class ServerCalls:
-    """Owner of the calls in progress to held backend servers."""
+    """Sends calls to held backend servers and tracks them until they end.
+
+    :ivar on_late_outcome: called with each outcome that arrives after the
+        deadline.
+    """
 
     def __init__(
         self,
@@ -67,95 +71,104 @@
         metrics: RequestMetrics,
         overrun_ms: int,
     ) -> None:
-        """Start without calls.
+        """Create an instance without calls in flight.
 
         :param table: slots of the held servers.
-        :param servers: speaks to them.
-        :param clock: monotonic time.
-        :param metrics: counters.
-        :param overrun_ms: time by which a server may overrun a deadline, in
-            milliseconds.
+        :param servers: client for the backend servers.
+        :param clock: source of monotonic time.
+        :param metrics: counters and latency histograms.
+        :param overrun_ms: maximum time by which a server overruns a deadline,
+            in milliseconds.
         """
         self._table = table
         self._servers = servers
         self._clock = clock
         self._metrics = metrics
         self._overrun_ms = overrun_ms
-        self._late_calls: set[asyncio.Task[ServiceOutcome]] = set()
-        self.on_late: LateListener = lambda request, outcome: None
+        self._abandoned_calls: set[asyncio.Task[ServiceOutcome]] = set()
+        self.on_late_outcome: LateOutcomeListener = lambda request, outcome: (
+            None
+        )
 
     async def call(
         self, request: Request, deadline_ms: int, tried: tuple[str, ...]
-    ) -> CallOutcome | NoRoom:
-        """Send a request to a chosen server, once.
+    ) -> CallOutcome | NoFreeSlot:
+        """Send a request once, to a server chosen by the slot table.
 
-        :param request: the request.
-        :param deadline_ms: monotonic time of its deadline, in milliseconds.
-        :param tried: receivers that it already went to.
-        :returns: tagged outcome.
+        :param request: request to send.
+        :param deadline_ms: monotonic time of the deadline, in milliseconds.
+        :param tried: receivers that the request was already sent to.
+        :returns: outcome of the call.
         """
         slot = self._take_slot(request.service, frozenset(tried))
         if slot is None:
-            return NoRoom()
-        left_ms = max(1, deadline_ms - slot.taken_ms)
+            return NoFreeSlot()
+        time_left_ms = max(1, deadline_ms - slot.taken_ms)
         call = ServiceCall(
-            # A new id for each sending: the late answer of an earlier one
-            # must not pass for the answer of this one.
+            # The id is unique per attempt, so that a late answer to an
+            # earlier attempt is not taken for the answer to this one.
             f'{request.request_id}.{len(tried)}',
             request.service,
             request.path,
             request.body,
-            left_ms,
+            time_left_ms,
         )
-        sending = asyncio.ensure_future(
+        task = asyncio.ensure_future(
             self._servers.serve(slot.held.host, slot.held.port, call)
         )
-        await asyncio.wait((sending,), timeout=left_ms / _MS_IN_S)
-        if not sending.done():
-            self._leave_late(sending, request, call, slot)
-            return Lost(slot.held.server_id, 'no answer before the deadline')
-        return self._ended(self._outcome(sending, call), slot, call)
+        await asyncio.wait((task,), timeout=time_left_ms / _MS_IN_S)
+        if not task.done():
+            self._abandon_call(task, request, call, slot)
+            return OutcomeUnknown(
+                slot.held.server_id,
+                'deadline exceeded before an answer arrived',
+            )
+        return self._apply_outcome(self._outcome_of(task, call), slot, call)
 
     def _take_slot(self, service: str, tried: frozenset[str]) -> Slot | None:
-        for _ in range(MOST_CHOICES):
+        for _ in range(MAX_CHOICES):
             now_ms = self._clock.monotonic_ms()
             server_id = self._table.choose(service, now_ms, tried)
             if server_id is None:
                 return None
-            # Read again: the process may have been frozen since.
+            # Read the clock again: the process may have been suspended.
             slot = self._table.take(server_id, self._clock.monotonic_ms())
             if slot is not None:
                 return slot
         return None
 
-    def _outcome(
-        self, sending: asyncio.Task[ServiceOutcome], call: ServiceCall
+    def _outcome_of(
+        self, task: asyncio.Task[ServiceOutcome], call: ServiceCall
     ) -> ServiceOutcome:
-        if sending.cancelled():
-            return ServiceUnknown('the call was cancelled')
-        fault = sending.exception()
-        if fault is not None:
-            # A fault of an adapter must not leak the slot, nor pass for
-            # proof that the server did nothing.
+        if task.cancelled():
+            return ServiceUnknown('call was cancelled')
+        error = task.exception()
+        if error is not None:
+            # An exception in the adapter must not leak the slot and does not
+            # prove that the server did not execute the call.
             self._metrics.count('server_port_faults_total')
-            return ServiceUnknown(f'{type(fault).__name__}: {fault}')
-        outcome = sending.result()
-        foreign = (
+            return ServiceUnknown(f'{type(error).__name__}: {error}')
+        outcome = task.result()
+        is_mismatched = (
             isinstance(outcome, ServiceAnswer)
             and outcome.request_id != call.request_id
         )
-        if foreign:
+        if is_mismatched:
             self._metrics.count('foreign_answers_total')
-            return ServiceUnknown('the answer belongs to another request')
+            return ServiceUnknown(
+                'request id of the answer does not match the call'
+            )
         return outcome
 
-    def _ended(
+    def _apply_outcome(
         self, outcome: ServiceOutcome, slot: Slot, call: ServiceCall
     ) -> CallOutcome:
         now_ms = self._clock.monotonic_ms()
         server_id = slot.held.server_id
         match outcome:
-            case ServiceAnswer(status=status, content_type=kind, body=body):
+            case ServiceAnswer(
+                status=status, content_type=content_type, body=body
+            ):
                 require(
                     outcome.request_id == call.request_id,
                     Invariant.whole_answer,
@@ -165,57 +178,63 @@
                 self._metrics.latency(
                     'server_call', latency_ms, service=call.service
                 )
-                return Answered(status, kind, body, server_id)
+                return Answered(status, content_type, body, server_id)
             case ServiceNotRun(reason=reason):
                 self._table.release(slot, now_ms)
-                self._count_bad(slot, now_ms)
-                return NotRun(server_id, reason)
+                self._record_failure(slot, now_ms)
+                return NotExecuted(server_id, reason)
             case ServiceUnknown(reason=reason):
-                # The server may go on until the deadline that it was given.
+                # The server may run the call until the deadline it was given.
                 end_ms = slot.taken_ms + call.deadline_ms + self._overrun_ms
                 self._table.abandon(slot, end_ms)
-                self._count_bad(slot, now_ms)
-                return Lost(server_id, reason)
+                self._record_failure(slot, now_ms)
+                return OutcomeUnknown(server_id, reason)
 
-    def _count_bad(self, slot: Slot, now_ms: int) -> None:
-        if self._table.went_badly(slot, now_ms):
+    def _record_failure(self, slot: Slot, now_ms: int) -> None:
+        if self._table.record_failure(slot, now_ms):
             self._metrics.count(
                 'server_ejections_total', server=slot.held.server_id
             )
 
-    def _leave_late(
+    def _abandon_call(
         self,
-        sending: asyncio.Task[ServiceOutcome],
+        task: asyncio.Task[ServiceOutcome],
         request: Request,
         call: ServiceCall,
         slot: Slot,
     ) -> None:
         now_ms = self._clock.monotonic_ms()
         self._table.abandon(slot, now_ms + self._overrun_ms)
-        self._count_bad(slot, now_ms)
+        self._record_failure(slot, now_ms)
         loop = asyncio.get_running_loop()
-        ending = loop.call_later(self._overrun_ms / _MS_IN_S, sending.cancel)
-        self._late_calls.add(sending)
-
-        def _came_late(done: asyncio.Task[ServiceOutcome]) -> None:
-            ending.cancel()
-            self._late_calls.discard(done)
-            self._late_end(self._outcome(done, call), request, slot)
+        cancel_timer = loop.call_later(self._overrun_ms / _MS_IN_S, task.cancel)
+        self._abandoned_calls.add(task)
+
+        def _on_done(done: asyncio.Task[ServiceOutcome]) -> None:
+            cancel_timer.cancel()
+            self._abandoned_calls.discard(done)
+            self._apply_late_outcome(
+                self._outcome_of(done, call), request, slot
+            )
 
-        sending.add_done_callback(_came_late)
+        task.add_done_callback(_on_done)
 
-    def _late_end(
+    def _apply_late_outcome(
         self, outcome: ServiceOutcome, request: Request, slot: Slot
     ) -> None:
         now_ms = self._clock.monotonic_ms()
         server_id = slot.held.server_id
         match outcome:
-            case ServiceAnswer(status=status, content_type=kind, body=body):
+            case ServiceAnswer(
+                status=status, content_type=content_type, body=body
+            ):
                 self._metrics.count('late_answers_total')
                 self._table.release(slot, now_ms)
-                self.on_late(request, Answered(status, kind, body, server_id))
+                self.on_late_outcome(
+                    request, Answered(status, content_type, body, server_id)
+                )
             case ServiceNotRun(reason=reason):
                 self._table.release(slot, now_ms)
-                self.on_late(request, NotRun(server_id, reason))
+                self.on_late_outcome(request, NotExecuted(server_id, reason))
             case ServiceUnknown():
                 self._metrics.count('late_unknown_total')
--- a/waxwingford/routing/_dispatcher.py
+++ b/waxwingford/routing/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Request dispatcher: takes a request and returns its one final outcome."""
+"""Request dispatcher: entry point of the request path."""
 
 import asyncio
 import dataclasses
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from waxwingford.kernel import Invariant, require
-from waxwingford.routing._admission import Admission, Admitted, Shed
+from waxwingford.routing._admission import AdmissionController, Admitted, Shed
 from waxwingford.routing._evidence import NeverSent, refuse, turn_away
 from waxwingford.routing._key_gate import KeyGate
 from waxwingford.routing._key_messages import MayRun
@@ -27,21 +27,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drained:
-    """No request is in progress and none will be taken."""
+    """All requests have ended and new ones are refused."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainTimedOut:
-    """Requests are still in progress after the bound.
+    """Requests are still in progress after the timeout.
 
-    :ivar in_progress: how many.
+    :ivar in_progress: number of requests in progress.
     """
 
     in_progress: int
 
 
 class RequestDispatcher:
-    """Owner of all requests in progress in one daemon."""
+    """Handles all requests of one daemon."""
 
     def __init__(
         self,
@@ -52,63 +52,65 @@
         rng: random.Random,
         limits: DispatchLimits,
     ) -> None:
-        """Start without servers, peers and limits of services.
+        """Create a dispatcher without servers, peers and service limits.
 
-        :param daemon_id: this daemon.
-        :param failure_domain: its failure domain.
-        :param ports: what it speaks to.
-        :param rng: seeded source of chance.
-        :param limits: bounds.
+        :param daemon_id: id of this daemon.
+        :param failure_domain: failure domain of this daemon.
+        :param ports: external dependencies.
+        :param rng: random number generator.
+        :param limits: limits of the request path.
         """
         self._ports = ports
-        self._admission = Admission(limits.in_progress, rng)
+        self._admission = AdmissionController(limits.in_progress, rng)
         self._gate = KeyGate(daemon_id, limits, ports.peers, ports.clock)
         self._router = Router(failure_domain, ports, rng, limits)
-        self._router.calls.on_late = self._gate.ended_late
+        self._router.calls.on_late_outcome = self._gate.record_late_outcome
         self._in_progress: set[asyncio.Task[Outcome]] = set()
         self._draining = False
 
     def set_servers(self, servers: tuple[HeldServer, ...]) -> None:
         """Replace the set of held servers.
 
-        Called at least once a second: the dispatcher also notices by it when the
-        process was frozen.
+        Must be called at least once a second: the intervals between calls
+        also reveal when the process was suspended.
 
-        :param servers: all servers held now.
+        :param servers: all servers currently held.
         """
-        self._gate.alive()
+        self._gate.tick()
         self._router.table.set_servers(servers, self._now_ms())
 
     def set_peers(self, peers: tuple[PeerView, ...]) -> None:
-        """Replace what is known of peers.
+        """Replace the views of peers.
 
-        :param peers: all other daemons of the region, also silent ones: a
-            retry may only run once each of them was asked.
+        :param peers: all other daemons of the region, including unreachable
+            ones, because a retry may only run after each of them was queried.
         """
         self._router.peer_table.set_peers(peers)
 
     def set_limits(self, limits: Mapping[str, ServiceLimits]) -> None:
-        """Take in the limits of a bundle.
+        """Replace the limits of services.
 
         :param limits: limits by service.
         """
         self._admission.set_limits(limits)
-        self._router.use_limits(limits)
+        self._router.set_limits(limits)
 
     async def handle(self, request: Request) -> Outcome:
-        """Serve, forward or give up a request.
+        """Serve, forward or refuse a request.
 
-        A caller that goes away does not cancel what was begun: the slot and
-        the key stay counted until the call has truly ended.
+        Cancellation by the caller does not cancel the request: its slot and
+        idempotency key stay in use until the call has ended.
 
-        :param request: the request.
-        :returns: the one final outcome.
+        :param request: request to handle.
+        :returns: final outcome.
         """
         if self._draining:
             retry_after_ms = self._admission.retry_after_ms(request.service)
             return turn_away(request, 'daemon is stopping', retry_after_ms)
         if request.attempt > 1 and not request.idempotent and not request.key:
-            return Rejected('a retry that is not idempotent needs a key')
+            return Rejected(
+                'retry of a non-idempotent request requires an idempotency key'
+            )
         task = asyncio.ensure_future(self._handle(request, self._now_ms()))
         self._in_progress.add(task)
         task.add_done_callback(self._in_progress.discard)
@@ -117,54 +119,54 @@
     def answer_recall(
         self, member: str, key: str, body_digest: bytes, asker: str
     ) -> RecallAnswer:
-        """Say what is known of a key, and remember the question.
+        """Answer a key lookup by another daemon and record the lookup.
 
         :param member: owner of the key.
         :param key: idempotency key.
         :param body_digest: digest of service, path and body.
-        :param asker: daemon that asks.
-        :returns: what is known here.
+        :param asker: id of the daemon that sent the lookup.
+        :returns: state of the key on this daemon.
         """
-        return self._gate.answer(member, key, body_digest, asker)
+        return self._gate.answer_lookup(member, key, body_digest, asker)
 
     def spare_by_service(self) -> dict[str, int]:
         """Count free slots, for heartbeats.
 
-        :returns: count by service; all 0 while the daemon stops.
+        :returns: free slots by service; all 0 while the dispatcher drains.
         """
         table = self._router.table
-        table.wake(self._now_ms())
+        table.process_due(self._now_ms())
         return {
-            service: 0 if self._draining else group.spare
-            for service, group in table.group_by_service.items()
+            service: 0 if self._draining else pool.free_slots
+            for service, pool in table.pool_by_service.items()
         }
 
     def busy_share_by_server(self) -> dict[str, float]:
-        """Tell how busy the service on each held server is now.
+        """Compute the slot utilization of each held server.
 
-        :returns: calls in flight as a share of slots, by server.
+        :returns: calls in flight as a fraction of the slots, by server.
         """
         return {
             server_id: state.in_flight / max(1, state.held.slots)
             for server_id, state in self._router.table.state_by_server.items()
-            if not state.gone
+            if not state.removed
         }
 
     def expected_ms_by_service(self) -> dict[str, float]:
-        """Expect latencies here, for heartbeats.
+        """Estimate the latency of each service, for heartbeats.
 
-        :returns: milliseconds by service; 0 without a measurement.
+        :returns: latency by service, in milliseconds; 0 without measurements.
         """
         return {
-            service: group.latency_ms
-            for service, group in self._router.table.group_by_service.items()
+            service: pool.latency_ms
+            for service, pool in self._router.table.pool_by_service.items()
         }
 
-    async def drain(self, bounded_ms: int) -> Drained | DrainTimedOut:
-        """Take no more requests and wait for those in progress.
+    async def drain(self, timeout_ms: int) -> Drained | DrainTimedOut:
+        """Refuse new requests and wait for those in progress.
 
-        :param bounded_ms: longest wait, in milliseconds.
-        :returns: whether all ended.
+        :param timeout_ms: maximum time to wait, in milliseconds.
+        :returns: whether all requests have ended.
         """
         self._draining = True
         self._ports.time_line.note(
@@ -174,73 +176,75 @@
         )
         if self._in_progress:
             await asyncio.wait(
-                tuple(self._in_progress), timeout=bounded_ms / _MS_IN_S
+                tuple(self._in_progress), timeout=timeout_ms / _MS_IN_S
             )
         if self._in_progress:
             return DrainTimedOut(len(self._in_progress))
-        left = self._admission.in_progress()
+        remaining = self._admission.in_progress()
         require(
-            left == 0,
+            remaining == 0,
             Invariant.graceful_stop,
-            f'{left} requests left after the drain',
+            f'{remaining} requests still admitted after the drain',
         )
         return Drained()
 
-    async def _handle(self, request: Request, began_ms: int) -> Outcome:
+    async def _handle(self, request: Request, start_ms: int) -> Outcome:
         now_ms = self._now_ms()
-        self._admission.waited(now_ms - began_ms, now_ms)
+        self._admission.record_wait(now_ms - start_ms, now_ms)
         if request.idempotent or not request.key:
-            outcome = await self._admit(request, began_ms)
+            outcome = await self._admit(request, start_ms)
         else:
-            outcome = await self._handle_keyed(request, began_ms)
-        self._note(request, outcome, began_ms)
+            outcome = await self._handle_keyed(request, start_ms)
+        self._record_outcome(request, outcome, start_ms)
         return outcome
 
-    async def _handle_keyed(self, request: Request, began_ms: int) -> Outcome:
+    async def _handle_keyed(self, request: Request, start_ms: int) -> Outcome:
         daemon_ids = self._router.peer_table.daemon_ids()
         decision = await self._gate.enter(request, daemon_ids)
         if not isinstance(decision, MayRun):
             return decision
-        # Stands if a fault in the daemon ends the attempt: it may have run.
-        outcome: Outcome = Unknown('fault in the daemon', 0)
+        # Recorded if an exception ends the attempt: it may have been executed.
+        outcome: Outcome = Unknown('internal error in the daemon', 0)
         try:
-            outcome = await self._admit(request, began_ms)
+            outcome = await self._admit(request, start_ms)
         finally:
             self._gate.finish(request, outcome)
         return outcome
 
-    async def _admit(self, request: Request, began_ms: int) -> Outcome:
-        decision = self._admission.enter(
+    async def _admit(self, request: Request, start_ms: int) -> Outcome:
+        decision = self._admission.admit(
             request.service,
             request.member,
             request.urgency,
-            self._router.spare(request),
-            began_ms,
+            self._router.free_slots(request),
+            start_ms,
         )
         match decision:
             case Shed(reason=reason, retry_after_ms=retry_after_ms):
                 return refuse(NeverSent(reason), retry_after_ms)
             case Admitted():
-                return await self._route(request, decision, began_ms)
+                return await self._route(request, decision, start_ms)
 
     async def _route(
-        self, request: Request, admitted: Admitted, began_ms: int
+        self, request: Request, admitted: Admitted, start_ms: int
     ) -> Outcome:
         try:
             return await self._router.route(
                 request,
-                began_ms + request.deadline_ms,
+                start_ms + request.deadline_ms,
                 self._admission.retry_after_ms(request.service),
             )
         finally:
-            self._admission.leave(admitted)
+            self._admission.release(admitted)
 
-    def _note(self, request: Request, outcome: Outcome, began_ms: int) -> None:
+    def _record_outcome(
+        self, request: Request, outcome: Outcome, start_ms: int
+    ) -> None:
         service = request.service
         kind = type(outcome).__name__.lower()
         metrics = self._ports.metrics
         metrics.count('requests_total', service=service, outcome=kind)
-        elapsed_ms = self._now_ms() - began_ms
+        elapsed_ms = self._now_ms() - start_ms
         metrics.latency('request', elapsed_ms, service=service, outcome=kind)
         if isinstance(outcome, Unknown):
             self._ports.time_line.note(
--- a/waxwingford/routing/_key_gate.py
+++ b/waxwingford/routing/_key_gate.py
@@ -1,25 +1,25 @@
-"""Gate of non-idempotent requests with a key: each runs at most once."""
+"""At-most-once execution of non-idempotent requests with a key."""
 
 import asyncio
 
 import xxhash
 
 from waxwingford.kernel import Clock
-from waxwingford.routing._calls import CallOutcome, NotRun
+from waxwingford.routing._calls import CallOutcome, NotExecuted
 from waxwingford.routing._evidence import turn_away
 from waxwingford.routing._key_messages import (
-    Asker,
+    KeyBodyMismatch,
     KeyDecision,
+    KeyExecuted,
     KeyId,
     KeyInProgress,
-    KeyMemoryFull,
-    KeyOfOtherBody,
-    KeyRan,
+    KeyStoreFull,
     KeySuperseded,
     MayRun,
-    MustRecall,
+    MustLookUp,
+    Requester,
 )
-from waxwingford.routing._keys import KeyMemory
+from waxwingford.routing._key_store import KeyStore
 from waxwingford.routing._limits import DispatchLimits
 from waxwingford.routing._messages import (
     Answered,
@@ -32,26 +32,29 @@
     Unknown,
 )
 from waxwingford.routing._ports import PeerForwarder
-from waxwingford.routing._recall import (
+from waxwingford.routing._retry_decision import (
+    BODY_MISMATCH,
     IN_PROGRESS_RETRY_MS,
-    OTHER_BODY,
     UNREACHABLE_RETRY_MS,
-    decide_recall,
+    decide_retry,
     first_attempt_age_ms,
 )
-from waxwingford.routing._stalls import STALL_MS, StallWatch
+from waxwingford.routing._stall_detector import (
+    STALL_THRESHOLD_MS,
+    StallDetector,
+)
 
 _MS_IN_S = 1000
 _SEPARATOR = b'\x00'
-#: When to come back after the key memory was full, in milliseconds.
+#: Retry delay when the key store is full, in milliseconds.
 FULL_RETRY_MS = 5000
 
 
 def body_digest(request: Request) -> bytes:
-    """Digest what a key stands for, so that another use of it shows.
+    """Compute the digest that detects reuse of a key for another request.
 
-    :param request: the request.
-    :returns: 16 bytes.
+    :param request: request with a key.
+    :returns: digest of service, path and body, 16 bytes.
     """
     digest = xxhash.xxh3_128()
     digest.update(request.service.encode())
@@ -63,7 +66,7 @@
 
 
 def entry_daemon(request_id: str) -> str:
-    """Read who gave a request its id.
+    """Extract the id of the entry daemon from a request id.
 
     :param request_id: ``<daemon id>/<incarnation>/<number>``.
     :returns: daemon id.
@@ -72,7 +75,7 @@
 
 
 class KeyGate:
-    """Decides whether a request with a key may run, and remembers its end."""
+    """Decides whether a request with a key may run and records its outcome."""
 
     def __init__(
         self,
@@ -81,195 +84,200 @@
         peers: PeerForwarder,
         clock: Clock,
     ) -> None:
-        """Start with an empty memory.
+        """Create a gate with an empty key store.
 
-        :param daemon_id: this daemon.
-        :param limits: bounds of time and memory.
-        :param peers: asks the other daemons.
-        :param clock: monotonic time.
+        :param daemon_id: id of this daemon.
+        :param limits: limits of the request path.
+        :param peers: client for key lookups at the other daemons.
+        :param clock: source of monotonic time.
         """
         self._daemon_id = daemon_id
         self._limits = limits
         self._peers = peers
         self._clock = clock
         self._started_ms = clock.monotonic_ms()
-        self._stalls = StallWatch(
-            self._started_ms, limits.delivery_ms + STALL_MS
+        self._stall_detector = StallDetector(
+            self._started_ms, limits.delivery_ms + STALL_THRESHOLD_MS
         )
-        self._keys = KeyMemory(limits)
-        self._recalls = 0
+        self._key_store = KeyStore(limits)
+        self._lookups = 0
 
-    def alive(self) -> None:
-        """Take in a sign of life of the process."""
-        self._stalls.alive(self._clock.monotonic_ms())
+    def tick(self) -> None:
+        """Record that the process is running, for stall detection."""
+        self._stall_detector.tick(self._clock.monotonic_ms())
 
     async def enter(
         self, request: Request, daemon_ids: frozenset[str]
     ) -> MayRun | Outcome:
-        """Register an attempt and find out whether it may run.
+        """Register an attempt and decide whether it may run.
 
-        :param request: non-idempotent, with a key.
-        :param daemon_ids: all other daemons that must be asked.
-        :returns: permission to run, or the outcome.
+        :param request: non-idempotent request with a key.
+        :param daemon_ids: ids of all other daemons, to be queried for a retry.
+        :returns: permission to run, or the final outcome.
         """
-        self.alive()
-        waited_ms = self._stalls.waited_ms(self._clock.monotonic_ms())
-        first = self._counts_as_first(request)
-        decision = self._begin(request, first)
+        self.tick()
+        max_wait_ms = self._stall_detector.max_wait_ms(
+            self._clock.monotonic_ms()
+        )
+        is_first = self._counts_as_first(request)
+        decision = self._begin(request, is_first)
         match decision:
             case MayRun():
                 return decision
-            case MustRecall():
-                return await self._recall(request, daemon_ids, waited_ms)
-            case KeyRan(outcome=Answered() as outcome):
+            case MustLookUp():
+                return await self._look_up(request, daemon_ids, max_wait_ms)
+            case KeyExecuted(outcome=Answered() as outcome):
                 return outcome
-            case KeyRan():
-                return Unknown('an attempt ran or may have', FULL_RETRY_MS)
+            case KeyExecuted():
+                return Unknown(
+                    'an earlier attempt may have been executed', FULL_RETRY_MS
+                )
             case KeyInProgress() | KeySuperseded():
                 return Unknown(
                     'another attempt is in progress', IN_PROGRESS_RETRY_MS
                 )
-            case KeyOfOtherBody():
-                return OTHER_BODY
-            case KeyMemoryFull():
-                return turn_away(request, 'key memory is full', FULL_RETRY_MS)
+            case KeyBodyMismatch():
+                return BODY_MISMATCH
+            case KeyStoreFull():
+                return turn_away(request, 'key store is full', FULL_RETRY_MS)
 
     def finish(self, request: Request, outcome: Outcome) -> None:
-        """Remember how an attempt that was let run ended.
+        """Record the outcome of an attempt that was permitted to run.
 
-        :param request: the request.
-        :param outcome: its outcome.
+        :param request: request that ended.
+        :param outcome: outcome of the request.
         """
-        self._keys.finish(_key_id(request), outcome, self._now_ms())
+        self._key_store.finish(_key_id(request), outcome, self._now_ms())
 
-    def ended_late(self, request: Request, outcome: CallOutcome) -> None:
-        """Remember an end that came after the caller's final answer.
+    def record_late_outcome(
+        self, request: Request, outcome: CallOutcome
+    ) -> None:
+        """Record an outcome that arrived after the caller was answered.
 
-        :param request: the request.
-        :param outcome: what came late.
+        :param request: request that ended.
+        :param outcome: late outcome of the call.
         """
         if request.idempotent or not request.key:
             return
         match outcome:
             case Answered():
-                self._keys.finish_late(
+                self._key_store.finish_late(
                     _key_id(request), outcome, self._now_ms()
                 )
-            case NotRun(reason=reason):
-                self._keys.finish_late(
+            case NotExecuted(reason=reason):
+                self._key_store.finish_late(
                     _key_id(request), Refused(reason, 0), self._now_ms()
                 )
 
-    def answer(
-        self, member: str, key: str, digest: bytes, asker: str
+    def answer_lookup(
+        self, member: str, key: str, digest: bytes, requester: str
     ) -> RecallAnswer:
-        """Answer another daemon's question and remember the key.
+        """Answer a key lookup by another daemon and record the lookup.
 
         :param member: owner of the key.
         :param key: idempotency key.
         :param digest: digest of service, path and body.
-        :param asker: daemon that asks.
-        :returns: what is known here.
+        :param requester: id of the daemon that sent the lookup.
+        :returns: state of the key on this daemon.
         """
-        self.alive()
+        self.tick()
         now_ms = self._now_ms()
-        state, outcome = self._keys.asked(
+        state, outcome = self._key_store.answer_lookup(
             KeyId(member, key),
             digest,
-            Asker(asker, asker < self._daemon_id),
+            Requester(requester, requester < self._daemon_id),
             now_ms,
         )
-        return RecallAnswer(state, self._up_ms(), outcome)
+        return RecallAnswer(state, self._uptime_ms(), outcome)
 
     def _counts_as_first(self, request: Request) -> bool:
-        # A daemon that started while the first attempt was under way has lost
-        # the questions that its predecessor was asked: the attempt could run
-        # beside a retry elsewhere.  A later start is no danger, the questions
-        # came to this process then.
-        old_enough = self._up_ms() >= self._limits.delivery_ms
-        return request.attempt == 1 and old_enough
-
-    def _begin(self, request: Request, first: bool) -> KeyDecision:
+        # A daemon that started while the attempt was in transit has lost the
+        # lookups that its predecessor answered, so a retry may be running
+        # elsewhere.  It handles the first attempt like a retry.
+        is_past_startup = self._uptime_ms() >= self._limits.delivery_ms
+        return request.attempt == 1 and is_past_startup
+
+    def _begin(self, request: Request, is_first: bool) -> KeyDecision:
         key_id = _key_id(request)
         digest = body_digest(request)
         now_ms = self._now_ms()
         if request.hops:
-            return self._keys.begin_forwarded(
+            return self._key_store.begin_forwarded(
                 key_id, digest, entry_daemon(request.request_id), now_ms
             )
-        return self._keys.begin(key_id, digest, first, now_ms)
+        return self._key_store.begin(key_id, digest, is_first, now_ms)
 
-    async def _recall(
-        self, request: Request, daemon_ids: frozenset[str], waited_ms: int
+    async def _look_up(
+        self, request: Request, daemon_ids: frozenset[str], max_wait_ms: int
     ) -> MayRun | Outcome:
         key_id = _key_id(request)
         decision: MayRun | Answered | Unknown | Rejected = Unknown(
-            'too many retries are being looked up', UNREACHABLE_RETRY_MS
+            'too many key lookups in progress', UNREACHABLE_RETRY_MS
         )
         try:
-            decision = await self._ask_and_decide(
-                request, daemon_ids, waited_ms
+            decision = await self._query_and_decide(
+                request, daemon_ids, max_wait_ms
             )
         finally:
-            # Also after a cancellation: the key must not stay in progress.
+            # Also on cancellation: the key must not stay in progress.
             match decision:
-                case MayRun() if not self._keys.won(key_id):
+                case MayRun() if not self._key_store.start_retry(key_id):
                     decision = Unknown(
-                        'another retry goes first', IN_PROGRESS_RETRY_MS
+                        'a concurrent retry has priority', IN_PROGRESS_RETRY_MS
                     )
-                    self._keys.give_up_recall(key_id, self._now_ms())
+                    self._key_store.abandon_lookup(key_id, self._now_ms())
                 case Answered():
-                    self._keys.finish(key_id, decision, self._now_ms())
+                    self._key_store.finish(key_id, decision, self._now_ms())
                 case Unknown() | Rejected():
-                    self._keys.give_up_recall(key_id, self._now_ms())
+                    self._key_store.abandon_lookup(key_id, self._now_ms())
         return decision
 
-    async def _ask_and_decide(
-        self, request: Request, daemon_ids: frozenset[str], waited_ms: int
+    async def _query_and_decide(
+        self, request: Request, daemon_ids: frozenset[str], max_wait_ms: int
     ) -> MayRun | Answered | Unknown | Rejected:
         limits = self._limits
         age_ms = first_attempt_age_ms(
             request,
             limits.key_memory_ms,
-            limits.delivery_ms + waited_ms,
+            limits.delivery_ms + max_wait_ms,
         )
         if age_ms > limits.key_memory_ms:
             return Unknown(
-                'too long ago: what ran is no longer remembered',
+                'first attempt may be older than the retention period of keys',
                 limits.key_memory_ms,
             )
-        if self._recalls >= limits.recalls:
+        if self._lookups >= limits.max_lookups:
             return Unknown(
-                'too many retries are being looked up', UNREACHABLE_RETRY_MS
+                'too many key lookups in progress', UNREACHABLE_RETRY_MS
             )
         answers = dict.fromkeys(
             daemon_ids, RecallAnswer(RecallState.unreachable, 0)
         )
-        answers.update(await self._ask_all(request))
+        answers.update(await self._query_peers(request))
         answers[self._daemon_id] = RecallAnswer(
-            RecallState.never_seen, self._up_ms()
+            RecallState.never_seen, self._uptime_ms()
         )
-        return decide_recall(answers, age_ms)
+        return decide_retry(answers, age_ms)
 
-    async def _ask_all(self, request: Request) -> dict[str, RecallAnswer]:
-        timeout_ms = min(self._limits.recall_timeout_ms, request.deadline_ms)
-        question = self._peers.recall_all(
+    async def _query_peers(self, request: Request) -> dict[str, RecallAnswer]:
+        timeout_ms = min(self._limits.lookup_timeout_ms, request.deadline_ms)
+        lookups = self._peers.recall_all(
             request.member, request.key, body_digest(request)
         )
-        self._recalls += 1
+        self._lookups += 1
         try:
-            return await asyncio.wait_for(question, timeout_ms / _MS_IN_S)
+            return await asyncio.wait_for(lookups, timeout_ms / _MS_IN_S)
         except asyncio.TimeoutError:
             return {}
         finally:
-            self._recalls -= 1
+            self._lookups -= 1
 
     def _now_ms(self) -> int:
-        # Keys do not age during a stall: a request that waited for its end
-        # must still meet the records that stood when it came.
-        return self._stalls.running_ms(self._clock.monotonic_ms())
+        # Keys do not expire during a stall, because a request that arrived
+        # before or during it must still find their records.
+        return self._stall_detector.active_ms(self._clock.monotonic_ms())
 
-    def _up_ms(self) -> int:
+    def _uptime_ms(self) -> int:
         return self._clock.monotonic_ms() - self._started_ms
 
 
--- a/waxwingford/routing/_keys.py
+++ b/waxwingford/routing/_key_store.py
@@ -1,22 +1,22 @@
-"""Memory of idempotency keys in one daemon: bounded, expiring, per member."""
+"""Store of idempotency keys, bounded per member, with expiry."""
 
 import collections
 import dataclasses
 import enum
 
 from waxwingford.kernel import Invariant, require
-from waxwingford.routing._kept_answers import KeptAnswers
+from waxwingford.routing._answer_cache import AnswerCache
 from waxwingford.routing._key_messages import (
-    Asker,
+    KeyBodyMismatch,
     KeyDecision,
+    KeyExecuted,
     KeyId,
     KeyInProgress,
-    KeyMemoryFull,
-    KeyOfOtherBody,
-    KeyRan,
+    KeyStoreFull,
     KeySuperseded,
     MayRun,
-    MustRecall,
+    MustLookUp,
+    Requester,
 )
 from waxwingford.routing._limits import DispatchLimits
 from waxwingford.routing._messages import (
@@ -30,11 +30,13 @@
 
 
 class _KeyState(enum.Enum):
-    recalled = 'another daemon or a refused retry asked about it; not run here'
-    recalling = 'a retry here asks the other daemons'
-    running = 'it may be running'
-    answered = 'it ran and its answer came'
-    unknown = 'it may have run'
+    looked_up = (
+        'looked up by another daemon or a declined retry; not executed here'
+    )
+    looking_up = 'a retry on this daemon queries the other daemons'
+    running = 'an attempt may be running'
+    answered = 'an attempt was executed and its answer received'
+    unknown = 'an attempt may have been executed'
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,18 +44,18 @@
     digest: bytes
     state: _KeyState
     expires_ms: int = 0
-    was_recalled: bool = False
+    was_looked_up: bool = False
     yielded: bool = False
-    asker: str = ''
+    requester: str = ''
 
 
-class KeyMemory:
-    """Keys of non-idempotent requests that this daemon has to do with."""
+class KeyStore:
+    """Idempotency keys received by this daemon or looked up by others."""
 
     def __init__(self, limits: DispatchLimits) -> None:
-        """Start empty.
+        """Create an empty store.
 
-        :param limits: bounds of keys, bytes and time.
+        :param limits: limits of the request path.
         """
         self._limits = limits
         self._record_by_id: dict[KeyId, _KeyRecord] = {}
@@ -61,108 +63,108 @@
         self._expiries: collections.deque[tuple[int, KeyId]] = (
             collections.deque()
         )
-        self._answers = KeptAnswers(limits.answer_bytes)
+        self._answers = AnswerCache(limits.answer_cache_bytes)
 
     def begin(
-        self, key_id: KeyId, digest: bytes, first: bool, now_ms: int
+        self, key_id: KeyId, digest: bytes, is_first: bool, now_ms: int
     ) -> KeyDecision:
-        """Register an attempt, before anything else is done about it.
+        """Register an attempt before any other processing.
 
         :param key_id: member and key.
-        :param digest: digest of path and body.
-        :param first: whether it counts as the first attempt.
+        :param digest: digest of service, path and body.
+        :param is_first: whether the attempt is handled as the first one.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: what may be done.
+        :returns: decision on the attempt.
         """
         self._expire(now_ms)
         record = self._record_by_id.get(key_id)
         if record is None:
-            return self._register(key_id, digest, first)
+            return self._register(key_id, digest, is_first)
         if record.digest not in {b'', digest}:
-            return KeyOfOtherBody()
+            return KeyBodyMismatch()
         match record.state:
-            case _KeyState.recalled if first:
-                # Its caller may have been told that the retry was not run.
+            case _KeyState.looked_up if is_first:
+                # Its caller may have been told that the retry was refused.
                 return KeySuperseded()
-            case _KeyState.recalled:
+            case _KeyState.looked_up:
                 record.digest = digest
                 record.yielded = False
-                record.state = _KeyState.recalling
-                return MustRecall()
-            case _KeyState.recalling | _KeyState.running:
+                record.state = _KeyState.looking_up
+                return MustLookUp()
+            case _KeyState.looking_up | _KeyState.running:
                 return KeyInProgress()
             case _:
-                return KeyRan(self._answers.get(key_id))
+                return KeyExecuted(self._answers.get(key_id))
 
     def begin_forwarded(
         self, key_id: KeyId, digest: bytes, entry_daemon: str, now_ms: int
     ) -> KeyDecision:
-        """Register an attempt that another daemon's registration covers.
+        """Register an attempt that the entry daemon has already registered.
 
         :param key_id: member and key.
-        :param digest: digest of path and body.
-        :param entry_daemon: daemon that registered it first.
+        :param digest: digest of service, path and body.
+        :param entry_daemon: id of the entry daemon.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: what may be done.
+        :returns: decision on the attempt.
         """
         decision = self.begin(key_id, digest, True, now_ms)
         if not isinstance(decision, KeySuperseded):
             return decision
         record = self._record_by_id[key_id]
-        if record.asker != entry_daemon:
+        if record.requester != entry_daemon:
             return decision
-        # The question came from the retry that is forwarded now.
+        # The lookup was sent for the retry that is being forwarded.
         record.digest = digest
         record.state = _KeyState.running
         return MayRun()
 
-    def won(self, key_id: KeyId) -> bool:
-        """Let a retry run after all daemons said that no attempt did.
+    def start_retry(self, key_id: KeyId) -> bool:
+        """Start a retry after no daemon reported an execution.
 
         :param key_id: member and key.
-        :returns: false if another daemon's concurrent retry goes first.
+        :returns: whether the retry may run; false if a concurrent retry on
+            another daemon has priority.
         """
         record = self._record_by_id[key_id]
         require(
-            record.state is _KeyState.recalling,
+            record.state is _KeyState.looking_up,
             Invariant.at_most_once,
-            f'{key_id.member}/{key_id.key}: to run from {record.state.name}',
+            f'{key_id.member}/{key_id.key}: retry from {record.state.name}',
         )
         if record.yielded:
             return False
         record.state = _KeyState.running
         return True
 
-    def asked(
-        self, key_id: KeyId, digest: bytes, asker: Asker, now_ms: int
+    def answer_lookup(
+        self, key_id: KeyId, digest: bytes, requester: Requester, now_ms: int
     ) -> tuple[RecallState, Answered | None]:
-        """Answer another daemon's question and remember the key.
+        """Answer a lookup by another daemon and record the key.
 
-        The key is kept even if it was never seen: a delayed first attempt
-        that arrives later must not run beside the retry elsewhere.
+        Unknown keys are recorded too, so that a delayed first attempt does not
+        run concurrently with the retry on the other daemon.
 
         :param key_id: member and key.
-        :param digest: digest of path and body there.
-        :param asker: who asks, and whether it goes first when both have a
-            retry in progress.
+        :param digest: digest of service, path and body of the retry.
+        :param requester: daemon that sent the lookup.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: what is known, and the answer if it is kept.
+        :returns: state of the key, and the answer if it is still cached.
         """
         self._expire(now_ms)
         record = self._record_by_id.get(key_id)
         if record is None:
-            return self._remember_question(key_id, asker, now_ms), None
+            return self._record_lookup(key_id, requester, now_ms), None
         if record.digest not in {b'', digest}:
             return RecallState.other_body, None
         match record.state:
-            case _KeyState.recalled:
-                record.asker = asker.daemon_id
-                self._expire_later(key_id, record, now_ms)
+            case _KeyState.looked_up:
+                record.requester = requester.daemon_id
+                self._schedule_expiry(key_id, record, now_ms)
                 return RecallState.never_seen, None
-            case _KeyState.recalling if asker.goes_first:
+            case _KeyState.looking_up if requester.has_priority:
                 record.yielded = True
                 return RecallState.never_seen, None
-            case _KeyState.recalling | _KeyState.running:
+            case _KeyState.looking_up | _KeyState.running:
                 return RecallState.running, None
             case _KeyState.answered:
                 return RecallState.answered, self._answers.get(key_id)
@@ -170,80 +172,83 @@
                 return RecallState.unknown, None
 
     def finish(self, key_id: KeyId, outcome: Outcome, now_ms: int) -> None:
-        """Record how an attempt that was begun here ended.
+        """Record the outcome of an attempt that was registered here.
 
         :param key_id: member and key.
-        :param outcome: its outcome; refused and rejected ones did not run.
+        :param outcome: outcome of the attempt; a refused or rejected one was
+            not executed.
         :param now_ms: monotonic time, in milliseconds.
         """
         record = self._record_by_id[key_id]
         match outcome:
             case Refused() | Rejected():
-                self._not_run(key_id, record, now_ms)
+                self._record_not_executed(key_id, record, now_ms)
                 return
             case Answered():
                 record.state = _KeyState.answered
-                self._answers.keep(key_id, outcome)
+                self._answers.put(key_id, outcome)
             case Unknown():
                 record.state = _KeyState.unknown
-        self._expire_later(key_id, record, now_ms)
+        self._schedule_expiry(key_id, record, now_ms)
 
     def finish_late(self, key_id: KeyId, outcome: Outcome, now_ms: int) -> None:
-        """Record an end that came after the attempt was given up.
+        """Record an outcome that arrived after the attempt was abandoned.
 
         :param key_id: member and key.
-        :param outcome: how it ended.
+        :param outcome: late outcome of the attempt.
         :param now_ms: monotonic time, in milliseconds.
         """
         record = self._record_by_id.get(key_id)
         if record is not None and record.state is _KeyState.unknown:
             self.finish(key_id, outcome, now_ms)
 
-    def give_up_recall(self, key_id: KeyId, now_ms: int) -> None:
-        """End a retry that was not let run.
+    def abandon_lookup(self, key_id: KeyId, now_ms: int) -> None:
+        """End the lookup of a retry that may not run.
 
         :param key_id: member and key.
         :param now_ms: monotonic time, in milliseconds.
         """
-        self._not_run(key_id, self._record_by_id[key_id], now_ms)
+        self._record_not_executed(key_id, self._record_by_id[key_id], now_ms)
 
     def _register(
-        self, key_id: KeyId, digest: bytes, first: bool
+        self, key_id: KeyId, digest: bytes, is_first: bool
     ) -> KeyDecision:
         if self._is_full(key_id.member):
-            return KeyMemoryFull()
-        state = _KeyState.running if first else _KeyState.recalling
-        self._add(key_id, _KeyRecord(digest, state, was_recalled=not first))
-        return MayRun() if first else MustRecall()
+            return KeyStoreFull()
+        state = _KeyState.running if is_first else _KeyState.looking_up
+        self._add(key_id, _KeyRecord(digest, state, was_looked_up=not is_first))
+        return MayRun() if is_first else MustLookUp()
 
-    def _remember_question(
-        self, key_id: KeyId, asker: Asker, now_ms: int
+    def _record_lookup(
+        self, key_id: KeyId, requester: Requester, now_ms: int
     ) -> RecallState:
         if self._is_full(key_id.member):
-            # Without a record a delayed first attempt could still run here.
+            # Without a record, a delayed first attempt could still run here.
             return RecallState.unknown
-        record = _KeyRecord(b'', _KeyState.recalled, was_recalled=True)
-        record.asker = asker.daemon_id
+        record = _KeyRecord(b'', _KeyState.looked_up, was_looked_up=True)
+        record.requester = requester.daemon_id
         self._add(key_id, record)
-        self._expire_later(key_id, record, now_ms)
+        self._schedule_expiry(key_id, record, now_ms)
         return RecallState.never_seen
 
     def _is_full(self, member: str) -> bool:
-        return self._count_by_member[member] >= self._limits.keys_by_member
+        return self._count_by_member[member] >= self._limits.max_keys_per_member
 
     def _add(self, key_id: KeyId, record: _KeyRecord) -> None:
         self._record_by_id[key_id] = record
         self._count_by_member[key_id.member] += 1
 
-    def _not_run(self, key_id: KeyId, record: _KeyRecord, now_ms: int) -> None:
-        if record.was_recalled:
-            record.state = _KeyState.recalled
+    def _record_not_executed(
+        self, key_id: KeyId, record: _KeyRecord, now_ms: int
+    ) -> None:
+        if record.was_looked_up:
+            record.state = _KeyState.looked_up
             record.digest = b''
-            self._expire_later(key_id, record, now_ms)
+            self._schedule_expiry(key_id, record, now_ms)
         else:
             self._remove(key_id)
 
-    def _expire_later(
+    def _schedule_expiry(
         self, key_id: KeyId, record: _KeyRecord, now_ms: int
     ) -> None:
         record.expires_ms = now_ms + self._limits.key_memory_ms
@@ -254,7 +259,7 @@
             expires_ms, key_id = self._expiries.popleft()
             record = self._record_by_id.get(key_id)
             in_progress = record and record.state in {
-                _KeyState.recalling,
+                _KeyState.looking_up,
                 _KeyState.running,
             }
             if record and not in_progress and record.expires_ms <= expires_ms:
@@ -263,4 +268,4 @@
     def _remove(self, key_id: KeyId) -> None:
         self._record_by_id.pop(key_id)
         self._count_by_member[key_id.member] -= 1
-        self._answers.drop(key_id)
+        self._answers.discard(key_id)
--- a/waxwingford/routing/_retry_budget.py
+++ b/waxwingford/routing/_retry_budget.py
@@ -1,40 +1,42 @@
-"""Retry budget: retries are a share of traffic, so they cannot multiply it."""
+"""Retry budget, which limits retries to a fraction of the traffic."""
 
-#: Retries that each first request pays for.
+#: Tokens deposited per first attempt; a retry costs one token.
 RETRY_SHARE = 0.1
-#: Retries that may be saved up.
-MOST_SAVED = 50.0
+#: Maximum number of tokens in the budget.
+MAX_TOKENS = 50.0
 
 
 class RetryBudget:
-    """Token bucket that requests fill and retries empty.
+    """Token bucket that first attempts fill and retries empty.
 
-    With a fixed number of retries for each request, an overload multiplies
-    itself: one would notice load at the servers go up as answers go down.
+    Limiting retries by traffic prevents the retry storms that a fixed number
+    of retries per request causes under overload.
+
+    :ivar share: tokens deposited per first attempt.
     """
 
     def __init__(
-        self, share: float = RETRY_SHARE, most_saved: float = MOST_SAVED
+        self, share: float = RETRY_SHARE, max_tokens: float = MAX_TOKENS
     ) -> None:
-        """Start with a tenth of what may be saved.
+        """Create a budget filled to a tenth of its maximum.
 
-        :param share: retries that each request pays for.
-        :param most_saved: retries saved at most.
+        :param share: tokens deposited per first attempt.
+        :param max_tokens: maximum number of tokens.
         """
         self.share = share
-        self._most_saved = most_saved
-        self._saved = most_saved / 10
+        self._max_tokens = max_tokens
+        self._tokens = max_tokens / 10
 
-    def fill(self) -> None:
-        """Count a first request."""
-        self._saved = min(self._most_saved, self._saved + self.share)
+    def deposit(self) -> None:
+        """Add the tokens of a first attempt."""
+        self._tokens = min(self._max_tokens, self._tokens + self.share)
 
-    def take(self) -> bool:
-        """Pay for a retry.
+    def try_withdraw(self) -> bool:
+        """Take the token for a retry, if there is one.
 
-        :returns: whether the budget allows it.
+        :returns: whether the retry is allowed.
         """
-        if self._saved < 1:
+        if self._tokens < 1:
             return False
-        self._saved -= 1
+        self._tokens -= 1
         return True
--- a/waxwingford/routing/_slots.py
+++ b/waxwingford/routing/_slots.py
@@ -1,4 +1,4 @@
-"""Slots of held backend servers: who has room, and which one to take."""
+"""Slot accounting and load balancing over the held backend servers."""
 
 import dataclasses
 import heapq
@@ -8,21 +8,22 @@
 from waxwingford.kernel import Invariant, require
 from waxwingford.routing._call_tracker import CallTracker
 from waxwingford.routing._messages import HeldServer
+from waxwingford.routing._server_pool import ServerPool, lowest_latency
 from waxwingford.routing._server_state import SLOW_START_MS, ServerState
-from waxwingford.routing._service_group import ServiceGroup, best_of
 
-#: Draws of candidates beyond one for each open server.
-SPARE_DRAWS = 8
+#: Samplings of candidates in addition to one per available server.
+EXTRA_DRAWS = 8
 _NONE_TRIED: frozenset[str] = frozenset()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slot:
-    """One slot of a server, taken for one call.
+    """Slot of a server, occupied by one call.
 
-    :ivar call_id: of this table, unique.
-    :ivar held: the server as it was when the slot was taken.
-    :ivar taken_ms: monotonic time, in milliseconds.
+    :ivar call_id: id of the call, unique in the table.
+    :ivar held: server and lease at the time the slot was taken.
+    :ivar taken_ms: monotonic time at which the slot was taken, in
+        milliseconds.
     """
 
     call_id: int
@@ -31,62 +32,62 @@
 
 
 class SlotTable:
-    """Counts of calls in flight, kept only at the holder of each server.
+    """Slots of the servers whose control leases this daemon holds.
 
-    :ivar state_by_server: read only, for tests and reports.
-    :ivar group_by_service: read only, for heartbeats and reports.
+    :ivar state_by_server: state by server id; read-only for callers.
+    :ivar pool_by_service: pool by service; read-only for callers.
     """
 
     def __init__(self, rng: random.Random) -> None:
-        """Start without servers.
+        """Create a table without servers.
 
-        :param rng: seeded source of chance.
+        :param rng: random number generator.
         """
         self.state_by_server: dict[str, ServerState] = {}
-        self.group_by_service: dict[str, ServiceGroup] = {}
+        self.pool_by_service: dict[str, ServerPool] = {}
         self._rng = rng
         self._tracker = CallTracker()
-        self._wake_ups: list[tuple[int, str]] = []
+        self._timers: list[tuple[int, str]] = []
         self._warm_services: frozenset[str] = frozenset()
 
     def set_servers(self, servers: Iterable[HeldServer], now_ms: int) -> None:
         """Replace the set of held servers.
 
-        :param servers: all servers held now.
+        :param servers: all servers currently held.
         :param now_ms: monotonic time, in milliseconds.
         """
         by_id = {server.server_id: server for server in servers}
         self._warm_services = frozenset(
             service
-            for service, group in self.group_by_service.items()
-            if group.servers
+            for service, pool in self.pool_by_service.items()
+            if pool.servers
         )
-        for lost in self.state_by_server.keys() - by_id.keys():
-            self.drop(lost)
+        for server_id in self.state_by_server.keys() - by_id.keys():
+            self.remove(server_id)
         for server in by_id.values():
-            self.hold(server, now_ms)
+            self.add_or_renew(server, now_ms)
 
-    def hold(self, server: HeldServer, now_ms: int) -> None:
-        """Add or renew one server.
+    def add_or_renew(self, server: HeldServer, now_ms: int) -> None:
+        """Add a server or renew its lease.
 
-        :param server: the server with its lease.
+        :param server: server and lease.
         :param now_ms: monotonic time, in milliseconds.
         """
         state = self.state_by_server.get(server.server_id)
-        if state is None or _starts_anew(state, server):
-            state = self._begin(server, state, now_ms)
+        if state is None or _is_new_instance(state, server):
+            state = self._start_tracking(server, state, now_ms)
         state.held = server
         self._refresh(state, now_ms)
 
-    def drop(self, server_id: str) -> None:
-        """Forget a server that is no longer held, once its calls ended.
+    def remove(self, server_id: str) -> None:
+        """Remove a server; its state is dropped after its last call has ended.
 
-        :param server_id: which server.
+        :param server_id: id of the server.
         """
         state = self.state_by_server[server_id]
-        if not state.gone:
-            state.gone = True
-            self.group_by_service[state.held.service].leave(state)
+        if not state.removed:
+            state.removed = True
+            self.pool_by_service[state.held.service].remove(state)
         if not state.in_flight:
             self.state_by_server.pop(server_id)
 
@@ -96,38 +97,38 @@
         now_ms: int,
         tried: frozenset[str] = _NONE_TRIED,
     ) -> str | None:
-        """Choose a server by the better of two random candidates.
+        """Choose the better of two random servers.
 
-        A candidate whose lease lapsed is taken out of the open set, so that
-        the loop is paid for by what put it there.
+        Candidates whose lease has expired are removed from the available set,
+        which keeps the amortized cost constant.
 
-        :param service: which service.
+        :param service: requested service.
         :param now_ms: monotonic time, in milliseconds.
-        :param tried: servers that the request already went to.
-        :returns: server id; nothing if no held server has room.
+        :param tried: servers that the request was already sent to.
+        :returns: server id; None if no held server has a free slot.
         """
-        self.wake(now_ms)
-        group = self.group_by_service.get(service)
-        if group is None:
+        self.process_due(now_ms)
+        pool = self.pool_by_service.get(service)
+        if pool is None:
             return None
-        for _ in range(SPARE_DRAWS + group.open_count()):
-            names = group.choose_two(self._rng)
-            best = best_of(self._choosable(names, tried, now_ms))
+        for _ in range(EXTRA_DRAWS + pool.available_count()):
+            server_ids = pool.sample_two(self._rng)
+            best = lowest_latency(self._available_of(server_ids, tried, now_ms))
             if best:
                 return best.held.server_id
-            if not names:
+            if not server_ids:
                 break
         return None
 
     def take(self, server_id: str, now_ms: int) -> Slot | None:
-        """Take a slot at the moment of dispatch.
+        """Take a slot immediately before dispatch.
 
-        A daemon may have been frozen between choice and dispatch: the lease
-        can have lapsed, and the new holder counts the slots.
+        Checks the lease again, because it may have expired and passed to
+        another holder if the process was suspended after the choice.
 
-        :param server_id: the chosen server.
-        :param now_ms: monotonic time read just now, in milliseconds.
-        :returns: the slot; nothing if the server may no longer be used.
+        :param server_id: id of the chosen server.
+        :param now_ms: current monotonic time, in milliseconds.
+        :returns: slot; None if the server is no longer available.
         """
         state = self.state_by_server.get(server_id)
         if state is None or not state.choosable(now_ms):
@@ -136,12 +137,12 @@
         require(
             held.lease_until_ms > now_ms,
             Invariant.lease_before_effect,
-            f'{server_id}: lease ended {now_ms - held.lease_until_ms} ms ago',
+            f'{server_id}: lease expired {now_ms - held.lease_until_ms} ms ago',
         )
         require(not held.leaving, Invariant.leaving_server, server_id)
         state.in_flight += 1
         require(
-            state.in_flight <= state.most_in_flight(),
+            state.in_flight <= state.max_in_flight(),
             Invariant.capacity,
             f'{server_id}: {state.in_flight} calls for {held.slots} slots',
         )
@@ -149,118 +150,118 @@
         return Slot(self._tracker.begin(server_id), held, now_ms)
 
     def answered(self, slot: Slot, now_ms: int) -> float:
-        """Give a slot back after a whole answer.
+        """Release a slot after a complete answer.
 
-        :param slot: the slot.
+        :param slot: slot of the call.
         :param now_ms: monotonic time, in milliseconds.
         :returns: latency of the call, in milliseconds.
         """
         latency_ms = float(now_ms - slot.taken_ms)
         self.release(slot, now_ms)
         state = self.state_by_server.get(slot.held.server_id)
-        if state is None or state.gone:
+        if state is None or state.removed:
             return latency_ms
-        group = self.group_by_service[state.held.service]
-        if group.measured(state, latency_ms):
-            self.went_badly(slot, now_ms)
+        pool = self.pool_by_service[state.held.service]
+        if pool.record_latency(state, latency_ms):
+            self.record_failure(slot, now_ms)
         else:
-            state.bad_in_a_row = 0
+            state.consecutive_failures = 0
             state.ejections = 0
         return latency_ms
 
-    def went_badly(self, slot: Slot, now_ms: int) -> bool:
-        """Count a call that was not run, unknown or slow.
+    def record_failure(self, slot: Slot, now_ms: int) -> bool:
+        """Record a call that was not executed, of unknown outcome or slow.
 
-        :param slot: slot of the call, given back or not.
+        :param slot: slot of the call, released or not.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: whether the server was ejected by this.
+        :returns: whether the server was ejected.
         """
         state = self.state_by_server.get(slot.held.server_id)
-        if state is None or state.gone or state.ejected_until_ms:
+        if state is None or state.removed or state.ejected_until_ms:
             return False
-        state.bad_in_a_row += 1
-        group = self.group_by_service[state.held.service]
-        if not group.eject_if_bad(state, now_ms):
+        state.consecutive_failures += 1
+        pool = self.pool_by_service[state.held.service]
+        if not pool.eject_if_failing(state, now_ms):
             return False
-        self._wake_at(state.ejected_until_ms, state)
+        self._schedule(state.ejected_until_ms, state)
         self._refresh(state, now_ms)
         return True
 
     def abandon(self, slot: Slot, until_ms: int) -> None:
-        """Keep a slot of a call without an answer until the server is done.
+        """Keep the slot of an unanswered call occupied until a given time.
 
-        Given back at once, the slot would be given out again while the server
-        still runs the old call; one would notice more calls than slots there.
+        Releasing it at once would let the server get more calls than slots
+        while it still runs the unanswered one.
 
-        :param slot: the slot.
-        :param until_ms: monotonic time at which the server has ended the call
-            for certain, in milliseconds.
+        :param slot: slot of the call.
+        :param until_ms: monotonic time at which the server has certainly ended
+            the call, in milliseconds.
         """
         self._tracker.abandon(slot.call_id, until_ms)
 
     def release(self, slot: Slot, now_ms: int) -> None:
-        """Give a slot back; a second time does nothing.
+        """Release a slot; has no effect if it was already released.
 
-        :param slot: the slot.
+        :param slot: slot to release.
         :param now_ms: monotonic time, in milliseconds.
         """
         self._end_call(slot.call_id, now_ms)
 
-    def wake(self, now_ms: int) -> None:
-        """Do what has become due: abandoned calls, ejections, slow starts.
+    def process_due(self, now_ms: int) -> None:
+        """Process abandoned calls, ejections and slow starts that are due.
 
         :param now_ms: monotonic time, in milliseconds.
         """
-        for call_id in self._tracker.due(now_ms):
+        for call_id in self._tracker.pop_due(now_ms):
             self._end_call(call_id, now_ms)
-        while self._wake_ups and self._wake_ups[0][0] <= now_ms:
-            _, server_id = heapq.heappop(self._wake_ups)
+        while self._timers and self._timers[0][0] <= now_ms:
+            _, server_id = heapq.heappop(self._timers)
             state = self.state_by_server.get(server_id)
-            if state is not None and not state.gone:
-                group = self.group_by_service[state.held.service]
-                group.end_ejection(state, now_ms)
+            if state is not None and not state.removed:
+                pool = self.pool_by_service[state.held.service]
+                pool.end_ejection_if_due(state, now_ms)
                 self._refresh(state, now_ms)
 
-    def _begin(
+    def _start_tracking(
         self, server: HeldServer, old: ServerState | None, now_ms: int
     ) -> ServerState:
-        # Slow start spares a new server while others can take the load.  Where
-        # all are new, as after the start of a daemon, it would only refuse.
-        is_beside_warm = server.service in self._warm_services
-        start_ms = now_ms if is_beside_warm else now_ms - SLOW_START_MS
+        # Slow start requires other servers that can take the load.  If all are
+        # new, as after the start of a daemon, it would only cause refusals.
+        has_warm_servers = server.service in self._warm_services
+        start_ms = now_ms if has_warm_servers else now_ms - SLOW_START_MS
         state = ServerState(server, slow_start_from_ms=start_ms)
         if old is not None:
-            # Calls of the earlier holding may still run: they keep counting.
+            # Calls from before the server was removed may still run.
             state.in_flight = old.in_flight
-            if not old.gone:
-                self.group_by_service[old.held.service].leave(old)
+            if not old.removed:
+                self.pool_by_service[old.held.service].remove(old)
         self.state_by_server[server.server_id] = state
-        group = self.group_by_service.setdefault(server.service, ServiceGroup())
-        group.servers += 1
+        pool = self.pool_by_service.setdefault(server.service, ServerPool())
+        pool.servers += 1
         return state
 
-    def _choosable(
-        self, names: tuple[str, ...], tried: frozenset[str], now_ms: int
+    def _available_of(
+        self, server_ids: tuple[str, ...], tried: frozenset[str], now_ms: int
     ) -> list[ServerState]:
         found = []
-        for name in names:
-            state = self.state_by_server[name]
+        for server_id in server_ids:
+            state = self.state_by_server[server_id]
             if not state.choosable(now_ms):
-                # Its lease lapsed since it was put here; a renewal brings it
-                # back.
+                # The lease has expired; a renewal makes the server available
+                # again.
                 self._refresh(state, now_ms)
-            elif name not in tried:
+            elif server_id not in tried:
                 found.append(state)
         return found
 
     def _refresh(self, state: ServerState, now_ms: int) -> None:
-        self.group_by_service[state.held.service].refresh(state, now_ms)
-        if state.in_slow_start(now_ms) and state.wake_ms <= now_ms:
-            state.wake_ms = state.next_step_ms(now_ms)
-            self._wake_at(state.wake_ms, state)
+        self.pool_by_service[state.held.service].refresh(state, now_ms)
+        if state.in_slow_start(now_ms) and state.next_update_ms <= now_ms:
+            state.next_update_ms = state.next_slot_ms(now_ms)
+            self._schedule(state.next_update_ms, state)
 
-    def _wake_at(self, at_ms: int, state: ServerState) -> None:
-        heapq.heappush(self._wake_ups, (at_ms, state.held.server_id))
+    def _schedule(self, at_ms: int, state: ServerState) -> None:
+        heapq.heappush(self._timers, (at_ms, state.held.server_id))
 
     def _end_call(self, call_id: int, now_ms: int) -> None:
         server_id = self._tracker.end(call_id)
@@ -271,16 +272,16 @@
         require(
             state.in_flight >= 0,
             Invariant.capacity,
-            f'{server_id}: a slot was given back twice',
+            f'{server_id}: slot released twice',
         )
-        if not state.gone:
+        if not state.removed:
             self._refresh(state, now_ms)
         elif not state.in_flight:
             self.state_by_server.pop(server_id)
 
 
-def _starts_anew(state: ServerState, server: HeldServer) -> bool:
-    return state.gone or (state.held.boot_id, state.held.service) != (
+def _is_new_instance(state: ServerState, server: HeldServer) -> bool:
+    return state.removed or (state.held.boot_id, state.held.service) != (
         server.boot_id,
         server.service,
     )
