--- a/waxwingford/placement/__init__.py
+++ b/waxwingford/placement/__init__.py
@@ -1,15 +1,15 @@
-"""Placement of batch tasks: views, policies' registry, quotas, quarantine."""
+"""Placement of batch tasks: policy interface, quotas, sizes, quarantine."""
 
 from waxwingford.placement._failures import (
     FailureVerdict,
     QuarantineLimits,
+    RetryElsewhere,
     ServerQuarantined,
     TaskStopped,
-    TryElsewhere,
 )
 from waxwingford.placement._fit import (
     NOTHING,
-    NeverFits,
+    InfeasibleSize,
     add,
     fits,
     free_on,
@@ -41,7 +41,7 @@
     'ColocationPolicy',
     'Evict',
     'FailureVerdict',
-    'NeverFits',
+    'InfeasibleSize',
     'PendingTask',
     'Placement',
     'PolicyFactory',
@@ -58,7 +58,7 @@
     'TaskStopped',
     'TeamName',
     'Throttle',
-    'TryElsewhere',
+    'RetryElsewhere',
     'add',
     'fits',
     'free_on',
--- a/waxwingford/placement/_failures.py
+++ b/waxwingford/placement/_failures.py
@@ -1,21 +1,22 @@
-"""Limits of quarantine, and what a failure leads to."""
+"""Quarantine limits and the possible verdicts on a failed attempt."""
 
 import dataclasses
 from typing import NamedTuple
 
 
 class QuarantineLimits(NamedTuple):
-    """When to give a server or a task up.
-
-    :ivar tasks_per_server: distinct tasks that fail on a server, without one
-        that ends well in between, until it is quarantined.
-    :ivar servers_per_task: distinct sound servers on which a task fails until
-        it is stopped.
-    :ivar capped_share: share of the servers that may be in quarantine.
-    :ivar probation_ms: time until the first probation task, in milliseconds;
-        doubles with each probation task that fails.
-    :ivar probation_cap_ms: the longest such time, in milliseconds.
-    :ivar probation_tasks: probation tasks in a row that must end well.
+    """Thresholds for quarantining a server or stopping a task.
+
+    :ivar tasks_per_server: number of distinct tasks that must fail on a
+        server, with no success in between, before it is quarantined.
+    :ivar servers_per_task: number of distinct healthy servers on which a task
+        must fail before it is stopped.
+    :ivar capped_share: largest fraction of servers in quarantine, 0 to 1.
+    :ivar probation_ms: delay before the first probation task, in
+        milliseconds; doubled after each failed probation task.
+    :ivar probation_cap_ms: upper bound of that delay, in milliseconds.
+    :ivar probation_tasks: consecutive probation tasks that must succeed
+        before the server leaves quarantine.
     """
 
     tasks_per_server: int = 3
@@ -28,10 +29,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerQuarantined:
-    """The server gets nothing but probation tasks from now on.
+    """The server is quarantined and accepts only probation tasks.
 
-    :ivar server_id: which one.
-    :ivar task_ids: tasks that failed there.
+    :ivar server_id: identifier of the server.
+    :ivar task_ids: tasks that failed on it, sorted.
     """
 
     server_id: str
@@ -40,10 +41,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskStopped:
-    """The task is not tried again.
+    """The task failed on too many servers and is not retried.
 
-    :ivar task_id: which one.
-    :ivar server_ids: sound servers on which it failed.
+    :ivar task_id: identifier of the task.
+    :ivar server_ids: healthy servers on which it failed, sorted.
     """
 
     task_id: str
@@ -51,8 +52,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TryElsewhere:
-    """Neither is given up: the task goes to another server."""
+class RetryElsewhere:
+    """No limit was reached; the task may be retried on another server."""
 
 
-FailureVerdict = ServerQuarantined | TaskStopped | TryElsewhere
+FailureVerdict = ServerQuarantined | TaskStopped | RetryElsewhere
--- a/waxwingford/placement/_fit.py
+++ b/waxwingford/placement/_fit.py
@@ -1,4 +1,4 @@
-"""Vector fit: processors, memory and accelerators, checked one by one."""
+"""Resource vector arithmetic and feasibility checks by dimension."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -13,12 +13,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NeverFits:
-    """No server that exists could ever run a task of this size.
+class InfeasibleSize:
+    """No server has the capacity for a task of the declared size.
 
-    :ivar dimension: field of :class:`Resources` that is too large.
-    :ivar declared: what was asked for, in the unit of the field.
-    :ivar largest: the most that a server offers to batch work, same unit.
+    :ivar dimension: field of :class:`Resources` that exceeds the capacity.
+    :ivar declared: declared amount, in the unit of the field.
+    :ivar largest: capacity that the declared amount exceeds, in the same
+        unit; see :func:`never_fits`.
     """
 
     dimension: str
@@ -27,30 +28,30 @@
 
 
 def largest(left: Resources, right: Resources) -> Resources:
-    """Take the larger value in each dimension.
+    """Compute the element-wise maximum of two resource vectors.
 
-    :param left: one.
-    :param right: the other.
-    :returns: the maximum by dimension.
+    :param left: first vector.
+    :param right: second vector.
+    :returns: the larger value in each dimension.
     """
     return Resources(*map(max, left, right))
 
 
 def smallest(left: Resources, right: Resources) -> Resources:
-    """Take the smaller value in each dimension.
+    """Compute the element-wise minimum of two resource vectors.
 
-    :param left: one.
-    :param right: the other.
-    :returns: the minimum by dimension.
+    :param left: first vector.
+    :param right: second vector.
+    :returns: the smaller value in each dimension.
     """
     return Resources(*map(min, left, right))
 
 
 def total_of(sizes: Iterable[Resources]) -> Resources:
-    """Add up many vectors.
+    """Sum resource vectors.
 
-    :param sizes: vectors.
-    :returns: their sum.
+    :param sizes: vectors to add.
+    :returns: the element-wise sum; all zero if there are none.
     """
     total = NOTHING
     for size in sizes:
@@ -59,50 +60,52 @@
 
 
 def free_on(server: ServerView) -> Resources:
-    """Compute what batch work may still be given on a server.
+    """Compute the unallocated batch capacity of a server.
 
-    :param server: its view.
-    :returns: ``total - reserved`` less what is given to attempts; negative
-        where an operator raised the reservation under running work.
+    :param server: view of the server.
+    :returns: ``total - reserved`` minus the resources allocated to batch
+        attempts; negative if the reservation was raised above what running
+        attempts leave.
     """
-    given = total_of(task.resources for task in server.running)
-    return subtract(subtract(server.total, server.reserved), given)
+    allocated = total_of(task.resources for task in server.running)
+    return subtract(subtract(server.total, server.reserved), allocated)
 
 
 def never_fits(
     declared: Resources,
-    offers: Iterable[Resources],
-) -> NeverFits | None:
-    """Tell whether a job can never run, so that it is refused at once.
-
-    Without this check such a job would wait for ever and look like one that
-    is merely unlucky.
-
-    :param declared: size of each of its tasks.
-    :param offers: ``total - reserved`` of every server that exists.
-    :returns: the dimension that rules it out, or None if some server would
-        do; for a mix that no one server has, the dimension that is too large
-        on the server that comes nearest.
+    capacities: Iterable[Resources],
+) -> InfeasibleSize | None:
+    """Check whether a job's tasks exceed the capacity of every server.
+
+    Lets infeasible jobs be rejected on submission instead of staying pending
+    forever.
+
+    :param declared: declared size of each task.
+    :param capacities: ``total - reserved`` of every known server.
+    :returns: the first dimension that exceeds every server's capacity, or
+        None if a server can hold the task.  If each dimension fits on some
+        server but no server fits all of them, the first dimension that is too
+        large for the server that satisfies most dimensions.
     """
-    known = list(offers)
-    if any(fits(declared, offer) for offer in known):
+    known_capacities = list(capacities)
+    if any(fits(declared, capacity) for capacity in known_capacities):
         return None
-    best = NOTHING
-    for offer in known:
-        best = largest(best, offer)
+    maxima = NOTHING
+    for capacity in known_capacities:
+        maxima = largest(maxima, capacity)
     nearest = max(
-        known,
-        key=lambda offer: sum(map(int.__ge__, offer, declared)),
+        known_capacities,
+        key=lambda capacity: sum(map(int.__ge__, capacity, declared)),
         default=NOTHING,
     )
-    against = nearest if fits(declared, best) else best
+    reference = nearest if fits(declared, maxima) else maxima
     return next(
-        NeverFits(dimension, wanted, offered)
-        for dimension, wanted, offered in zip(
+        InfeasibleSize(dimension, requested, available)
+        for dimension, requested, available in zip(
             Resources._fields,
             declared,
-            against,
+            reference,
             strict=True,
         )
-        if wanted > offered
+        if requested > available
     )
--- a/waxwingford/placement/_pending.py
+++ b/waxwingford/placement/_pending.py
@@ -1,4 +1,4 @@
-"""Pending tasks as the quota tracker keeps them: ranks and heap entries."""
+"""Pending tasks of the quota tracker: ranks and heap entries."""
 
 import heapq
 from collections.abc import Mapping
@@ -7,43 +7,43 @@
 from waxwingford.placement._views import PendingTask
 from waxwingford.ports import TaskKey
 
-#: One step of priority is worth so much waiting time.
-_PRIORITY_STEP_MS = 6000
-#: A task becomes urgent when its slack falls below this.
-_SLACK_LEAD_MS = 600_000
+#: Waiting time that one unit of priority is equivalent to.
+_WAIT_MS_PER_PRIORITY = 6000
+#: Slack below which the deadline determines a task's rank.
+_URGENT_SLACK_MS = 600_000
 
 
 class TeamName(NamedTuple):
-    """A team of a member; names of teams are not unique between members.
+    """Qualified team name; a team name is unique only within its member.
 
-    :ivar member: owner.
-    :ivar team: team of the owner.
+    :ivar member: member organisation that the team belongs to.
+    :ivar team: name of the team.
     """
 
     member: str
     team: str
 
 
-class Turn(NamedTuple):
+class TeamHeapEntry(NamedTuple):
     """Heap entry of a team; stale once the team's share has changed.
 
-    :ivar share: the team's share when the entry was made.
-    :ivar name: the team.
+    :ivar share: dominant share divided by quota when the entry was pushed.
+    :ivar name: qualified name of the team.
     """
 
     share: float
     name: TeamName
 
 
-class Waiting(NamedTuple):
-    """Heap entry of a pending task; smaller goes first.
+class TaskHeapEntry(NamedTuple):
+    """Heap entry of a pending task, in scheduling order.
 
-    Ageing and falling slack move all entries alike, so the rank is a fixed
-    point in time and the heap never has to be rebuilt as time passes.
+    Waiting time and slack change at the same rate for all tasks, so the rank
+    is a constant and the heap stays valid as time passes.
 
-    :ivar rank_ms: monotonic time from which on it counts as waiting.
-    :ivar sequence: first come, first served among equals.
-    :ivar key: the task.
+    :ivar rank_ms: monotonic time, in milliseconds; see :func:`rank_ms`.
+    :ivar sequence: insertion order, which breaks ties.
+    :ivar key: next attempt of the task.
     """
 
     rank_ms: int
@@ -51,62 +51,67 @@
     key: TaskKey
 
 
-class Known(NamedTuple):
-    """A pending task with the time at which its times were read.
+class TrackedTask(NamedTuple):
+    """A pending task and its bookkeeping.
 
-    :ivar task: as added.
-    :ivar added_ms: monotonic time of that, in milliseconds.
-    :ivar sequence: of its heap entry; others with its key are stale.
-    :ivar step: its dominant share of the capacity.
+    :ivar task: the task, with its times as of ``added_ms``.
+    :ivar added_ms: monotonic time of insertion, in milliseconds.
+    :ivar sequence: sequence of its current heap entry; entries with the same
+        key and another sequence are stale.
+    :ivar dominant_share: the task's dominant share of the capacity.
     """
 
     task: PendingTask
     added_ms: int
     sequence: int
-    step: float
+    dominant_share: float
 
 
 def rank_ms(task: PendingTask, now_ms: int) -> int:
-    """Rank a task within its team.
+    """Compute a task's rank within its team.
 
-    :param task: the task.
+    :param task: the pending task.
     :param now_ms: monotonic time, in milliseconds.
-    :returns: smaller is sooner; the time it began to wait, moved back by its
-        priority, or the time at which it became urgent.
+    :returns: a monotonic time, in milliseconds, where smaller runs earlier:
+        the time the task became pending, moved back according to its
+        priority, or the time its slack reaches the urgency threshold if that
+        is earlier.
     """
-    since_ms = now_ms - task.waiting_ms - task.priority * _PRIORITY_STEP_MS
+    effective_start_ms = (
+        now_ms - task.waiting_ms - task.priority * _WAIT_MS_PER_PRIORITY
+    )
     if task.slack_ms is None:
-        return since_ms
-    return min(since_ms, now_ms + task.slack_ms - _SLACK_LEAD_MS)
+        return effective_start_ms
+    return min(effective_start_ms, now_ms + task.slack_ms - _URGENT_SLACK_MS)
 
 
-def as_of(known: Known, now_ms: int) -> PendingTask:
-    """Bring a task's times up to date.
+def with_current_times(tracked: TrackedTask, now_ms: int) -> PendingTask:
+    """Update a task's waiting time and slack to the current time.
 
-    :param known: task with the time of its times.
+    :param tracked: the task and its insertion time.
     :param now_ms: monotonic time, in milliseconds.
-    :returns: the task as of now.
+    :returns: a copy of the task with current times.
     """
-    passed_ms = now_ms - known.added_ms
-    task = known.task
-    slack_ms = None if task.slack_ms is None else task.slack_ms - passed_ms
+    elapsed_ms = now_ms - tracked.added_ms
+    task = tracked.task
+    slack_ms = None if task.slack_ms is None else task.slack_ms - elapsed_ms
     return task._replace(
-        waiting_ms=task.waiting_ms + passed_ms,
+        waiting_ms=task.waiting_ms + elapsed_ms,
         slack_ms=slack_ms,
     )
 
 
-def drop_stale(
-    heap: list[Waiting],
-    known_by_key: Mapping[TaskKey, Known],
+def pop_stale_entries(
+    heap: list[TaskHeapEntry],
+    tracked_by_key: Mapping[TaskKey, TrackedTask],
 ) -> None:
-    """Drop heap entries of tasks that were removed, as far as they are first.
+    """Pop the stale entries at the top of a heap.
 
-    :param heap: entries of a team; changed in place.
-    :param known_by_key: tasks that are pending now.
+    :param heap: task entries of a team; modified in place.
+    :param tracked_by_key: tasks that are currently pending.
     """
     while heap:
-        known = known_by_key.get(heap[0].key)
-        if known is not None and known.sequence == heap[0].sequence:
+        tracked = tracked_by_key.get(heap[0].key)
+        if tracked is not None and tracked.sequence == heap[0].sequence:
             return
         heapq.heappop(heap)
--- a/waxwingford/placement/_quarantine.py
+++ b/waxwingford/placement/_quarantine.py
@@ -1,9 +1,9 @@
-"""Bad servers and bad tasks, told apart by failures of (task, server) pairs.
+"""Detection of faulty servers and tasks from failed (task, server) pairs.
 
-A task that fails on many servers is bad itself; a server on which many tasks
-fail is bad itself.  Each pair counts once, failures on a server that is known
-to be bad say nothing about the task, and tasks of a job that has failed on
-several servers and ended well on none say nothing about a server.
+A task is faulty if it fails on several servers, a server if several tasks fail
+on it.  Failures on quarantined servers do not count against the task, and
+failures of a job that failed on several servers and never succeeded do not
+count against the server.
 """
 
 import collections
@@ -13,61 +13,63 @@
 from waxwingford.placement._failures import (
     FailureVerdict,
     QuarantineLimits,
+    RetryElsewhere,
     ServerQuarantined,
     TaskStopped,
-    TryElsewhere,
 )
 
-#: Failed tasks remembered for each server; bounds memory in bad nights.
-_REMEMBERED_TASKS = 64
+#: Failed tasks stored per server; bounds memory.
+_MAX_FAILED_TASKS_PER_SERVER = 64
 
 
 @dataclasses.dataclass(slots=True)
 class _Probation:
-    """A quarantined server.
+    """Probation state of a quarantined server.
 
-    :ivar next_ms: monotonic time of the next probation task.
-    :ivar wait_ms: present wait between probation tasks.
-    :ivar passed: probation tasks in a row that ended well.
+    :ivar next_probe_ms: monotonic time from which the next probation task may
+        start, in milliseconds.
+    :ivar probe_interval_ms: current interval between probation tasks, in
+        milliseconds.
+    :ivar successes: consecutive probation tasks that succeeded.
     """
 
-    next_ms: int
-    wait_ms: int
-    passed: int = 0
+    next_probe_ms: int
+    probe_interval_ms: int
+    successes: int = 0
 
-    def extend(self, now_ms: int, cap_ms: int) -> None:
-        """Wait longer after a probation task that failed.
+    def back_off(self, now_ms: int, cap_ms: int) -> None:
+        """Double the probe interval after a failed probation task.
 
         :param now_ms: monotonic time, in milliseconds.
-        :param cap_ms: longest wait, in milliseconds.
+        :param cap_ms: upper bound of the interval, in milliseconds.
         """
-        self.passed = 0
-        self.wait_ms = min(self.wait_ms * 2, cap_ms)
-        self.next_ms = now_ms + self.wait_ms
+        self.successes = 0
+        self.probe_interval_ms = min(self.probe_interval_ms * 2, cap_ms)
+        self.next_probe_ms = now_ms + self.probe_interval_ms
 
 
 @dataclasses.dataclass(slots=True)
-class _Job:
-    """What the tasks of one job say together.
+class _JobOutcomes:
+    """Outcomes of the tasks of one job.
 
-    :ivar failed_on: servers on which one of them failed.
-    :ivar ended_well: whether one of them ended well anywhere.
+    :ivar failed_on: servers on which at least one task failed.
+    :ivar has_succeeded: whether any task has succeeded.
     """
 
     failed_on: set[str] = dataclasses.field(default_factory=set)
-    ended_well: bool = False
+    has_succeeded: bool = False
 
     @property
     def is_suspect(self) -> bool:
-        """Tell whether the job rather than a server may be at fault.
+        """Check whether failures are attributable to the job itself.
 
-        :returns: whether it failed on several servers and succeeded nowhere.
+        :returns: True if tasks failed on several servers and none succeeded.
         """
-        return len(self.failed_on) > 1 and not self.ended_well
+        return len(self.failed_on) > 1 and not self.has_succeeded
 
 
 def _job_id(task_id: str) -> str:
-    """Take the job's id out of a task's.
+    """Extract the job id from a task id.
 
     :param task_id: ``<job id>/<index>``.
     :returns: the job id.
@@ -76,33 +78,35 @@
 
 
 class Quarantine:
-    """Counts failures and decides whom to give up.
+    """Counts failures, quarantines servers and stops tasks.
 
-    :ivar limits: when to; others may be put in force, and who is in
-        quarantine stays there.
+    :ivar limits: thresholds; may be replaced, which does not release servers
+        that are already in quarantine.
     """
 
     def __init__(self, limits: QuarantineLimits | None = None) -> None:
-        """Start with everyone sound.
+        """Create an instance without recorded failures.
 
-        :param limits: when to give up.
+        :param limits: thresholds; the defaults if None.
         """
         self.limits = limits or QuarantineLimits()
-        self._tasks_by_server: dict[str, set[str]] = collections.defaultdict(
-            set,
+        self._failed_tasks_by_server: dict[str, set[str]] = (
+            collections.defaultdict(set)
         )
-        self._servers_by_task: dict[str, set[str]] = collections.defaultdict(
-            set,
+        self._failed_servers_by_task: dict[str, set[str]] = (
+            collections.defaultdict(set)
+        )
+        self._outcomes_by_job: dict[str, _JobOutcomes] = (
+            collections.defaultdict(_JobOutcomes)
         )
-        self._job_by_id: dict[str, _Job] = collections.defaultdict(_Job)
         self._probation_by_server: dict[str, _Probation] = {}
-        self._stopped: set[str] = set()
+        self._stopped_tasks: set[str] = set()
 
     @property
     def quarantined(self) -> frozenset[str]:
-        """List the servers in quarantine.
+        """Quarantined servers.
 
-        :returns: their names.
+        :returns: identifiers of the servers.
         """
         return frozenset(self._probation_by_server)
 
@@ -113,179 +117,193 @@
         now_ms: int,
         server_count: int,
     ) -> FailureVerdict:
-        """Count a failure.
+        """Record a failed attempt.
 
-        :param task_id: the task.
-        :param server_id: the server.
+        :param task_id: task that failed.
+        :param server_id: server on which it failed.
         :param now_ms: monotonic time, in milliseconds.
-        :param server_count: servers that the caller knows, for the cap.
-        :returns: what is given up, if anything.
+        :param server_count: total number of servers, which limits how many
+            may be in quarantine.
+        :returns: whether the server is quarantined, the task is stopped, or
+            the task may be retried on another server.
         """
-        if len(self._tasks_by_server[server_id]) < _REMEMBERED_TASKS:
-            self._tasks_by_server[server_id].add(task_id)
-        self._servers_by_task[task_id].add(server_id)
-        self._blame_job(_job_id(task_id), server_id)
+        if (
+            len(self._failed_tasks_by_server[server_id])
+            < _MAX_FAILED_TASKS_PER_SERVER
+        ):
+            self._failed_tasks_by_server[server_id].add(task_id)
+        self._failed_servers_by_task[task_id].add(server_id)
+        self._record_job_failure(_job_id(task_id), server_id)
         probation = self._probation_by_server.get(server_id)
         if probation is not None:
-            probation.extend(now_ms, self.limits.probation_cap_ms)
-            return TryElsewhere()
-        if self._is_bad_server(server_id, server_count):
-            return self._quarantine(server_id, now_ms)
-        sound = self.failed_on(task_id)
-        if len(sound) >= self.limits.servers_per_task:
-            self._stopped.add(task_id)
-            return TaskStopped(task_id, sound)
-        return TryElsewhere()
+            probation.back_off(now_ms, self.limits.probation_cap_ms)
+            return RetryElsewhere()
+        if self._should_quarantine(server_id, server_count):
+            return self._start_probation(server_id, now_ms)
+        healthy_servers = self.failed_on(task_id)
+        if len(healthy_servers) >= self.limits.servers_per_task:
+            self._stopped_tasks.add(task_id)
+            return TaskStopped(task_id, healthy_servers)
+        return RetryElsewhere()
 
     def succeeded(self, task_id: str, server_id: str) -> None:
-        """Count a good end; it clears the server's earlier failures.
+        """Record a success, which clears the server's earlier failures.
 
-        :param task_id: the task.
-        :param server_id: the server.
+        :param task_id: task that succeeded.
+        :param server_id: server on which it ran.
         """
         self.forget_task(task_id)
-        self._job_by_id[_job_id(task_id)].ended_well = True
-        self._tasks_by_server.pop(server_id, None)
+        self._outcomes_by_job[_job_id(task_id)].has_succeeded = True
+        self._failed_tasks_by_server.pop(server_id, None)
         probation = self._probation_by_server.get(server_id)
         if probation is None:
             return
-        probation.passed += 1
-        if probation.passed >= self.limits.probation_tasks:
+        probation.successes += 1
+        if probation.successes >= self.limits.probation_tasks:
             self._probation_by_server.pop(server_id)
 
     def forget_task(self, task_id: str) -> None:
-        """Drop what is known of a task that is over.
+        """Discard the record of a task that has ended.
 
-        What it says of servers stays: a server that fails tasks which are
-        then cancelled is still bad.
+        Its failures still count against servers.
 
-        :param task_id: which one.
+        :param task_id: identifier of the task.
         """
-        self._servers_by_task.pop(task_id, None)
-        self._stopped.discard(task_id)
+        self._failed_servers_by_task.pop(task_id, None)
+        self._stopped_tasks.discard(task_id)
 
     def forget_job(self, job_id: str) -> None:
-        """Drop what is known of a job that is over.
+        """Discard the record of a job that has ended.
 
-        Failures of a suspect job go with it: once nothing tells that the job
-        was bad, they would speak against every server that ran its tasks.
+        Failures of a suspect job are discarded too; otherwise they would count
+        against every server that ran its tasks.
 
-        :param job_id: which one.
+        :param job_id: identifier of the job.
         """
-        job = self._job_by_id.pop(job_id, None)
-        if job is None or not job.is_suspect:
+        outcomes = self._outcomes_by_job.pop(job_id, None)
+        if outcomes is None or not outcomes.is_suspect:
             return
-        for server_id in job.failed_on:
-            task_ids = self._tasks_by_server.get(server_id, set())
+        for server_id in outcomes.failed_on:
+            task_ids = self._failed_tasks_by_server.get(server_id, set())
             task_ids -= {one for one in task_ids if _job_id(one) == job_id}
 
     def keep_servers(self, server_ids: Container[str]) -> None:
-        """Drop what is known of all other servers, such as VMs replaced.
+        """Discard the records of servers that no longer exist.
 
-        :param server_ids: servers that exist.
+        :param server_ids: identifiers of the existing servers.
         """
-        known = self._tasks_by_server.keys() | self._probation_by_server.keys()
-        for server_id in known:
+        recorded = (
+            self._failed_tasks_by_server.keys()
+            | self._probation_by_server.keys()
+        )
+        for server_id in recorded:
             if server_id not in server_ids:
-                self._tasks_by_server.pop(server_id, None)
+                self._failed_tasks_by_server.pop(server_id, None)
                 self._probation_by_server.pop(server_id, None)
 
     def is_quarantined(self, server_id: str) -> bool:
-        """Tell whether a server gets at most probation tasks.
+        """Check whether a server accepts only probation tasks.
 
-        :param server_id: which one.
-        :returns: whether it is in quarantine.
+        :param server_id: identifier of the server.
+        :returns: True if the server is in quarantine.
         """
         return server_id in self._probation_by_server
 
     def may_probe(self, server_id: str, now_ms: int) -> bool:
-        """Tell whether a probation task is due.
+        """Check whether a quarantined server may get a probation task.
 
-        :param server_id: which one.
+        Quarantined servers for which this is False must not be passed to
+        :meth:`ColocationPolicy.place`.
+
+        :param server_id: identifier of the server.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: False for a server that is not in quarantine; leave one that
-            is, and for which this is False, out of ``place``.
+        :returns: True if a probation task is due; False if not, or if the
+            server is not in quarantine.
         """
         probation = self._probation_by_server.get(server_id)
-        return probation is not None and now_ms >= probation.next_ms
+        return probation is not None and now_ms >= probation.next_probe_ms
 
     def note_probe(self, server_id: str, now_ms: int) -> None:
-        """Note that a probation task goes there; the next one waits.
+        """Record the start of a probation task and defer the next one.
 
-        :param server_id: which one.
+        :param server_id: identifier of the server.
         :param now_ms: monotonic time, in milliseconds.
         """
         probation = self._probation_by_server.get(server_id)
         if probation is not None:
-            probation.next_ms = now_ms + probation.wait_ms
+            probation.next_probe_ms = now_ms + probation.probe_interval_ms
 
     def is_stopped(self, task_id: str) -> bool:
-        """Tell whether a task was given up.
+        """Check whether a task was stopped after failing on several servers.
 
-        :param task_id: which one.
-        :returns: whether it was.
+        :param task_id: identifier of the task.
+        :returns: True if the task is not to be retried.
         """
-        return task_id in self._stopped
+        return task_id in self._stopped_tasks
 
     def failed_on(self, task_id: str) -> tuple[str, ...]:
-        """List the sound servers on which a task failed.
+        """List the healthy servers on which a task failed.
 
-        :param task_id: which one.
-        :returns: their names in order, without those in quarantine.
+        :param task_id: identifier of the task.
+        :returns: sorted identifiers of servers, excluding those in quarantine.
         """
         return tuple(
             sorted(
                 server_id
-                for server_id in self._servers_by_task.get(task_id, ())
+                for server_id in self._failed_servers_by_task.get(task_id, ())
                 if server_id not in self._probation_by_server
             ),
         )
 
-    def _blame_job(self, job_id: str, server_id: str) -> None:
-        job = self._job_by_id[job_id]
-        was_suspect = job.is_suspect
-        job.failed_on.add(server_id)
-        if was_suspect or not job.is_suspect:
+    def _record_job_failure(self, job_id: str, server_id: str) -> None:
+        outcomes = self._outcomes_by_job[job_id]
+        was_suspect = outcomes.is_suspect
+        outcomes.failed_on.add(server_id)
+        if was_suspect or not outcomes.is_suspect:
             return
-        # The first server to run a bad job looks bad until the job has failed
-        # on a second one; only then does it come to light, so look again.
+        # Failures that quarantined a server may prove attributable to the job
+        # once it has failed on a second server.
         for quarantined_id in list(self._probation_by_server):
-            if not self._has_witnesses(quarantined_id):
+            if not self._has_enough_failures(quarantined_id):
                 self._probation_by_server.pop(quarantined_id)
 
-    def _is_bad_server(self, server_id: str, server_count: int) -> bool:
-        if not self._has_witnesses(server_id):
+    def _should_quarantine(self, server_id: str, server_count: int) -> bool:
+        if not self._has_enough_failures(server_id):
             return False
-        allowed = max(1, int(self.limits.capped_share * server_count))
-        if len(self._probation_by_server) < allowed:
+        max_quarantined = max(1, int(self.limits.capped_share * server_count))
+        if len(self._probation_by_server) < max_quarantined:
             return True
-        # First come, first kept would leave the worst servers at work when a
-        # whole rack begins to fail: the best one in quarantine makes room.
-        failed_by_server = {
-            one: len(self._tasks_by_server[one])
+        # Release the quarantined server with the fewest failures, so that the
+        # servers that fail most stay in quarantine when the cap is reached.
+        failure_count_by_server = {
+            one: len(self._failed_tasks_by_server[one])
             for one in self._probation_by_server
         }
-        best_id = min(failed_by_server, key=failed_by_server.__getitem__)
-        failed = len(self._tasks_by_server[server_id])
-        if failed_by_server[best_id] >= failed:
+        least_failing_id = min(
+            failure_count_by_server, key=failure_count_by_server.__getitem__
+        )
+        failed = len(self._failed_tasks_by_server[server_id])
+        if failure_count_by_server[least_failing_id] >= failed:
             return False
-        self._probation_by_server.pop(best_id)
+        self._probation_by_server.pop(least_failing_id)
         return True
 
-    def _has_witnesses(self, server_id: str) -> bool:
-        # Without leaving suspect jobs out, one bad job of many tasks, whose
-        # first failures are spread over all servers, quarantines good ones.
-        witnesses = [
+    def _has_enough_failures(self, server_id: str) -> bool:
+        # A faulty job whose tasks fail on many servers must not quarantine
+        # healthy ones, so failures of suspect jobs are excluded.
+        counted_tasks = [
             task_id
-            for task_id in self._tasks_by_server[server_id]
-            if (job := self._job_by_id.get(_job_id(task_id))) is None
-            or not job.is_suspect
+            for task_id in self._failed_tasks_by_server[server_id]
+            if (outcomes := self._outcomes_by_job.get(_job_id(task_id))) is None
+            or not outcomes.is_suspect
         ]
-        return len(witnesses) >= self.limits.tasks_per_server
+        return len(counted_tasks) >= self.limits.tasks_per_server
 
-    def _quarantine(self, server_id: str, now_ms: int) -> ServerQuarantined:
-        wait_ms = self.limits.probation_ms
-        probation = _Probation(now_ms + wait_ms, wait_ms)
+    def _start_probation(
+        self, server_id: str, now_ms: int
+    ) -> ServerQuarantined:
+        probe_interval_ms = self.limits.probation_ms
+        probation = _Probation(now_ms + probe_interval_ms, probe_interval_ms)
         self._probation_by_server[server_id] = probation
-        task_ids = tuple(sorted(self._tasks_by_server[server_id]))
+        task_ids = tuple(sorted(self._failed_tasks_by_server[server_id]))
         return ServerQuarantined(server_id, task_ids)
--- a/waxwingford/placement/_quotas.py
+++ b/waxwingford/placement/_quotas.py
@@ -1,11 +1,11 @@
-"""Order of pending tasks: fair share by member and team, with borrowing.
+"""Weighted dominant resource fairness over members and teams, with borrowing.
 
-Sizes of quotas count only against each other; hard limits are the caller's.
+Quotas are relative weights; hard limits are enforced by the caller.
 
-Members are rivals, so a member's priorities and deadlines order only its own
-tasks; between members and teams only the share used against the quota counts.
-A team without pending tasks leaves its quota to the others (borrowing): the
-order never withholds a task, it only says who is next.
+Priorities and deadlines order tasks only within a team, so that a member
+cannot advance its tasks at the expense of others; members and teams are ordered
+by their dominant share divided by their quota.  Unused quota is borrowed by
+teams that have pending tasks.
 """
 
 import heapq
@@ -14,126 +14,131 @@
 
 from waxwingford.placement._fit import NOTHING, subtract
 from waxwingford.placement._pending import (
-    Known,
+    TaskHeapEntry,
+    TeamHeapEntry,
     TeamName,
-    Turn,
-    Waiting,
-    as_of,
-    drop_stale,
+    TrackedTask,
+    pop_stale_entries,
     rank_ms,
+    with_current_times,
 )
-from waxwingford.placement._shares import Shares
+from waxwingford.placement._shares import DominantShares
 from waxwingford.placement._views import PendingTask
 from waxwingford.ports import Resources, TaskKey
 
-#: Heap entries for each team before the stale ones are dropped.
-_STALE_FACTOR = 8
+#: Heap entries per team above which stale entries are removed.
+_MAX_ENTRIES_PER_TEAM = 8
 
 
 class QuotaTracker:
-    """Pending tasks and used shares; every change costs O(log n).
+    """Pending tasks in fair order; changes cost O(log n).
 
-    :ivar shares: what members and teams use, to read.
+    :ivar shares: usage of members and teams; read-only for callers.
     """
 
     def __init__(
         self,
         capacity: Resources,
-        share_by_member: Mapping[str, float] | None = None,
-        share_by_team: Mapping[TeamName, float] | None = None,
+        quota_by_member: Mapping[str, float] | None = None,
+        quota_by_team: Mapping[TeamName, float] | None = None,
     ) -> None:
-        """Start with nothing pending.
+        """Create an empty tracker.
 
-        :param capacity: all that batch work may use, for shares.
-        :param share_by_member: quota of members, relative and above 0; 1 if
-            missing.
-        :param share_by_team: quota of teams within their member, relative and
-            above 0; 1 if missing.
+        :param capacity: total capacity for batch work.
+        :param quota_by_member: relative quotas, positive; 1 if missing.
+        :param quota_by_team: relative quotas within the member, positive; 1
+            if missing.
         """
-        self.shares = Shares(capacity, share_by_member, share_by_team)
+        self.shares = DominantShares(capacity, quota_by_member, quota_by_team)
         self._sequence = itertools.count()
-        self._known_by_key: dict[TaskKey, Known] = {}
-        self._waiting_by_team: dict[TeamName, list[Waiting]] = {}
+        self._tracked_by_key: dict[TaskKey, TrackedTask] = {}
+        self._task_heap_by_team: dict[TeamName, list[TaskHeapEntry]] = {}
         self._teams_by_member: dict[str, set[TeamName]] = {}
-        self._turns_by_member: dict[str, list[Turn]] = {}
+        self._team_heap_by_member: dict[str, list[TeamHeapEntry]] = {}
 
     def __len__(self) -> int:
-        """Count pending tasks.
+        """Count the pending tasks.
 
-        :returns: the count.
+        :returns: number of pending tasks.
         """
-        return len(self._known_by_key)
+        return len(self._tracked_by_key)
 
     def reweigh(
         self,
         capacity: Resources,
-        share_by_member: Mapping[str, float],
-        share_by_team: Mapping[TeamName, float],
+        quota_by_member: Mapping[str, float],
+        quota_by_team: Mapping[TeamName, float],
     ) -> None:
-        """Put other quotas in force; costs O(n), as all shares change.
+        """Replace the capacity and quotas and recompute all shares in O(n).
 
-        :param capacity: all that batch work may use.
-        :param share_by_member: as for a new tracker.
-        :param share_by_team: as for a new tracker.
+        :param capacity: total capacity for batch work.
+        :param quota_by_member: relative quotas, positive; 1 if missing.
+        :param quota_by_team: relative quotas within the member, positive; 1
+            if missing.
         """
-        used = self.shares.used_by_team()
-        self.shares = Shares(capacity, share_by_member, share_by_team)
-        for name, given in used.items():
-            self.shares.charge(name, given)
-        self._known_by_key = {
-            key: known._replace(step=self.shares.dominant(known.task.resources))
-            for key, known in self._known_by_key.items()
+        used_by_team = self.shares.used_by_team()
+        self.shares = DominantShares(capacity, quota_by_member, quota_by_team)
+        for name, allocated in used_by_team.items():
+            self.shares.charge(name, allocated)
+        self._tracked_by_key = {
+            key: tracked._replace(
+                dominant_share=self.shares.dominant_share(
+                    tracked.task.resources
+                )
+            )
+            for key, tracked in self._tracked_by_key.items()
         }
         for member, teams in self._teams_by_member.items():
-            self._rebuild_turns(member, teams)
+            self._rebuild_team_heap(member, teams)
 
     def add(self, task: PendingTask, now_ms: int) -> None:
-        """Take a pending task in; adding it again changes nothing.
+        """Add a pending task; has no effect if it is already tracked.
 
-        :param task: the task.
+        :param task: the pending task.
         :param now_ms: monotonic time, in milliseconds.
         """
-        if task.key in self._known_by_key:
+        if task.key in self._tracked_by_key:
             return
         sequence = next(self._sequence)
-        step = self.shares.dominant(task.resources)
-        self._known_by_key[task.key] = Known(task, now_ms, sequence, step)
-        waiting = Waiting(rank_ms(task, now_ms), sequence, task.key)
-        self._push(TeamName(task.member, task.team), waiting)
+        dominant_share = self.shares.dominant_share(task.resources)
+        self._tracked_by_key[task.key] = TrackedTask(
+            task, now_ms, sequence, dominant_share
+        )
+        entry = TaskHeapEntry(rank_ms(task, now_ms), sequence, task.key)
+        self._push_task(TeamName(task.member, task.team), entry)
 
     def remove(self, key: TaskKey) -> None:
-        """Forget a task that was placed, cancelled or moved elsewhere.
+        """Remove a task that was placed, cancelled or moved elsewhere.
 
-        Its heap entry goes when it comes up, so that a wave of cancellations
-        costs O(1) for each task.
+        Takes O(1): the task's heap entry is discarded lazily.
 
-        :param key: which one.
+        :param key: attempt under which the task was added.
         """
-        self._known_by_key.pop(key, None)
+        self._tracked_by_key.pop(key, None)
 
-    def charge(self, name: TeamName, given: Resources) -> None:
-        """Count what a task that starts is given.
+    def charge(self, name: TeamName, allocated: Resources) -> None:
+        """Charge a team for a task that starts.
 
-        :param name: its team.
-        :param given: its size.
+        :param name: qualified name of the team.
+        :param allocated: resources allocated to the task.
         """
-        self.shares.charge(name, given)
-        if self._waiting_by_team.get(name):
-            self._queue_turn(name)
+        self.shares.charge(name, allocated)
+        if self._task_heap_by_team.get(name):
+            self._push_team(name)
 
-    def release(self, name: TeamName, given: Resources) -> None:
-        """Give back what a task that ended was given.
+    def release(self, name: TeamName, allocated: Resources) -> None:
+        """Release a team's charge for a task that ended.
 
-        :param name: its team.
-        :param given: its size.
+        :param name: qualified name of the team.
+        :param allocated: resources that were allocated to the task.
         """
-        self.charge(name, subtract(NOTHING, given))
+        self.charge(name, subtract(NOTHING, allocated))
 
     def member_share(self, member: str) -> float:
-        """Tell a member's dominant share against its quota, for metrics.
+        """Look up a member's dominant share, weighted by its quota.
 
-        :param member: the member.
-        :returns: largest share over the dimensions, divided by the quota.
+        :param member: name of the member.
+        :returns: dominant share of the capacity divided by the quota.
         """
         return self.shares.of_member(member)
 
@@ -141,125 +146,140 @@
         self,
         limit: int,
         now_ms: int,
-        may_take: Callable[[PendingTask], bool] | None = None,
+        is_eligible: Callable[[PendingTask], bool] | None = None,
     ) -> list[PendingTask]:
-        """List the most deserving tasks, each as if those before it ran.
+        """List the next tasks in fair order.
 
-        The tracker is the same afterwards; the cost is O(limit * log n).
+        Each task is charged to its owners' shares before the next one is
+        chosen.  Leaves the usage and the pending tasks unchanged; takes
+        O(limit * log n).
 
-        :param limit: tasks at most.
+        :param limit: maximum number of tasks.
         :param now_ms: monotonic time, in milliseconds.
-        :param may_take: told of each task before it is listed; where it says
-            no, the task's team is left out of the rest of the list.
-        :returns: tasks with waiting time and slack as of now.
+        :param is_eligible: predicate called for each task before it is listed;
+            if it returns False, the task's team is excluded from the rest of
+            the list.  None accepts all tasks.
+        :returns: tasks with current waiting time and slack, next one first.
         """
-        extra: dict[str | TeamName, float] = {}
-        closed: set[TeamName] = set()
-        picked: list[Waiting] = []
+        added_share: dict[str | TeamName, float] = {}
+        excluded_teams: set[TeamName] = set()
+        selected: list[TaskHeapEntry] = []
         members = [
             (self.shares.of_member(member), member)
-            for member in self._turns_by_member
+            for member in self._team_heap_by_member
         ]
         heapq.heapify(members)
-        while len(picked) < limit:
-            waiting = self._pop_next(members, extra, may_take, closed)
-            if waiting is None:
+        while len(selected) < limit:
+            entry = self._pop_next(
+                members, added_share, is_eligible, excluded_teams
+            )
+            if entry is None:
                 break
-            picked.append(waiting)
-        known = [self._known_by_key[waiting.key] for waiting in picked]
-        for waiting, entry in zip(picked, known, strict=True):
-            self._push(TeamName(entry.task.member, entry.task.team), waiting)
-        for name in closed.union(extra):
+            selected.append(entry)
+        tracked_tasks = [self._tracked_by_key[entry.key] for entry in selected]
+        for entry, tracked in zip(selected, tracked_tasks, strict=True):
+            self._push_task(
+                TeamName(tracked.task.member, tracked.task.team), entry
+            )
+        for name in excluded_teams.union(added_share):
             if isinstance(name, TeamName):
-                self._queue_turn(name)
-        return [as_of(entry, now_ms) for entry in known]
+                self._push_team(name)
+        return [
+            with_current_times(tracked, now_ms) for tracked in tracked_tasks
+        ]
 
-    def heap_entries(self) -> int:
-        """Count heap entries, stale ones included, for memory figures.
+    def count_heap_entries(self) -> int:
+        """Count the heap entries, including stale ones.
 
-        :returns: the count.
+        :returns: number of entries in all heaps.
         """
         heaps = itertools.chain(
-            self._waiting_by_team.values(),
-            self._turns_by_member.values(),
+            self._task_heap_by_team.values(),
+            self._team_heap_by_member.values(),
         )
         return sum(map(len, heaps))
 
-    def _push(self, name: TeamName, waiting: Waiting) -> None:
-        heap = self._waiting_by_team.setdefault(name, [])
+    def _push_task(self, name: TeamName, entry: TaskHeapEntry) -> None:
+        task_heap = self._task_heap_by_team.setdefault(name, [])
         self._teams_by_member.setdefault(name.member, set()).add(name)
-        heapq.heappush(heap, waiting)
-        if len(heap) == 1:
-            self._queue_turn(name)
-
-    def _queue_turn(self, name: TeamName) -> None:
-        turns = self._turns_by_member.setdefault(name.member, [])
-        heapq.heappush(turns, Turn(self.shares.of_team(name), name))
+        heapq.heappush(task_heap, entry)
+        if len(task_heap) == 1:
+            self._push_team(name)
+
+    def _push_team(self, name: TeamName) -> None:
+        team_heap = self._team_heap_by_member.setdefault(name.member, [])
+        heapq.heappush(
+            team_heap, TeamHeapEntry(self.shares.of_team(name), name)
+        )
         teams = self._teams_by_member[name.member]
-        if len(turns) > _STALE_FACTOR * (len(teams) + 1):
-            self._rebuild_turns(name.member, teams)
-
-    def _rebuild_turns(self, member: str, teams: set[TeamName]) -> None:
-        # Turns of shares long past never come up; without this the heap
-        # would grow with every start and end for as long as a daemon lives.
-        turns = [
-            Turn(self.shares.of_team(name), name)
+        if len(team_heap) > _MAX_ENTRIES_PER_TEAM * (len(teams) + 1):
+            self._rebuild_team_heap(name.member, teams)
+
+    def _rebuild_team_heap(self, member: str, teams: set[TeamName]) -> None:
+        # Stale entries below the top are never popped; without a rebuild the
+        # heap would grow with every task that starts or ends.
+        team_heap = [
+            TeamHeapEntry(self.shares.of_team(name), name)
             for name in teams
-            if self._waiting_by_team[name]
+            if self._task_heap_by_team[name]
         ]
-        heapq.heapify(turns)
-        self._turns_by_member[member] = turns
+        heapq.heapify(team_heap)
+        self._team_heap_by_member[member] = team_heap
 
     def _pop_next(
         self,
         members: list[tuple[float, str]],
-        extra: dict[str | TeamName, float],
-        may_take: Callable[[PendingTask], bool] | None,
-        closed: set[TeamName],
-    ) -> Waiting | None:
-        # One member's share changes with each task listed, so a heap of them
-        # saves sorting all members for every task.
+        added_share: dict[str | TeamName, float],
+        is_eligible: Callable[[PendingTask], bool] | None,
+        excluded_teams: set[TeamName],
+    ) -> TaskHeapEntry | None:
+        # Each listed task changes the share of one member only, so a heap
+        # avoids sorting all members for every task.
         while members:
             member = members[0][1]
-            waiting = self._pop_of(member, extra, may_take, closed)
-            if waiting is not None:
-                share = self.shares.of_member(member) + extra[member]
+            entry = self._pop_next_of_member(
+                member, added_share, is_eligible, excluded_teams
+            )
+            if entry is not None:
+                share = self.shares.of_member(member) + added_share[member]
                 heapq.heapreplace(members, (share, member))
-                return waiting
+                return entry
             heapq.heappop(members)
         return None
 
-    def _pop_of(
+    def _pop_next_of_member(
         self,
         member: str,
-        extra: dict[str | TeamName, float],
-        may_take: Callable[[PendingTask], bool] | None,
-        closed: set[TeamName],
-    ) -> Waiting | None:
-        turns = self._turns_by_member[member]
-        while turns:
-            name = turns[0].name
-            heap = self._waiting_by_team[name]
-            drop_stale(heap, self._known_by_key)
-            present = self.shares.of_team(name) + extra.get(name, 0)
-            is_present = bool(heap) and turns[0].share == present
-            if is_present and name not in closed:
-                task = self._known_by_key[heap[0].key].task
-                if may_take is None or may_take(task):
-                    return self._pop_first(name, extra)
-                closed.add(name)
-            heapq.heappop(turns)
+        added_share: dict[str | TeamName, float],
+        is_eligible: Callable[[PendingTask], bool] | None,
+        excluded_teams: set[TeamName],
+    ) -> TaskHeapEntry | None:
+        team_heap = self._team_heap_by_member[member]
+        while team_heap:
+            name = team_heap[0].name
+            task_heap = self._task_heap_by_team[name]
+            pop_stale_entries(task_heap, self._tracked_by_key)
+            current_share = self.shares.of_team(name) + added_share.get(name, 0)
+            is_current = bool(task_heap) and team_heap[0].share == current_share
+            if is_current and name not in excluded_teams:
+                task = self._tracked_by_key[task_heap[0].key].task
+                if is_eligible is None or is_eligible(task):
+                    return self._pop_first_of_team(name, added_share)
+                excluded_teams.add(name)
+            heapq.heappop(team_heap)
         return None
 
-    def _pop_first(
+    def _pop_first_of_team(
         self,
         name: TeamName,
-        extra: dict[str | TeamName, float],
-    ) -> Waiting:
-        waiting = heapq.heappop(self._waiting_by_team[name])
-        step = self._known_by_key[waiting.key].step
-        for holder, part in self.shares.steps(name, step):
-            extra[holder] = extra.get(holder, 0) + part
-        share = self.shares.of_team(name) + extra[name]
-        heapq.heapreplace(self._turns_by_member[name.member], Turn(share, name))
-        return waiting
+        added_share: dict[str | TeamName, float],
+    ) -> TaskHeapEntry:
+        entry = heapq.heappop(self._task_heap_by_team[name])
+        dominant_share = self._tracked_by_key[entry.key].dominant_share
+        for holder, part in self.shares.share_increments(name, dominant_share):
+            added_share[holder] = added_share.get(holder, 0) + part
+        share = self.shares.of_team(name) + added_share[name]
+        heapq.heapreplace(
+            self._team_heap_by_member[name.member], TeamHeapEntry(share, name)
+        )
+        return entry
--- a/waxwingford/placement/_registry.py
+++ b/waxwingford/placement/_registry.py
@@ -1,4 +1,4 @@
-"""Registry of colocation policies; the bundle names the one in force."""
+"""Registry of colocation policies; the bundle selects the active one."""
 
 from collections.abc import Callable, Mapping
 
@@ -7,5 +7,5 @@
 
 PolicyFactory = Callable[[Mapping[str, PolicyWeights], int], ColocationPolicy]
 
-#: Factories take weights by service and a seed.
+#: Policy factories by name; they take the weights by service and a seed.
 policies: Registry[PolicyFactory] = Registry('colocation policy')
--- a/waxwingford/placement/_shares.py
+++ b/waxwingford/placement/_shares.py
@@ -1,4 +1,4 @@
-"""Dominant shares of members and teams against their quotas."""
+"""Dominant resource shares of members and teams, relative to their quotas."""
 
 from collections.abc import Mapping
 
@@ -9,8 +9,8 @@
 _DEFAULT_QUOTA = 1
 
 
-class Shares:
-    """What members and teams use, kept as shares so that reading is cheap."""
+class DominantShares:
+    """Resource usage of members and teams, with shares updated on change."""
 
     def __init__(
         self,
@@ -18,12 +18,12 @@
         quota_by_member: Mapping[str, float] | None,
         quota_by_team: Mapping[TeamName, float] | None,
     ) -> None:
-        """Start with nothing used.
+        """Create an instance without usage.
 
-        :param capacity: all that batch work may use.
-        :param quota_by_member: relative quotas, above 0; 1 if missing.
-        :param quota_by_team: relative quotas within the member, above 0; 1 if
-            missing.
+        :param capacity: total capacity for batch work.
+        :param quota_by_member: relative quotas, positive; 1 if missing.
+        :param quota_by_team: relative quotas within the member, positive; 1
+            if missing.
         """
         self._capacity = capacity
         self._quota_by_member = dict(quota_by_member or {})
@@ -33,67 +33,71 @@
         self._share_by_team: dict[TeamName, float] = {}
         self._share_by_member: dict[str, float] = {}
 
-    def charge(self, name: TeamName, given: Resources) -> None:
-        """Count what a task is given; negative when it ends.
+    def charge(self, name: TeamName, allocated: Resources) -> None:
+        """Add an allocation to the usage of a team and its member.
 
-        :param name: its team.
-        :param given: its size.
+        :param name: qualified name of the team.
+        :param allocated: resources allocated to a task; negative to release.
         """
-        used = add(self._used_by_team.get(name, NOTHING), given)
+        used = add(self._used_by_team.get(name, NOTHING), allocated)
         self._used_by_team[name] = used
         quota = self._quota_by_team.get(name, _DEFAULT_QUOTA)
-        self._share_by_team[name] = self.dominant(used) / quota
+        self._share_by_team[name] = self.dominant_share(used) / quota
         member = name.member
-        used = add(self._used_by_member.get(member, NOTHING), given)
+        used = add(self._used_by_member.get(member, NOTHING), allocated)
         self._used_by_member[member] = used
         quota = self._quota_by_member.get(member, _DEFAULT_QUOTA)
-        self._share_by_member[member] = self.dominant(used) / quota
+        self._share_by_member[member] = self.dominant_share(used) / quota
 
     def used_by_team(self) -> dict[TeamName, Resources]:
-        """List what teams use.
+        """Copy the usage of all teams.
 
-        :returns: sizes in use, by team.
+        :returns: allocated resources by team.
         """
         return dict(self._used_by_team)
 
     def of_team(self, name: TeamName) -> float:
-        """Tell a team's dominant share against its quota.
+        """Look up a team's dominant share, weighted by its quota.
 
-        :param name: the team.
-        :returns: largest share over the dimensions, divided by the quota.
+        :param name: qualified name of the team.
+        :returns: dominant share of the capacity divided by the quota.
         """
         return self._share_by_team.get(name, 0)
 
     def of_member(self, member: str) -> float:
-        """Tell a member's dominant share against its quota.
+        """Look up a member's dominant share, weighted by its quota.
 
-        :param member: the member.
-        :returns: largest share over the dimensions, divided by the quota.
+        :param member: name of the member.
+        :returns: dominant share of the capacity divided by the quota.
         """
         return self._share_by_member.get(member, 0)
 
-    def steps(
+    def share_increments(
         self,
         name: TeamName,
-        step: float,
+        task_share: float,
     ) -> tuple[tuple[str, float], tuple[TeamName, float]]:
-        """Tell what one more task adds to its member's and team's share.
+        """Compute how much one more task adds to its owners' shares.
 
-        :param name: its team.
-        :param step: dominant share of the task.
-        :returns: member and team, each with what is added.
+        :param name: qualified name of the task's team.
+        :param task_share: dominant share of the task.
+        :returns: the member and the team, each with the increase of its
+            quota-weighted share.
         """
         member_quota = self._quota_by_member.get(name.member, _DEFAULT_QUOTA)
         team_quota = self._quota_by_team.get(name, _DEFAULT_QUOTA)
-        return (name.member, step / member_quota), (name, step / team_quota)
+        return (name.member, task_share / member_quota), (
+            name,
+            task_share / team_quota,
+        )
 
-    def dominant(self, used: Resources) -> float:
-        """Compute the largest share over the dimensions.
+    def dominant_share(self, used: Resources) -> float:
+        """Compute the dominant share of a resource vector.
 
-        :param used: a size.
-        :returns: its dominant share of the capacity.
+        :param used: resource vector.
+        :returns: largest fraction of the capacity over all dimensions.
         """
         return max(
-            amount / max(whole, 1)
-            for amount, whole in zip(used, self._capacity, strict=True)
+            used_amount / max(total, 1)
+            for used_amount, total in zip(used, self._capacity, strict=True)
         )
--- a/waxwingford/placement/_sizes.py
+++ b/waxwingford/placement/_sizes.py
@@ -1,4 +1,4 @@
-"""Sizes and run times corrected by what is measured; declared is the prior."""
+"""Estimates of task sizes and run times from declarations and measurements."""
 
 import collections
 import math
@@ -7,107 +7,112 @@
 from waxwingford.placement._fit import largest, smallest
 from waxwingford.ports import Resources
 
-#: Ended tasks remembered for each (member, kind).
-_WINDOW_TASKS = 64
-#: Safety quantile of the sizes seen: one task in 20 may use more.
+#: Number of recent tasks kept per (member, kind).
+_WINDOW_SIZE = 64
+#: Quantile of peak usage that is allocated to a task.
 _SIZE_QUANTILE = 0.95
-#: Run times steer order and deadlines only, so a high quantile is enough.
-_RUN_QUANTILE = 0.75
-#: Weight of the declaration, counted in measured tasks.
-_PRIOR_TASKS = 4
+#: Quantile of the run-time ratio; lower than that of sizes, as an
+#: underestimate affects only order and deadlines.
+_RUN_TIME_QUANTILE = 0.75
+#: Weight of the declared run time, in number of measured tasks.
+_PRIOR_WEIGHT = 4
 
 
-class _Key(NamedTuple):
-    """Tasks that are alike: those of one member and kind."""
+class _TaskClass(NamedTuple):
+    """Tasks of one member and kind, which share their measurements."""
 
     member: str
     kind: str
 
 
-class _Measured:
-    """What the last tasks of a key used, and how far declarations were off."""
+class _Measurements:
+    """Peak usage and run-time ratios of the recent tasks of one class."""
 
     def __init__(self) -> None:
-        self.use: collections.deque[Resources] = collections.deque(
-            maxlen=_WINDOW_TASKS,
+        self.peak_usages: collections.deque[Resources] = collections.deque(
+            maxlen=_WINDOW_SIZE,
         )
-        self.run_ratio: collections.deque[float] = collections.deque(
-            maxlen=_WINDOW_TASKS,
+        self.run_time_ratios: collections.deque[float] = collections.deque(
+            maxlen=_WINDOW_SIZE,
         )
-        self._size: Resources | None = None
-        self._ratio: float | None = None
+        self._usage_quantile: Resources | None = None
+        self._run_time_ratio: float | None = None
 
-    def add_use(self, peak: Resources) -> None:
-        """Learn the size of one task.
+    def add_peak_usage(self, peak: Resources) -> None:
+        """Record the peak usage of one task.
 
-        :param peak: the most that it used.
+        :param peak: largest usage in each dimension.
         """
-        self.use.append(peak)
-        self._size = None
+        self.peak_usages.append(peak)
+        self._usage_quantile = None
 
-    def add_run(self, ratio: float) -> None:
-        """Learn how far one declared run time was off.
+    def add_run_time_ratio(self, run_time_ratio: float) -> None:
+        """Record the run-time ratio of one task.
 
-        :param ratio: measured against declared.
+        :param run_time_ratio: measured run time divided by the declared one.
         """
-        self.run_ratio.append(ratio)
-        self._ratio = None
+        self.run_time_ratios.append(run_time_ratio)
+        self._run_time_ratio = None
 
-    def size(self) -> Resources:
-        """Tell the safe size; sorted only after a change, as views ask often.
+    def usage_quantile(self) -> Resources:
+        """Compute the quantile of peak usage; cached until the next sample.
 
-        :returns: the safety quantile by dimension.
+        :returns: the quantile in each dimension.
         """
-        if self._size is None:
-            self._size = Resources(
+        if self._usage_quantile is None:
+            self._usage_quantile = Resources(
                 *(
                     int(_quantile(list(column), _SIZE_QUANTILE))
-                    for column in zip(*self.use, strict=True)
+                    for column in zip(*self.peak_usages, strict=True)
                 ),
             )
-        return self._size
+        return self._usage_quantile
 
-    def ratio(self) -> float:
-        """Tell the run time against the declared one, cached likewise.
+    def run_time_ratio(self) -> float:
+        """Compute the quantile of run-time ratios; cached until the next sample.
 
-        :returns: the quantile of the ratios seen.
+        :returns: measured divided by declared run time.
         """
-        if self._ratio is None:
-            self._ratio = _quantile(list(self.run_ratio), _RUN_QUANTILE)
-        return self._ratio
+        if self._run_time_ratio is None:
+            self._run_time_ratio = _quantile(
+                list(self.run_time_ratios), _RUN_TIME_QUANTILE
+            )
+        return self._run_time_ratio
 
 
-def _quantile(seen: list[float], share: float) -> float:
-    """Take the upper value at a quantile.
+def _quantile(samples: list[float], quantile: float) -> float:
+    """Compute an empirical quantile without interpolation.
 
-    :param seen: at least one value.
-    :param share: the quantile, 0 to 1.
-    :returns: a value that was seen.
+    :param samples: at least one value.
+    :param quantile: the quantile, 0 to 1.
+    :returns: the smallest sample that reaches the quantile.
     """
-    ordered = sorted(seen)
-    return ordered[min(len(ordered) - 1, math.ceil(share * len(ordered)) - 1)]
+    ordered = sorted(samples)
+    return ordered[
+        min(len(ordered) - 1, math.ceil(quantile * len(ordered)) - 1)
+    ]
 
 
 class SizeTracker:
-    """Corrects declarations by (member, kind).
+    """Corrects declared sizes and run times by member and kind.
 
-    What a task is given, and so what is committed on a VM, is never below the
-    declaration: a declaration that is too low would over-commit the VM, one
-    that is too high only wastes room that its own member pays for in quota.
+    Sizes are only ever corrected upwards: an allocation that is too small
+    overcommits the VM, whereas one that is too large is charged to the quota
+    of the member that declared it.
     """
 
     def __init__(self) -> None:
-        """Start without measurements."""
-        self._measured_by_key: dict[_Key, _Measured] = {}
+        """Create a tracker without measurements."""
+        self._measurements_by_class: dict[_TaskClass, _Measurements] = {}
 
     def observe_use(self, member: str, kind: str, peak: Resources) -> None:
-        """Learn the size of one task.
+        """Learn the usage_quantile of one task.
 
         :param member: owner of the task.
         :param kind: batch kind.
-        :param peak: the most that it used while it ran.
+        :param peak: largest usage in each dimension while the task ran.
         """
-        self._entry(member, kind).add_use(peak)
+        self._measurements_of(member, kind).add_peak_usage(peak)
 
     def observe_run(
         self,
@@ -116,36 +121,40 @@
         declared_ms: int,
         ran_ms: int,
     ) -> None:
-        """Learn the run time of one task that came to its end.
+        """Record the run time of a task that has ended.
 
         :param member: owner of the task.
         :param kind: batch kind.
         :param declared_ms: declared run time, in milliseconds.
         :param ran_ms: run time over all attempts, in milliseconds.
         """
-        ratio = ran_ms / max(declared_ms, 1)
-        self._entry(member, kind).add_run(ratio)
+        run_time_ratio = ran_ms / max(declared_ms, 1)
+        self._measurements_of(member, kind).add_run_time_ratio(run_time_ratio)
 
     def given(
         self,
         member: str,
         kind: str,
         declared: Resources,
-        offer: Resources,
+        max_capacity: Resources,
     ) -> Resources:
-        """Compute what a task is given and what is committed for it.
+        """Compute the allocation of a task.
 
         :param member: owner of the task.
         :param kind: batch kind.
         :param declared: declared size.
-        :param offer: the largest ``total - reserved`` that exists; a
-            correction beyond it would make a task that can run wait for ever.
-        :returns: the declaration, or more where tasks like it used more.
+        :param max_capacity: element-wise maximum of ``total - reserved`` over
+            all servers, which bounds the correction so that it does not make
+            the task infeasible.
+        :returns: the declared size, raised to the measured quantile in the
+            dimensions where that is larger.
         """
-        entry = self._measured_by_key.get(_Key(member, kind))
-        if entry is None or not entry.use:
+        measurements = self._measurements_by_class.get(_TaskClass(member, kind))
+        if measurements is None or not measurements.peak_usages:
             return declared
-        return largest(declared, smallest(entry.size(), offer))
+        return largest(
+            declared, smallest(measurements.usage_quantile(), max_capacity)
+        )
 
     def run_ms(self, member: str, kind: str, declared_ms: int) -> int:
         """Correct a declared run time.
@@ -153,16 +162,20 @@
         :param member: owner of the task.
         :param kind: batch kind.
         :param declared_ms: declared run time, in milliseconds.
-        :returns: the expected one, in milliseconds; the declaration weighs as
-            much as a few measured tasks.
+        :returns: expected run time, in milliseconds: the declared one times
+            the weighted mean of 1 and the measured ratio.
         """
-        entry = self._measured_by_key.get(_Key(member, kind))
-        if entry is None or not entry.run_ratio:
+        measurements = self._measurements_by_class.get(_TaskClass(member, kind))
+        if measurements is None or not measurements.run_time_ratios:
             return declared_ms
-        count = len(entry.run_ratio)
-        ratio = entry.ratio()
-        shrunk = (ratio * count + _PRIOR_TASKS) / (count + _PRIOR_TASKS)
-        return int(declared_ms * shrunk)
+        count = len(measurements.run_time_ratios)
+        run_time_ratio = measurements.run_time_ratio()
+        weighted_ratio = (run_time_ratio * count + _PRIOR_WEIGHT) / (
+            count + _PRIOR_WEIGHT
+        )
+        return int(declared_ms * weighted_ratio)
 
-    def _entry(self, member: str, kind: str) -> _Measured:
-        return self._measured_by_key.setdefault(_Key(member, kind), _Measured())
+    def _measurements_of(self, member: str, kind: str) -> _Measurements:
+        return self._measurements_by_class.setdefault(
+            _TaskClass(member, kind), _Measurements()
+        )
--- a/waxwingford/placement/_views.py
+++ b/waxwingford/placement/_views.py
@@ -1,4 +1,4 @@
-"""What placement and colocation policies see: nothing but port data."""
+"""Inputs, decisions and interface of placement and colocation policies."""
 
 import dataclasses
 from typing import NamedTuple, Protocol
@@ -7,20 +7,21 @@
 
 
 class PendingTask(NamedTuple):
-    """A task that waits for a place.
+    """A task that waits to be placed on a server.
 
-    :ivar key: task with the number of its next attempt.
-    :ivar member: owner.
-    :ivar team: team of the owner.
+    :ivar key: task id and number of the next attempt.
+    :ivar member: member organisation that owns the task.
+    :ivar team: team of the member.
     :ivar kind: batch kind.
     :ivar resources: declared size.
-    :ivar run_ms: declared run time left, in milliseconds.
-    :ivar priority: 0 to 100, larger is more urgent.
-    :ivar waiting_ms: time since it became pending, in milliseconds.
-    :ivar slack_ms: time to its deadline minus run time; None without one.
-    :ivar resume_from: checkpoint reference, empty for a fresh start.
+    :ivar run_ms: expected remaining run time, in milliseconds.
+    :ivar priority: 0 to 100; larger is more urgent.
+    :ivar waiting_ms: time since the task became pending, in milliseconds.
+    :ivar slack_ms: time to the deadline minus ``run_ms``, in milliseconds;
+        None without a deadline.
+    :ivar resume_from: checkpoint reference, empty to start from scratch.
     :ivar failed_on: servers on which earlier attempts failed.
-    :ivar checkpoint_server: where its last checkpoint was taken, or empty.
+    :ivar checkpoint_server: server that wrote the latest checkpoint, or empty.
     """
 
     key: TaskKey
@@ -40,14 +41,15 @@
 class RunningTask(NamedTuple):
     """A batch attempt on a server.
 
-    :ivar key: which attempt.
-    :ivar member: owner.
-    :ivar team: team of the owner.
+    :ivar key: identifier of the attempt.
+    :ivar member: member organisation that owns the task.
+    :ivar team: team of the member.
     :ivar kind: batch kind.
-    :ivar resources: what it was given.
-    :ivar ran_ms: run time so far in this attempt, in milliseconds.
-    :ivar throttled: whether it is throttled now.
-    :ivar slack_ms: time to its deadline minus run time left; None if none.
+    :ivar resources: allocated resources.
+    :ivar ran_ms: run time of this attempt so far, in milliseconds.
+    :ivar throttled: whether the attempt is currently throttled.
+    :ivar slack_ms: time to the deadline minus remaining run time, in
+        milliseconds; None without a deadline.
     """
 
     key: TaskKey
@@ -62,17 +64,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerView:
-    """A backend server as its holder sees it.
-
-    :ivar server_id: its name.
-    :ivar rack: its rack.
-    :ivar service: latency-critical service on it.
-    :ivar total: size of the VM.
-    :ivar reserved: set aside for the service.
-    :ivar running: batch attempts claimed or running there.
-    :ivar leaving: gets no new work.
-    :ivar quarantined: gets at most probation work.
-    :ivar busy_share: present share of busy service slots, 0 to 1.
+    """State of a backend server as known to the daemon that controls it.
+
+    :ivar server_id: identifier of the server.
+    :ivar rack: rack of its VM.
+    :ivar service: latency-critical service that it runs.
+    :ivar total: resources of the VM.
+    :ivar reserved: resources reserved for the service.
+    :ivar running: batch attempts claimed or running on it.
+    :ivar leaving: whether it is draining and accepts no new work.
+    :ivar quarantined: whether it accepts only probation tasks.
+    :ivar busy_share: current fraction of busy service slots, 0 to 1.
     """
 
     server_id: str
@@ -87,10 +89,10 @@
 
 
 class Placement(NamedTuple):
-    """Decision: run a pending task on a server.
+    """Decision to run a pending task on a server.
 
-    :ivar key: which attempt.
-    :ivar server_id: where.
+    :ivar key: identifier of the attempt.
+    :ivar server_id: identifier of the server.
     """
 
     key: TaskKey
@@ -99,10 +101,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Throttle:
-    """Decision: let an attempt use a share of its processors.
+    """Decision to limit an attempt to a percentage of its processors.
 
-    :ivar key: which attempt.
-    :ivar percent: 1 to 100; 100 lifts the throttle.
+    :ivar key: identifier of the attempt.
+    :ivar percent: 1 to 100; 100 removes the limit.
     """
 
     key: TaskKey
@@ -111,9 +113,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Evict:
-    """Decision: checkpoint an attempt and give its place up.
+    """Decision to checkpoint an attempt and remove it from its server.
 
-    :ivar key: which attempt.
+    :ivar key: identifier of the attempt.
     """
 
     key: TaskKey
@@ -121,9 +123,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stop:
-    """Decision: stop an attempt without a checkpoint (last resort).
+    """Decision to stop an attempt without a checkpoint, as a last resort.
 
-    :ivar key: which attempt.
+    :ivar key: identifier of the attempt.
     """
 
     key: TaskKey
@@ -133,9 +135,9 @@
 
 
 class PolicyWeights(NamedTuple):
-    """How the bundle steers policies, for one service.
+    """Objectives of a policy for one service, as set in the bundle.
 
-    :ivar target_p99_ms: latency target of the service, in milliseconds.
+    :ivar target_p99_ms: 99th-percentile latency target, in milliseconds.
     :ivar tail_weight: weight of tail latency, 0 to 1.
     :ivar eviction_weight: weight of evictions, 0 to 1.
     """
@@ -146,10 +148,10 @@
 
 
 class ColocationPolicy(Protocol):
-    """A policy that places batch work and reacts to interference.
+    """Places batch tasks and mitigates their interference with services.
 
-    One instance per daemon; it learns from what it is shown.  ``now_ms`` is
-    always monotonic milliseconds.
+    Each daemon has one instance, which may learn from the observed samples.
+    All times are monotonic, in milliseconds.
     """
 
     def observe(
@@ -159,12 +161,12 @@
         received_ms: int,
         kind_by_task_id: dict[str, str],
     ) -> None:
-        """Learn from one lagged sample.
+        """Process a usage sample, which may arrive late.
 
-        :param server_id: where it was taken.
-        :param sample: the sample.
-        :param received_ms: when it arrived.
-        :param kind_by_task_id: batch kind of the tasks in it.
+        :param server_id: server on which the sample was taken.
+        :param sample: usage sample.
+        :param received_ms: monotonic time of arrival, in milliseconds.
+        :param kind_by_task_id: batch kinds of the tasks in the sample.
         """
         ...
 
@@ -174,28 +176,30 @@
         servers: list[ServerView],
         now_ms: int,
     ) -> list[Placement]:
-        """Choose places; never over-commits ``total - reserved``.
+        """Assign pending tasks to servers without exceeding their capacity.
 
-        :param pending: tasks, most deserving first.
-        :param servers: the servers that this daemon holds.
-        :param now_ms: monotonic time.
-        :returns: decisions for some of the pending tasks.
+        The capacity of a server for batch work is ``total - reserved``.
+
+        :param pending: pending tasks in fair order.
+        :param servers: servers that this daemon controls.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: placements of some or all of the pending tasks.
         """
         ...
 
     def react(self, servers: list[ServerView], now_ms: int) -> list[Reaction]:
-        """Relieve services that near their targets.
+        """Reduce interference on services close to their latency targets.
 
-        :param servers: the servers that this daemon holds.
-        :param now_ms: monotonic time.
-        :returns: decisions about running attempts.
+        :param servers: servers that this daemon controls.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: decisions on running attempts.
         """
         ...
 
     def predicted_ms(self, server: ServerView) -> float:
-        """Predict the service's latency for routing.
+        """Predict the latency of a server's service, for request routing.
 
-        :param server: its view.
-        :returns: expected latency, in milliseconds.
+        :param server: view of the server.
+        :returns: predicted latency, in milliseconds.
         """
         ...
--- a/waxwingford/placement/tests/placement_steps.py
+++ b/waxwingford/placement/tests/placement_steps.py
@@ -1,4 +1,4 @@
-"""Steps for quotas, sizes and quarantine."""
+"""Steps for fair ordering, size estimation and quarantine."""
 
 from behave import fixture, given, then, use_fixture, when
 
@@ -13,20 +13,20 @@
 from waxwingford.ports import Resources, TaskKey
 
 SIZE = Resources(1000, 1000, 0)
-OFFERS = (Resources(8000, 2000, 0), Resources(4000, 8000, 1))
-BIG_OFFER = Resources(32000, 125000, 4)
+CAPACITIES = (Resources(8000, 2000, 0), Resources(4000, 8000, 1))
+LARGE_CAPACITY = Resources(32000, 125000, 4)
 MS_IN_S = 1000
 
 
 @fixture
 def quota_tracker(context):
-    """A tracker over 100 cores."""
+    """Quota tracker with a capacity of 100 cores."""
     context.tracker = QuotaTracker(Resources(100_000, 100_000, 0))
     context.tasks = []
     yield context.tracker
 
 
-def _pend(context, member, team, now_ms=0, **details):
+def _add_pending(context, member, team, now_ms=0, **details):
     if 'tracker' not in context:
         use_fixture(quota_tracker, context)
     key = TaskKey(f'{member}.{team}/{len(context.tasks)}', 1)
@@ -47,23 +47,25 @@
 @given(
     '{count:d} pending tasks of team "{team}" of "{member}" in the quota tracker'
 )
-def pend_tasks(context, count, team, member):
+def add_pending_tasks(context, count, team, member):
     for _ in range(count):
-        _pend(context, member, team)
+        _add_pending(context, member, team)
 
 
 @given(
     'a task of priority {priority:d} was added to the quota tracker at {at:d} s'
 )
-def pend_priority(context, priority, at):
-    _pend(context, 'qadri', 'dispatcher', at * MS_IN_S, priority=priority)
+def add_with_priority(context, priority, at):
+    _add_pending(
+        context, 'qadri', 'dispatcher', at * MS_IN_S, priority=priority
+    )
 
 
 @given(
     'a task with {slack:d} s of slack was added to the quota tracker at {at:d} s'
 )
-def pend_slack(context, slack, at):
-    _pend(
+def add_with_slack(context, slack, at):
+    _add_pending(
         context, 'qadri', 'dispatcher', at * MS_IN_S, slack_ms=slack * MS_IN_S
     )
 
@@ -74,7 +76,7 @@
         context.tracker.charge(TeamName(member, team), SIZE)
 
 
-@when('team "{team}" of "{member}" is released of {count:d} tasks')
+@when('team "{team}" of "{member}" releases {count:d} tasks')
 def release(context, team, member, count):
     for _ in range(count):
         context.tracker.release(TeamName(member, team), SIZE)
@@ -85,8 +87,8 @@
     context.ordered = context.tracker.order(limit, now_ms=500 * MS_IN_S)
 
 
-@when('all its tasks are removed and added again')
-def add_again(context):
+@when('all its tasks are removed and re-added')
+def remove_and_add_tasks(context):
     for task in context.tasks:
         context.tracker.remove(task.key)
         context.tracker.add(task, 0)
@@ -95,7 +97,7 @@
 @when(
     'the quota tracker orders {limit:d} tasks {times:d} times with charges between'
 )
-def order_often(context, limit, times):
+def order_repeatedly(context, limit, times):
     name = TeamName('qadri', 'archive')
     for _ in range(times):
         context.tracker.order(limit, 0)
@@ -116,40 +118,42 @@
 
 
 @then('{count:d} tasks are ordered')
-def check_count(context, count):
+def check_task_count(context, count):
     assert len(context.ordered) == count, context.ordered
 
 
 @then('the quota tracker holds fewer than {bound:d} heap entries')
-def check_entries(context, bound):
-    found = context.tracker.heap_entries()
+def check_heap_entries(context, bound):
+    found = context.tracker.count_heap_entries()
     assert found < bound, found
 
 
 @given(
-    'tasks of "{member}" kind "{kind}" that used {memory:d} MB and {milli:d} processors milli'
+    'tasks of "{member}" kind "{kind}" that used {memory:d} MB and {milli:d} millicores'
 )
-def use_sizes(context, member, kind, memory, milli):
+def record_usage(context, member, kind, memory, milli):
     context.sizes = SizeTracker()
     context.sizes.observe_use(member, kind, Resources(milli, memory, 0))
 
 
 @then(
-    'a task of "{member}" kind "{kind}" that declares {memory:d} MB is given {given_mb:d} MB'
+    'a task of "{member}" kind "{kind}" that declares {memory:d} MB is allocated {allocated_mb:d} MB'
 )
-def check_given(context, member, kind, memory, given_mb, offer=BIG_OFFER):
+def check_allocated(
+    context, member, kind, memory, allocated_mb, capacity=LARGE_CAPACITY
+):
     declared = Resources(1000, memory, 0)
-    found = context.sizes.given(member, kind, declared, offer)
-    assert found == Resources(1000, given_mb, 0), found
+    found = context.sizes.given(member, kind, declared, capacity)
+    assert found == Resources(1000, allocated_mb, 0), found
 
 
 @then(
-    'with offers up to {offer_mb:d} MB a task of "{member}" kind "{kind}"'
-    ' that declares {memory:d} MB is given {given_mb:d} MB',
+    'with capacities up to {capacity_mb:d} MB a task of "{member}" kind "{kind}"'
+    ' that declares {memory:d} MB is allocated {allocated_mb:d} MB',
 )
-def check_capped(context, offer_mb, member, kind, memory, given_mb):
-    offer = Resources(32000, offer_mb, 0)
-    check_given(context, member, kind, memory, given_mb, offer)
+def check_capped(context, capacity_mb, member, kind, memory, allocated_mb):
+    capacity = Resources(32000, capacity_mb, 0)
+    check_allocated(context, member, kind, memory, allocated_mb, capacity)
 
 
 @given(
@@ -158,7 +162,7 @@
 @given(
     '{count:d} tasks of "{member}" kind "{kind}" ran {factor:d} times as long as declared'
 )
-def run_times(context, count, member, kind, factor):
+def record_run_times(context, count, member, kind, factor):
     if 'sizes' not in context:
         context.sizes = SizeTracker()
     for _ in range(count):
@@ -174,31 +178,31 @@
 
 
 @then(
-    'a size of {milli:d} processors milli, {memory:d} MB, {devices:d} accelerators'
-    ' never fits for "{dimension}" of at most {most:d}',
+    'a size of {milli:d} millicores, {memory:d} MB, {devices:d} accelerators'
+    ' is infeasible as "{dimension}" exceeds {available:d}',
 )
-def check_never(context, milli, memory, devices, dimension, most):
-    found = never_fits(Resources(milli, memory, devices), OFFERS)
-    assert (found.dimension, found.largest) == (dimension, most), found
+def check_infeasible(context, milli, memory, devices, dimension, available):
+    found = never_fits(Resources(milli, memory, devices), CAPACITIES)
+    assert (found.dimension, found.largest) == (dimension, available), found
 
 
 @then(
-    'a size of {milli:d} processors milli, {memory:d} MB, {devices:d} accelerators fits some server'
+    'a size of {milli:d} millicores, {memory:d} MB, {devices:d} accelerators is feasible'
 )
-def check_fits(context, milli, memory, devices):
-    assert never_fits(Resources(milli, memory, devices), OFFERS) is None
+def check_feasible(context, milli, memory, devices):
+    assert never_fits(Resources(milli, memory, devices), CAPACITIES) is None
 
 
 @fixture
 def quarantine(context):
-    """Default limits over 100 servers."""
+    """Quarantine with default limits."""
     context.quarantine = Quarantine()
     context.failed_tasks = set()
     context.failed_servers = set()
     yield context.quarantine
 
 
-def _fail(context, task, server, now_ms=0, server_count=100):
+def _record_failure(context, task, server, now_ms=0, server_count=100):
     if 'quarantine' not in context:
         use_fixture(quarantine, context)
     context.failed_tasks.add(task)
@@ -206,20 +210,20 @@
     context.quarantine.failed(task, server, now_ms, server_count)
 
 
-@given('a job "{job}" that ended well on "{server}"')
-def job_ended_well(context, job, server):
+@given('a job "{job}" that succeeded on "{server}"')
+def job_succeeded(context, job, server):
     use_fixture(quarantine, context)
     context.quarantine.succeeded(f'{job}/99', server)
 
 
 @when('task "{task}" fails on "{server}"')
 def fail_once(context, task, server):
-    _fail(context, task, server)
+    _record_failure(context, task, server)
 
 
 @when('task "{task}" fails on "{server}" at {at:d} s')
 def fail_at(context, task, server, at):
-    _fail(context, task, server, at * MS_IN_S)
+    _record_failure(context, task, server, at * MS_IN_S)
 
 
 @when(
@@ -228,7 +232,7 @@
 def fail_each_of(context, low, high, job, servers, count):
     for server in servers.split(', '):
         for index in range(low, high + 1):
-            _fail(context, f'{job}/{index}', server, 0, count)
+            _record_failure(context, f'{job}/{index}', server, 0, count)
 
 
 @when('tasks {low:d} to {high:d} of job "{job}" fail on each of "{servers}"')
@@ -236,8 +240,8 @@
     fail_each_of(context, low, high, job, servers, 100)
 
 
-@when('task "{task}" ends well on "{server}"')
-def end_well(context, task, server):
+@when('task "{task}" succeeds on "{server}"')
+def succeed(context, task, server):
     context.quarantine.succeeded(task, server)
 
 
@@ -279,12 +283,14 @@
     assert not any(map(context.quarantine.is_stopped, context.failed_tasks))
 
 
-@then('server "{server}" may be probed at {late:d} s but not at {early:d} s')
-def check_probe(context, server, late, early):
+@then(
+    'server "{server}" may get a probation task at {late:d} s but not at {early:d} s'
+)
+def check_probation_due(context, server, late, early):
     assert context.quarantine.may_probe(server, late * MS_IN_S)
     assert not context.quarantine.may_probe(server, early * MS_IN_S)
 
 
-@when('job "{job_id}" is over for the quarantine')
-def job_is_over(context, job_id):
+@when('job "{job_id}" is discarded from the quarantine')
+def discard_job(context, job_id):
     context.quarantine.forget_job(job_id)
