--- a/waxwingford/placement/_quarantine.py
+++ b/waxwingford/placement/_quarantine.py
@@ -1,9 +1,9 @@
-"""Detection of faulty servers and tasks from failed (task, server) pairs.
+"""Detection of faulty servers and tasks from distinct failures.
 
 A task is faulty if it fails on several servers, a server if several tasks fail
-on it.  Failures on quarantined servers do not count against the task, and
-failures of a job that failed on several servers and never succeeded do not
-count against the server.
+on it; repeated failures of a task on a server count once. Failures on
+quarantined servers do not count against the task, and failures of a job that
+failed on several servers and never succeeded do not count against the server.
 """
 
 import collections
--- a/waxwingford/records/__init__.py
+++ b/waxwingford/records/__init__.py
@@ -1,4 +1,4 @@
-"""Records of a failure domain's stream and the state that they fold into."""
+"""Records of a failure domain's stream and the state derived from them."""
 
 from waxwingford.records._fold import DomainState
 from waxwingford.records._messages import (
--- a/waxwingford/records/_fold.py
+++ b/waxwingford/records/_fold.py
@@ -1,7 +1,7 @@
-"""The fold of a failure domain's stream: the first valid record wins.
+"""Deterministic fold of a failure domain's stream into its state.
 
-Every daemon applies the same entries in offset order and so reaches the same
-state.  Nothing here reads a clock or depends on who folds.
+Every daemon applies the same entries in offset order and must reach the same
+state, so the fold must not depend on the clock or on the daemon.
 """
 
 import collections
@@ -11,7 +11,7 @@
 from waxwingford.records._index import (
     FinishedJobs,
     TaskIndex,
-    remember_writer,
+    record_sequence,
 )
 from waxwingford.records._messages import (
     AttemptAlive,
@@ -27,8 +27,8 @@
     TasksClaimed,
 )
 from waxwingford.records._rules import (
-    count_failure,
-    ended_stage,
+    next_stage,
+    record_failure,
     refuse_claim,
     refuse_end,
     refuse_job,
@@ -45,20 +45,20 @@
 
 
 class DomainState:
-    """State of one failure domain's batch work at an offset.
+    """State of a failure domain's batch work at an offset of its stream.
 
-    :ivar next_offset: first offset that is not applied yet.
-    :ivar jobs_by_id: jobs that are not finished.
-    :ivar finished: bounded memory of finished jobs.
-    :ivar index: pending tasks and attempts by server.
-    :ivar failing_by_server: attempts that failed at a server since one was
-        last done there.
-    :ivar snapshot_offset: first offset not covered by the newest snapshot.
-    :ivar sequence_by_writer: sequence of the last group of each writer.
+    :ivar next_offset: offset of the next entry to apply.
+    :ivar jobs_by_id: unfinished jobs by id.
+    :ivar finished: bounded history of finished jobs.
+    :ivar index: indexes of pending and claimed tasks.
+    :ivar failing_by_server: failed attempts per server since the last attempt
+        that was done there.
+    :ivar snapshot_offset: first offset not covered by the latest snapshot.
+    :ivar sequence_by_writer: last applied sequence number of each writer.
     """
 
     def __init__(self) -> None:
-        """Start at the beginning of a stream."""
+        """Create the state at the beginning of the stream."""
         self.next_offset = 0
         self.snapshot_offset = 0
         self.jobs_by_id: dict[str, JobState] = {}
@@ -68,10 +68,11 @@
         self.sequence_by_writer: dict[str, int] = {}
 
     def task(self, task_id: str) -> TaskState | None:
-        """Look a task up.
+        """Look up a task of an unfinished job.
 
         :param task_id: ``<job id>/<index>``.
-        :returns: the task, or nothing if its job is finished or unknown.
+        :returns: the task; None if its job is finished or unknown, or if it has
+            no such index.
         """
         job_id, _, index = task_id.rpartition('/')
         job = self.jobs_by_id.get(job_id)
@@ -81,11 +82,12 @@
         return job.tasks[number] if number < len(job.tasks) else None
 
     def claimed(self, key: TaskKey, server_id: str) -> TaskState | None:
-        """Look up an attempt that is claimed at a server and not over.
+        """Look up the task of an attempt that is claimed on a server.
 
-        :param key: which attempt.
-        :param server_id: where.
-        :returns: its task, or nothing.
+        :param key: identifier of the attempt.
+        :param server_id: identifier of the server.
+        :returns: the task; None if the attempt has ended or is not claimed on
+            this server.
         """
         task = self.index.attempts_by_server.get(server_id, {}).get(key.task_id)
         return (
@@ -93,29 +95,29 @@
         )
 
     def skip(self, offset: int) -> None:
-        """Pass over an entry that is no group of records.
+        """Skip an entry that cannot be decoded as a record group.
 
-        :param offset: of the entry.
+        :param offset: offset of the entry.
         """
         self.next_offset = max(self.next_offset, offset + 1)
 
     def apply(self, offset: int, group: RecordGroup) -> list[Verdict]:
-        """Fold one entry.
+        """Apply one entry of the stream.
 
-        A group that its writer appended twice, since an acknowledgement was
-        lost, may land long after its first copy; it is told by writer and
-        sequence and changes nothing.
+        A group appended again after a lost acknowledgement is recognised by
+        its writer and sequence, and ignored.
 
-        :param offset: offset of the entry; one already applied is passed over.
-        :param group: its records.
-        :returns: verdicts in the order of the records.
+        :param offset: offset of the entry; entries already applied are ignored.
+        :param group: record group in the entry.
+        :returns: verdicts in the order of the records; empty if the entry was
+            already applied.
         """
         if offset < self.next_offset:
             return []
         self.next_offset = offset + 1
         if group.sequence <= self.sequence_by_writer.get(group.writer, -1):
             return [Invalid(record, 'repeated') for record in group.records]
-        remember_writer(self.sequence_by_writer, group)
+        record_sequence(self.sequence_by_writer, group)
         return [
             verdict
             for record in group.records
@@ -125,27 +127,27 @@
     def _apply_record(self, offset: int, record: Record) -> list[Verdict]:
         match record:
             case TasksClaimed():
-                return self._claim(offset, record)
+                return self._claim_tasks(offset, record)
             case AttemptSuspected():
-                return self._mark(record, offset)
+                return self._update_suspicion(record, offset)
             case AttemptAlive():
-                return self._mark(record, NOT_SUSPECTED)
-        return [self._apply_whole(offset, record)]
+                return self._update_suspicion(record, NOT_SUSPECTED)
+        return [self._apply_single(offset, record)]
 
-    def _apply_whole(self, offset: int, record: Record) -> Verdict:
+    def _apply_single(self, offset: int, record: Record) -> Verdict:
         match record:
             case AttemptEnded():
-                return self._end(record)
+                return self._end_attempt(record)
             case JobAccepted():
-                return self._accept(offset, record)
+                return self._accept_job(offset, record)
             case JobCancelled():
-                return self._cancel(record)
+                return self._cancel_job(record)
             case ServerLost():
-                return self._lose(record)
+                return self._lose_server(record)
             case SnapshotTaken():
-                return self._note_snapshot(record)
+                return self._record_snapshot(record)
 
-    def _accept(self, offset: int, record: JobAccepted) -> Verdict:
+    def _accept_job(self, offset: int, record: JobAccepted) -> Verdict:
         spec = record.job
         reason = refuse_job(spec)
         if spec.job_id in self.jobs_by_id or spec.job_id in self.finished:
@@ -158,7 +160,7 @@
             self.index.add(task)
         return Valid(record)
 
-    def _cancel(self, record: JobCancelled) -> Verdict:
+    def _cancel_job(self, record: JobCancelled) -> Verdict:
         job = self.jobs_by_id.get(record.job_id)
         if job is None:
             return Invalid(record, 'no such job')
@@ -169,11 +171,11 @@
         job.cancelled = True
         for task in job.tasks:
             if task.stage == TaskStage.pending:
-                self._move(task, TaskStage.cancelled)
+                self._set_stage(task, TaskStage.cancelled)
         return Valid(record)
 
-    def _claim(self, offset: int, record: TasksClaimed) -> list[Verdict]:
-        taken: list[TaskKey] = []
+    def _claim_tasks(self, offset: int, record: TasksClaimed) -> list[Verdict]:
+        claimed_keys: list[TaskKey] = []
         verdicts: list[Verdict] = []
         for claim in record.claims:
             task = self.task(claim.key.task_id)
@@ -182,9 +184,9 @@
                 verdicts.append(Invalid(record, reason, (claim.key,)))
                 continue
             self._take(task, offset, record, claim)
-            taken.append(claim.key)
-        if taken:
-            verdicts.append(Valid(record, tuple(taken)))
+            claimed_keys.append(claim.key)
+        if claimed_keys:
+            verdicts.append(Valid(record, tuple(claimed_keys)))
         return verdicts
 
     def _take(
@@ -199,7 +201,8 @@
         require(
             claim.resume_from == task.checkpoint,
             Invariant.resume_once,
-            f'{claim.key} from {claim.resume_from}, not {task.checkpoint}',
+            f'{claim.key} resumes from {claim.resume_from}, but the latest '
+            f'checkpoint is {task.checkpoint}',
         )
         self.index.remove(task)
         task.stage = TaskStage.claimed
@@ -212,7 +215,7 @@
         task.suspected_offset = NOT_SUSPECTED
         self.index.add(task)
 
-    def _end(self, record: AttemptEnded) -> Verdict:
+    def _end_attempt(self, record: AttemptEnded) -> Verdict:
         task = self.claimed(record.key, record.server_id)
         reason = refuse_end(task, record)
         if reason or task is None:
@@ -225,44 +228,44 @@
                 task.checkpoint = record.detail
                 task.checkpoint_server = record.server_id
             case 'failed':
-                count_failure(task)
+                record_failure(task)
                 self.failing_by_server[task.server_id] += 1
             case 'done':
                 self.failing_by_server.pop(task.server_id, None)
-        self._move(task, ended_stage(task, record.how))
+        self._set_stage(task, next_stage(task, record.how))
         return Valid(record, (record.key,))
 
-    def _mark(
+    def _update_suspicion(
         self, record: AttemptSuspected | AttemptAlive, offset: int
     ) -> list[Verdict]:
-        marked: list[TaskKey] = []
-        refused: list[TaskKey] = []
+        changed_keys: list[TaskKey] = []
+        refused_keys: list[TaskKey] = []
         for key in record.keys:
             task = self.task(key.task_id)
-            open_now = (
+            can_be_suspected = (
                 task is not None
                 and task.stage == TaskStage.claimed
                 and task.attempt == key.attempt
                 and task.job.spec.lost_after_ms > 0
             )
-            # A second suspicion must not move the offset of the first one:
-            # who waits counts from that.
-            changes = open_now and (task.suspected_offset == NOT_SUSPECTED) != (
-                offset == NOT_SUSPECTED
-            )
+            # A repeated suspicion must not change the offset: the wait for the
+            # attempt to lapse counts from the first one.
+            changes = can_be_suspected and (
+                task.suspected_offset == NOT_SUSPECTED
+            ) != (offset == NOT_SUSPECTED)
             if changes:
                 task.suspected_offset = offset
-            (marked if changes else refused).append(key)
+            (changed_keys if changes else refused_keys).append(key)
         return [
             verdict
             for verdict in (
-                Valid(record, tuple(marked)),
-                Invalid(record, 'nothing to mark', tuple(refused)),
+                Valid(record, tuple(changed_keys)),
+                Invalid(record, 'suspicion unchanged', tuple(refused_keys)),
             )
             if verdict.keys
         ]
 
-    def _lose(self, record: ServerLost) -> Verdict:
+    def _lose_server(self, record: ServerLost) -> Verdict:
         lost = [
             task
             for task in self.index.attempts_by_server.get(
@@ -271,19 +274,19 @@
             if task.boot_id == record.boot_id
         ]
         if not lost:
-            return Invalid(record, 'no attempt there')
+            return Invalid(record, 'no attempt claimed on that boot')
         for task in lost:
             task.detail = 'server declared lost'
-            self._move(task, ended_stage(task, 'absent'))
+            self._set_stage(task, next_stage(task, 'absent'))
         return Valid(record, tuple(task.key for task in lost))
 
-    def _note_snapshot(self, record: SnapshotTaken) -> Verdict:
+    def _record_snapshot(self, record: SnapshotTaken) -> Verdict:
         if record.covers_offset <= self.snapshot_offset:
-            return Invalid(record, 'a newer one stands')
+            return Invalid(record, 'not newer than the latest snapshot')
         self.snapshot_offset = record.covers_offset
         return Valid(record)
 
-    def _move(self, task: TaskState, stage: TaskStage) -> None:
+    def _set_stage(self, task: TaskState, stage: TaskStage) -> None:
         self.index.remove(task)
         task.stage = stage
         self.index.add(task)
--- a/waxwingford/records/_index.py
+++ b/waxwingford/records/_index.py
@@ -1,4 +1,4 @@
-"""Indexes over a domain's tasks, kept up by each change."""
+"""Indexes of a failure domain's tasks and its bounded history."""
 
 import collections
 import itertools
@@ -15,48 +15,46 @@
     team_key,
 )
 
-#: Finished jobs kept with their counts, so that members can ask for them.
-FINISHED_KEPT = 2000
-#: Ids of finished jobs remembered after that, as 64-bit hashes, so that a job
-#: submitted again is not run again.  This count is the bound: at five finished
-#: jobs a second it covers three and a half hours.  Re-appended groups are told
-#: by writer and sequence instead, so they are not under this bound.
-TOMBSTONES_KEPT = 65_536
-#: Writers whose last sequence is remembered; one writer is one incarnation of
-#: one daemon, so this covers days of restarts of a failure domain.
-WRITERS_KEPT = 1024
-_REASONS_KEPT = 8
-_NOTHING = Resources(0, 0, 0)
+#: Finished jobs whose summaries are stored for queries.
+MAX_FINISHED_JOBS = 2000
+#: Older finished jobs whose id hashes are stored, so that a job that is
+#: submitted again is rejected as a duplicate.
+MAX_TOMBSTONES = 65_536
+#: Writers whose last sequence number is stored; every incarnation of a daemon
+#: is a writer of its own.
+MAX_WRITERS = 1024
+_MAX_REASONS = 8
+_NO_RESOURCES = Resources(0, 0, 0)
 
 
 def job_hash(job_id: str) -> int:
-    """Hash a job id for the memory of finished jobs.
+    """Hash a job id for the tombstones of finished jobs.
 
-    :param job_id: the id.
-    :returns: 64 bits.
+    :param job_id: identifier of the job.
+    :returns: 64-bit hash.
     """
     return xxhash.xxh3_64_intdigest(job_id.encode())
 
 
 class TaskIndex:
-    """Where tasks are: pending ones, and claimed ones by server and team.
+    """Indexes of pending and claimed tasks.
 
-    :ivar pending_by_id: tasks that wait for a claim.
-    :ivar attempts_by_server: claimed tasks by server, then by task id.
+    :ivar pending_by_id: pending tasks by task id.
+    :ivar attempts_by_server: claimed tasks by server id, then by task id.
     :ivar used_by_team: resources of claimed tasks by ``<member>/<team>``.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create empty indexes."""
         self.pending_by_id: dict[str, TaskState] = {}
         self.attempts_by_server: dict[str, dict[str, TaskState]] = {}
         self.used_by_team: dict[str, Resources] = {}
         self._newly_pending: list[TaskState] = []
 
     def add(self, task: TaskState) -> None:
-        """Enter a task under its present stage.
+        """Add a task under its current stage.
 
-        :param task: the task.
+        :param task: task to add; terminal stages are not indexed.
         """
         if task.stage == TaskStage.pending:
             self.pending_by_id[task.task_id] = task
@@ -64,12 +62,12 @@
         elif task.stage == TaskStage.claimed:
             attempts = self.attempts_by_server.setdefault(task.server_id, {})
             attempts[task.task_id] = task
-            self._count(task.job.spec, task.resources)
+            self._add_usage(task.job.spec, task.resources)
 
     def remove(self, task: TaskState) -> None:
-        """Take a task out, before its stage changes.
+        """Remove a task; must be called before its stage changes.
 
-        :param task: the task.
+        :param task: task to remove.
         """
         if task.stage == TaskStage.pending:
             self.pending_by_id.pop(task.task_id, None)
@@ -78,13 +76,13 @@
             attempts.pop(task.task_id)
             if not attempts:
                 self.attempts_by_server.pop(task.server_id)
-            self._count(
+            self._add_usage(
                 task.job.spec,
-                subtract_resources(_NOTHING, task.resources),
+                subtract_resources(_NO_RESOURCES, task.resources),
             )
 
     def take_newly_pending(self) -> list[TaskState]:
-        """Hand out the tasks that became pending since the last call.
+        """Return and clear the tasks that became pending since the last call.
 
         :returns: tasks, some of which may no longer be pending.
         """
@@ -92,39 +90,40 @@
         self._newly_pending = []
         return taken
 
-    def _count(self, spec: JobSpec, change: Resources) -> None:
+    def _add_usage(self, spec: JobSpec, delta: Resources) -> None:
         team = team_key(spec)
-        used = add_resources(self.used_by_team.get(team, _NOTHING), change)
-        if used == _NOTHING:
+        used = add_resources(self.used_by_team.get(team, _NO_RESOURCES), delta)
+        if used == _NO_RESOURCES:
             self.used_by_team.pop(team, None)
         else:
             self.used_by_team[team] = used
 
 
 class FinishedJobs:
-    """Bounded memory of finished jobs: counts first, then only hashed ids.
+    """Bounded history of finished jobs: summaries, then only id hashes.
 
-    :ivar kept_by_id: newest finished jobs.
-    :ivar tombstones: hashes of the ids of older ones, oldest first.
+    :ivar kept_by_id: summaries of the latest finished jobs by id, oldest first.
+    :ivar tombstones: id hashes of older jobs, oldest first.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty history."""
         self.kept_by_id: dict[str, FinishedJob] = {}
         self.tombstones: dict[int, None] = {}
 
     def __contains__(self, job_id: str) -> bool:
-        """Tell whether a job is known to be finished.
+        """Check whether a job is in the history.
 
-        :param job_id: which job.
-        :returns: true as long as the memory reaches back to it.
+        :param job_id: identifier of the job.
+        :returns: True unless the job is unfinished, unknown or older than the
+            history.
         """
         return job_id in self.kept_by_id or job_hash(job_id) in self.tombstones
 
     def add(self, job: JobState) -> None:
-        """Remember a job whose tasks have all ended.
+        """Add a finished job and evict the oldest entries beyond the limits.
 
-        :param job: the job.
+        :param job: job whose tasks have all reached a terminal stage.
         """
         counts = collections.Counter(task.stage for task in job.tasks)
         reasons = (
@@ -138,25 +137,26 @@
             counts[TaskStage.done],
             counts[TaskStage.failed],
             counts[TaskStage.cancelled],
-            tuple(itertools.islice(reasons, _REASONS_KEPT)),
+            tuple(itertools.islice(reasons, _MAX_REASONS)),
         )
-        if len(self.kept_by_id) > FINISHED_KEPT:
+        if len(self.kept_by_id) > MAX_FINISHED_JOBS:
             oldest = next(iter(self.kept_by_id))
             self.kept_by_id.pop(oldest)
             self.tombstones[job_hash(oldest)] = None
-        if len(self.tombstones) > TOMBSTONES_KEPT:
+        if len(self.tombstones) > MAX_TOMBSTONES:
             self.tombstones.pop(next(iter(self.tombstones)))
 
 
-def remember_writer(
+def record_sequence(
     sequence_by_writer: dict[str, int], group: RecordGroup
 ) -> None:
-    """Remember the newest group of a writer, newest writer last.
+    """Record the sequence number of a writer's latest group.
 
-    :param sequence_by_writer: changed in place, bounded.
-    :param group: the group.
+    :param sequence_by_writer: sequence numbers, least recent writer first;
+        modified in place, and the oldest is evicted beyond the limit.
+    :param group: group that was applied.
     """
     sequence_by_writer.pop(group.writer, None)
     sequence_by_writer[group.writer] = group.sequence
-    if len(sequence_by_writer) > WRITERS_KEPT:
+    if len(sequence_by_writer) > MAX_WRITERS:
         sequence_by_writer.pop(next(iter(sequence_by_writer)))
--- a/waxwingford/records/_messages.py
+++ b/waxwingford/records/_messages.py
@@ -1,8 +1,7 @@
-"""Records of a failure domain's stream, and the job that they speak of.
+"""Records of a failure domain's stream and their encoding.
 
-The stream is the only authority on jobs and attempts: the first valid record
-in offset order wins (see :mod:`waxwingford.records._state`).  Records are
-msgspec structs, written as arrays to keep the stream small.
+The stream is the source of truth for jobs and attempts: of conflicting
+records, the first in offset order is valid.
 """
 
 import msgspec
@@ -11,23 +10,25 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
-    """A batch job as submitted.
+    """Specification of a batch job, as submitted.
 
-    :ivar job_id: unique, ``<member>.<name>``; also the idempotency key of the
-        submission.
-    :ivar member: organisation that owns it.
-    :ivar team: team of the member, for quotas.
+    :ivar job_id: unique id, ``<member>.<name>``; also the idempotency key of
+        the submission.
+    :ivar member: member organisation that owns the job.
+    :ivar team: team of the member that is charged for the job.
     :ivar kind: batch kind, for example ``archive_rebuild``.
-    :ivar task_count: tasks in the job, indexed from 0.
+    :ivar task_count: number of tasks; their indices start at 0.
     :ivar resources: declared size of each task.
-    :ivar run_ms: declared run time of a task, in milliseconds.
-    :ivar priority: larger is more urgent, 0 to 100.
-    :ivar finish_by_wall_ms: wall time by which it should be done, in
-        milliseconds since the epoch; 0 for no deadline.
-    :ivar lost_after_ms: an attempt gives up by itself after its holder went
-        so long without the log, so that others may take it; 0 for never.
-    :ivar payload: opaque work description for the backend server.
-    :ivar submitted_wall_ms: wall time of the submission, in milliseconds.
+    :ivar run_ms: declared run time of each task, in milliseconds.
+    :ivar priority: 0 to 100; larger is more urgent.
+    :ivar finish_by_wall_ms: deadline as wall-clock time, in milliseconds since
+        the epoch; 0 for none.
+    :ivar lost_after_ms: time without log access of the holder, in
+        milliseconds, after which an attempt stops itself so that the task may
+        be claimed again; 0 for never.
+    :ivar payload: opaque work description, passed to the backend server.
+    :ivar submitted_wall_ms: wall-clock time of the submission, in milliseconds
+        since the epoch.
     """
 
     job_id: str
@@ -45,7 +46,10 @@
 
 
 class JobAccepted(msgspec.Struct, frozen=True, array_like=True, tag='accepted'):
-    """The failure domain answers for the job from here on."""
+    """The failure domain has accepted responsibility for a job.
+
+    :ivar job: specification of the job.
+    """
 
     job: JobSpec
 
@@ -53,10 +57,10 @@
 class JobCancelled(
     msgspec.Struct, frozen=True, array_like=True, tag='cancelled'
 ):
-    """The member gave the job up.
+    """A member has cancelled its job.
 
-    :ivar job_id: which job.
-    :ivar member: who asked; must own the job.
+    :ivar job_id: identifier of the job.
+    :ivar member: member that requested it; must own the job.
     """
 
     job_id: str
@@ -64,10 +68,10 @@
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True):
-    """One attempt in a group of claims.
+    """Claim of one attempt.
 
-    :ivar key: task and attempt number.
-    :ivar resume_from: checkpoint reference, empty for a fresh start.
+    :ivar key: task id and attempt number.
+    :ivar resume_from: checkpoint reference, empty to start from scratch.
     """
 
     key: TaskKey
@@ -75,13 +79,13 @@
 
 
 class TasksClaimed(msgspec.Struct, frozen=True, array_like=True, tag='claimed'):
-    """Write-ahead of starts on one backend server.
+    """Attempts are claimed for a backend server, before they are started.
 
-    :ivar holder: ``<daemon>#<incarnation>`` that claims.
-    :ivar server_id: backend server.
-    :ivar boot_id: boot of the server that the claims are for.
-    :ivar epoch: control lease epoch of the holder there.
-    :ivar claims: attempts claimed.
+    :ivar holder: ``<daemon>#<incarnation>`` that claims the attempts.
+    :ivar server_id: identifier of the backend server.
+    :ivar boot_id: boot of the server for which the claims are valid.
+    :ivar epoch: epoch of the holder's control lease on the server.
+    :ivar claims: claimed attempts.
     """
 
     holder: str
@@ -92,17 +96,17 @@
 
 
 class AttemptEnded(msgspec.Struct, frozen=True, array_like=True, tag='ended'):
-    """An attempt is proved over.
+    """An attempt is known to have ended.
 
-    :ivar key: which attempt.
-    :ivar server_id: where it ran.
+    :ivar key: identifier of the attempt.
+    :ivar server_id: identifier of the server on which it was claimed.
     :ivar how: ``done``, ``failed``, ``checkpointed``, ``stopped``, ``absent``
-        (the server's current holder saw that it is not there) or ``lapsed``
-        (see AttemptSuspected).
-    :ivar detail: result, checkpoint reference or reason.
+        (the server's current holder found that it does not exist) or
+        ``lapsed`` (see :class:`AttemptSuspected`).
+    :ivar detail: result, checkpoint reference or reason, depending on ``how``.
     :ivar ran_ms: run time of the attempt, in milliseconds.
-    :ivar suspected_offset: for ``lapsed``, offset of the AttemptSuspected that
-        it rests on.
+    :ivar suspected_offset: for ``lapsed``, offset of the
+        :class:`AttemptSuspected` record that it refers to.
     """
 
     key: TaskKey
@@ -116,10 +120,12 @@
 class AttemptSuspected(
     msgspec.Struct, frozen=True, array_like=True, tag='suspected'
 ):
-    """A daemon cannot reach the server of attempts that declare lost_after.
+    """A daemon suspects attempts because it cannot reach their server.
+
+    Applies only to attempts of jobs with a ``lost_after_ms``.
 
-    :ivar keys: attempts suspected.
-    :ivar by: ``<daemon>#<incarnation>``.
+    :ivar keys: identifiers of the suspected attempts.
+    :ivar by: ``<daemon>#<incarnation>`` that suspects them.
     """
 
     keys: tuple[TaskKey, ...]
@@ -127,10 +133,10 @@
 
 
 class AttemptAlive(msgspec.Struct, frozen=True, array_like=True, tag='alive'):
-    """The holder objects to a suspicion: it still renews the attempts.
+    """The holder refutes a suspicion: it still renews the attempts.
 
-    :ivar keys: attempts renewed.
-    :ivar by: ``<daemon>#<incarnation>``.
+    :ivar keys: identifiers of the renewed attempts.
+    :ivar by: ``<daemon>#<incarnation>`` of the holder.
     """
 
     keys: tuple[TaskKey, ...]
@@ -138,11 +144,11 @@
 
 
 class ServerLost(msgspec.Struct, frozen=True, array_like=True, tag='lost'):
-    """Operators declare a backend server lost; its attempts are over.
+    """Operators have declared a backend server lost; its attempts have ended.
 
-    :ivar server_id: backend server.
-    :ivar boot_id: boot that was lost.
-    :ivar statement: signed statement of the members' operators.
+    :ivar server_id: identifier of the backend server.
+    :ivar boot_id: boot of the server that was lost.
+    :ivar statement: statement signed by the members' operators.
     """
 
     server_id: str
@@ -153,9 +159,9 @@
 class SnapshotTaken(
     msgspec.Struct, frozen=True, array_like=True, tag='snapshot'
 ):
-    """A complete snapshot stands in the snapshots' stream.
+    """A complete snapshot was written to the snapshot stream.
 
-    :ivar covers_offset: first offset that it does not cover.
+    :ivar covers_offset: first offset that the snapshot does not cover.
     """
 
     covers_offset: int
@@ -174,12 +180,12 @@
 
 
 class RecordGroup(msgspec.Struct, frozen=True, array_like=True):
-    """Group commit: the payload of one log entry.
+    """Records that are committed together in one log entry.
 
-    :ivar writer: ``<daemon>#<incarnation>``.
-    :ivar sequence: counts the writer's groups; with writer it identifies the
-        group, so that a lost acknowledgement is resolved by reading forward.
-    :ivar records: in order.
+    :ivar writer: ``<daemon>#<incarnation>`` that wrote the group.
+    :ivar sequence: number of the group, increasing per writer; with the writer
+        it identifies the group if an acknowledgement is lost.
+    :ivar records: records in the order in which they are applied.
     """
 
     writer: str
@@ -192,19 +198,19 @@
 
 
 def encode_group(group: RecordGroup) -> bytes:
-    """Serialize a group.
+    """Encode a record group.
 
-    :param group: records with writer and sequence.
+    :param group: group to encode.
     :returns: payload of one log entry.
     """
     return _encoder.encode(group)
 
 
 def decode_group(payload: bytes) -> RecordGroup:
-    """Read a group back.
+    """Decode a record group.
 
     :param payload: payload of one log entry.
-    :returns: the group.
-    :raises msgspec.DecodeError: if it is not one.
+    :returns: the decoded group.
+    :raises msgspec.DecodeError: if the payload is not a valid group.
     """
     return _decoder.decode(payload)
--- a/waxwingford/records/_rules.py
+++ b/waxwingford/records/_rules.py
@@ -1,4 +1,4 @@
-"""When a record of the stream is valid."""
+"""Validation of records against the state that they apply to."""
 
 from waxwingford.records._messages import AttemptEnded, Claim, JobSpec
 from waxwingford.records._state import (
@@ -7,30 +7,30 @@
     TaskState,
 )
 
-#: A task that failed on so many distinct servers is given up.
-FAILED_SERVERS_LIMIT = 4
-#: A task that failed so often is given up, also if on few servers.
-FAILED_ATTEMPTS_LIMIT = 12
-#: Tasks in one job at most; bounds what one record can make daemons hold.
-TASKS_IN_JOB_LIMIT = 50_000
-#: Ways in which an attempt may end.
-ENDINGS = frozenset(
+#: Distinct servers on which a task fails before it is marked as failed.
+MAX_FAILED_SERVERS = 4
+#: Failed attempts, on any servers, before a task is marked as failed.
+MAX_FAILED_ATTEMPTS = 12
+#: Maximum number of tasks per job; bounds the memory that one record takes.
+MAX_TASKS_PER_JOB = 50_000
+#: Valid outcomes of an attempt.
+ATTEMPT_OUTCOMES = frozenset(
     ('done', 'failed', 'checkpointed', 'stopped', 'absent', 'lapsed'),
 )
 
 
 def refuse_job(spec: JobSpec) -> str:
-    """Check a job for itself.
+    """Validate a job specification.
 
-    :param spec: the job.
-    :returns: why it is not valid; empty if it is.
+    :param spec: job specification.
+    :returns: reason why it is invalid; empty if it is valid.
     """
     if not spec.job_id.startswith(f'{spec.member}.'):
         return f'job_id {spec.job_id!r} must start with {spec.member!r} and "."'
     if '/' in spec.job_id:
         return f'job_id {spec.job_id!r} must not contain "/"'
-    if not 1 <= spec.task_count <= TASKS_IN_JOB_LIMIT:
-        return f'task_count must be 1 to {TASKS_IN_JOB_LIMIT}'
+    if not 1 <= spec.task_count <= MAX_TASKS_PER_JOB:
+        return f'task_count must be 1 to {MAX_TASKS_PER_JOB}'
     if min(spec.resources) < 0 or max(spec.resources) == 0:
         return 'resources must not be negative, nor all zero'
     if spec.lost_after_ms < 0:
@@ -39,14 +39,14 @@
 
 
 def refuse_claim(task: TaskState | None, claim: Claim) -> str:
-    """Check one claim.
+    """Validate a claim against the state of its task.
 
-    A pending task has no attempt that is not proved over: only the end of an
-    attempt in the stream makes its task pending again.
+    A task becomes pending again only when the stream records the end of its
+    attempt, so a valid claim cannot overlap with an earlier attempt.
 
-    :param task: what the claim is about.
-    :param claim: the claim.
-    :returns: why it is not valid; empty if it is.
+    :param task: claimed task; None if it is unknown.
+    :param claim: claim to validate.
+    :returns: reason why it is invalid; empty if it is valid.
     """
     if task is None:
         return 'no such task, or its job is finished'
@@ -62,21 +62,20 @@
 
 
 def refuse_end(task: TaskState | None, record: AttemptEnded) -> str:
-    """Check the end of an attempt.
+    """Validate the end of an attempt.
 
-    A ``lapsed`` names the suspicion that it rests on.  Without that, one that
-    was appended after an earlier suspicion, and landed late, would close an
-    attempt whose holder objected since and was then suspected once more: the
-    attempt would still run while another one is claimed.
+    A ``lapsed`` outcome must refer to the current suspicion.  One that is
+    delayed and refers to an earlier, refuted suspicion would end an attempt
+    that may still be running.
 
-    :param task: task claimed at that server under that attempt, if any.
-    :param record: the end.
-    :returns: why it is not valid; empty if it is.
+    :param task: task with that attempt claimed on that server, if any.
+    :param record: end of the attempt.
+    :returns: reason why it is invalid; empty if it is valid.
     """
     if task is None:
         return 'attempt is not claimed there, or is over'
-    if record.how not in ENDINGS:
-        return f'how must be one of {sorted(ENDINGS)}'
+    if record.how not in ATTEMPT_OUTCOMES:
+        return f'how must be one of {sorted(ATTEMPT_OUTCOMES)}'
     if record.how != 'lapsed':
         return ''
     if task.suspected_offset == NOT_SUSPECTED:
@@ -86,30 +85,30 @@
     return ''
 
 
-def ended_stage(task: TaskState, how: str) -> TaskStage:
-    """Say where a task goes when its attempt ends.
+def next_stage(task: TaskState, how: str) -> TaskStage:
+    """Determine the stage of a task after an attempt has ended.
 
-    :param task: the task, with the failure already counted.
-    :param how: how the attempt ended.
-    :returns: its next stage.
+    :param task: the task; a failure must already be recorded.
+    :param how: outcome of the attempt.
+    :returns: next stage of the task.
     """
     if how == 'done':
         return TaskStage.done
     if task.job.cancelled:
         return TaskStage.cancelled
-    gone_too_far = (
-        len(task.failed_on) >= FAILED_SERVERS_LIMIT
-        or task.failures >= FAILED_ATTEMPTS_LIMIT
+    retries_exhausted = (
+        len(task.failed_on) >= MAX_FAILED_SERVERS
+        or task.failures >= MAX_FAILED_ATTEMPTS
     )
-    if how == 'failed' and gone_too_far:
+    if how == 'failed' and retries_exhausted:
         return TaskStage.failed
     return TaskStage.pending
 
 
-def count_failure(task: TaskState) -> None:
-    """Count a failed attempt of a task.
+def record_failure(task: TaskState) -> None:
+    """Record a failed attempt of a task.
 
-    :param task: the task, still at the server where it failed.
+    :param task: task whose ``server_id`` is that of the failed attempt.
     """
     task.failures += 1
     if task.server_id not in task.failed_on:
--- a/waxwingford/records/_snapshot.py
+++ b/waxwingford/records/_snapshot.py
@@ -1,8 +1,7 @@
-"""Snapshots: a domain's state at an offset, in chunks that prove themselves.
+"""Snapshots of a failure domain's state, written as checksummed chunks.
 
-Equal states give equal bytes, so that two daemons which write the snapshot of
-one offset do no harm.  A chunk that is torn, or belongs to another snapshot
-than its neighbours, is told by its header and the digest of the whole.
+The encoding is deterministic, so daemons that write the same snapshot
+concurrently produce the same chunks.
 """
 
 import zlib
@@ -21,13 +20,13 @@
     new_job,
 )
 
-#: Bytes of payload in a chunk; with its header below 256 KiB.
-CHUNK_BYTES = 240_000
+#: Maximum payload of a chunk; with its header it stays below 256 KiB.
+MAX_CHUNK_PAYLOAD_BYTES = 240_000
 _COMPRESSION_LEVEL = 1
-#: Snapshots assembled at once; more are remains of writers that died.
-_PARTIAL_KEPT = 4
-#: Bound of one unpacked snapshot, against a corrupt or hostile chunk.
-_UNPACKED_BYTES_LIMIT = 256_000_000
+#: Incomplete snapshots kept during assembly; the oldest is dropped beyond it.
+_MAX_PARTIAL_SNAPSHOTS = 4
+#: Maximum decompressed size of a snapshot; guards against corrupt input.
+_MAX_UNPACKED_BYTES = 256_000_000
 
 
 class _TaskRow(msgspec.Struct, array_like=True):
@@ -64,7 +63,7 @@
     reasons: tuple[str, ...]
 
 
-class _Body(msgspec.Struct, array_like=True):
+class _SnapshotBody(msgspec.Struct, array_like=True):
     next_offset: int
     snapshot_offset: int
     jobs: list[_JobRow]
@@ -75,14 +74,14 @@
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the snapshots' stream.
+    """One entry of the snapshot stream.
 
     :ivar covers_offset: first offset of the domain's stream that the snapshot
         does not cover.
-    :ivar index: place in the snapshot, from 0.
-    :ivar total: chunks in the snapshot.
-    :ivar digest: xxhash of the whole.
-    :ivar payload: this part.
+    :ivar index: position of the chunk in the snapshot, from 0.
+    :ivar total: number of chunks in the snapshot.
+    :ivar digest: hexadecimal XXH3-128 digest of the compressed snapshot.
+    :ivar payload: part of the compressed snapshot.
     """
 
     covers_offset: int
@@ -93,7 +92,7 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_body_decoder = msgspec.msgpack.Decoder(_Body)
+_body_decoder = msgspec.msgpack.Decoder(_SnapshotBody)
 _chunk_decoder = msgspec.msgpack.Decoder(SnapshotChunk)
 _TASK_FIELDS = _TaskRow.__struct_fields__[2:]
 
@@ -106,7 +105,7 @@
     )
 
 
-def _is_untouched(task: TaskState) -> bool:
+def _is_initial(task: TaskState) -> bool:
     return task.attempt == 0 and task.stage == TaskStage.pending
 
 
@@ -114,7 +113,7 @@
     rows = [
         _task_row(index, task)
         for index, task in enumerate(job.tasks)
-        if not _is_untouched(task)
+        if not _is_initial(task)
     ]
     return _JobRow(job.spec, job.accepted_offset, job.cancelled, rows)
 
@@ -130,12 +129,12 @@
     )
 
 
-def _body(state: DomainState) -> _Body:
+def _snapshot_body(state: DomainState) -> _SnapshotBody:
     jobs = sorted(
         state.jobs_by_id.values(),
         key=lambda job: job.accepted_offset,
     )
-    return _Body(
+    return _SnapshotBody(
         state.next_offset,
         state.snapshot_offset,
         [_job_row(job) for job in jobs],
@@ -147,41 +146,47 @@
 
 
 def snapshot_chunks(state: DomainState, covers_offset: int) -> list[bytes]:
-    """Write a state down.
+    """Encode a state as snapshot chunks.
 
-    :param state: the state.
-    :param covers_offset: must be the state's next offset: a snapshot that
-        claimed to cover more would lose the records between.
-    :returns: entries for the snapshots' stream, each below 256 KiB.
-    :raises ValueError: if the offset is not the state's.
+    :param state: state to encode.
+    :param covers_offset: next offset of the state.
+    :returns: entries for the snapshot stream, each below 256 KiB.
+    :raises ValueError: if ``covers_offset`` is not the state's next offset;
+        a snapshot that covers more would skip records.
     """
     if covers_offset != state.next_offset:
         raise ValueError(
-            f'state is at {state.next_offset}, not at {covers_offset}',
+            f'next offset of the state is {state.next_offset}, '
+            f'not {covers_offset}',
         )
-    whole = zlib.compress(_encoder.encode(_body(state)), _COMPRESSION_LEVEL)
-    digest = xxhash.xxh3_128_hexdigest(whole)
-    parts = [
-        whole[start : start + CHUNK_BYTES]
-        for start in range(0, len(whole), CHUNK_BYTES)
+    compressed = zlib.compress(
+        _encoder.encode(_snapshot_body(state)), _COMPRESSION_LEVEL
+    )
+    digest = xxhash.xxh3_128_hexdigest(compressed)
+    payloads = [
+        compressed[start : start + MAX_CHUNK_PAYLOAD_BYTES]
+        for start in range(0, len(compressed), MAX_CHUNK_PAYLOAD_BYTES)
     ]
     return [
         _encoder.encode(
-            SnapshotChunk(covers_offset, index, len(parts), digest, part),
+            SnapshotChunk(covers_offset, index, len(payloads), digest, payload),
         )
-        for index, part in enumerate(parts)
+        for index, payload in enumerate(payloads)
     ]
 
 
-def restore(whole: bytes) -> DomainState:
-    """Read a state back.
+def restore(compressed: bytes) -> DomainState:
+    """Decode a state from a snapshot.
 
-    :param whole: joined payloads of a complete snapshot.
-    :returns: the state; all its pending tasks count as newly pending.
-    :raises msgspec.DecodeError: if it is not a snapshot.
+    :param compressed: concatenated payloads of all chunks.
+    :returns: the state, with all its pending tasks marked as newly pending.
+    :raises msgspec.DecodeError: if the data is not a snapshot.
+    :raises zlib.error: if the data cannot be decompressed.
     """
-    unpacked = zlib.decompressobj().decompress(whole, _UNPACKED_BYTES_LIMIT)
-    body = _body_decoder.decode(unpacked)
+    decompressed = zlib.decompressobj().decompress(
+        compressed, _MAX_UNPACKED_BYTES
+    )
+    body = _body_decoder.decode(decompressed)
     state = DomainState()
     state.next_offset = body.next_offset
     state.snapshot_offset = body.snapshot_offset
@@ -207,7 +212,7 @@
         state.index.add(task)
 
 
-def _restore_finished(body: _Body) -> FinishedJobs:
+def _restore_finished(body: _SnapshotBody) -> FinishedJobs:
     finished = FinishedJobs()
     finished.kept_by_id = {
         row.job_id: FinishedJob(
@@ -225,52 +230,56 @@
 
 
 class SnapshotAssembler:
-    """Joins chunks; what is torn, mixed or corrupt never becomes a state.
+    """Reassembles snapshots from chunks; discards incomplete or corrupt ones.
+
+    Chunks of several snapshots may be interleaved in the stream.
 
-    :ivar newest: state of the newest complete snapshot so far, if any.
+    :ivar newest: state of the latest complete snapshot; None if there is none.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an assembler without chunks."""
         self.newest: DomainState | None = None
-        self._parts: dict[tuple[int, str, int], dict[int, bytes]] = {}
+        self._payloads_by_snapshot: dict[
+            tuple[int, str, int], dict[int, bytes]
+        ] = {}
 
     def add(self, payload: bytes) -> DomainState | None:
-        """Take one entry of the snapshots' stream.
+        """Process one entry of the snapshot stream.
 
-        :param payload: the entry.
-        :returns: the newest complete state so far, if any.
+        :param payload: encoded chunk; ignored if it cannot be decoded.
+        :returns: state of the latest complete snapshot; None if there is none.
         """
         try:
             chunk = _chunk_decoder.decode(payload)
         except msgspec.DecodeError:
             return self.newest
-        if self._is_wanted(chunk):
+        if self._is_relevant(chunk):
             self._collect(chunk)
         return self.newest
 
-    def _is_wanted(self, chunk: SnapshotChunk) -> bool:
+    def _is_relevant(self, chunk: SnapshotChunk) -> bool:
         is_newer = (
             self.newest is None or chunk.covers_offset > self.newest.next_offset
         )
         return is_newer and 0 <= chunk.index < chunk.total
 
     def _collect(self, chunk: SnapshotChunk) -> None:
-        name = (chunk.covers_offset, chunk.digest, chunk.total)
-        parts = self._parts.setdefault(name, {})
-        parts[chunk.index] = chunk.payload
-        if len(parts) == chunk.total:
-            self._parts.pop(name)
-            self._finish(chunk, parts)
-        if len(self._parts) > _PARTIAL_KEPT:
-            self._parts.pop(min(self._parts))
-
-    def _finish(self, chunk: SnapshotChunk, parts: dict[int, bytes]) -> None:
-        whole = b''.join(parts[index] for index in range(chunk.total))
-        if xxhash.xxh3_128_hexdigest(whole) != chunk.digest:
+        snapshot_key = (chunk.covers_offset, chunk.digest, chunk.total)
+        payloads = self._payloads_by_snapshot.setdefault(snapshot_key, {})
+        payloads[chunk.index] = chunk.payload
+        if len(payloads) == chunk.total:
+            self._payloads_by_snapshot.pop(snapshot_key)
+            self._finish(chunk, payloads)
+        if len(self._payloads_by_snapshot) > _MAX_PARTIAL_SNAPSHOTS:
+            self._payloads_by_snapshot.pop(min(self._payloads_by_snapshot))
+
+    def _finish(self, chunk: SnapshotChunk, payloads: dict[int, bytes]) -> None:
+        compressed = b''.join(payloads[index] for index in range(chunk.total))
+        if xxhash.xxh3_128_hexdigest(compressed) != chunk.digest:
             return
         try:
-            state = restore(whole)
+            state = restore(compressed)
         except (msgspec.DecodeError, zlib.error, IndexError):
             return
         if state.next_offset == chunk.covers_offset:
--- a/waxwingford/records/_state.py
+++ b/waxwingford/records/_state.py
@@ -1,4 +1,4 @@
-"""Jobs, tasks and attempts that a failure domain's stream folds into."""
+"""State of the jobs, tasks and attempts in a failure domain's stream."""
 
 import dataclasses
 import enum
@@ -6,12 +6,12 @@
 from waxwingford.ports import Resources, TaskKey
 from waxwingford.records._messages import JobSpec
 
-#: Suspicion offset of an attempt that nobody suspects.
+#: ``suspected_offset`` of an attempt that is not suspected.
 NOT_SUSPECTED = -1
 
 
 class TaskStage(enum.IntEnum):
-    """Where a task is in its life; values are written into snapshots."""
+    """Stage of a task's life cycle; the values are stored in snapshots."""
 
     pending = 0
     claimed = 1
@@ -20,7 +20,7 @@
     cancelled = 4
 
 
-#: Stages that a task never leaves.
+#: Stages from which there is no transition.
 TERMINAL_STAGES = frozenset(
     (TaskStage.done, TaskStage.failed, TaskStage.cancelled),
 )
@@ -28,25 +28,26 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class TaskState:
-    """One task and its newest attempt.
+    """A task and its latest attempt.
 
     :ivar task_id: ``<job id>/<index>``.
-    :ivar job: the job that it belongs to.
-    :ivar stage: where it is in its life.
-    :ivar attempt: number of the newest claimed attempt, 0 before the first.
-    :ivar server_id: where the newest attempt was claimed.
+    :ivar job: job that the task belongs to.
+    :ivar stage: current stage.
+    :ivar attempt: number of the latest claimed attempt; 0 before the first.
+    :ivar server_id: server on which the latest attempt was claimed.
     :ivar boot_id: boot of that server.
-    :ivar epoch: control lease epoch of the claim.
-    :ivar holder: who claimed.
-    :ivar claim_offset: offset of the claim in the stream.
-    :ivar suspected_offset: offset of the open suspicion of this attempt, or
+    :ivar epoch: epoch of the control lease under which it was claimed.
+    :ivar holder: ``<daemon>#<incarnation>`` that claimed it.
+    :ivar claim_offset: offset of the claim in the stream; -1 before the first.
+    :ivar suspected_offset: offset of the current suspicion of the attempt, or
         ``NOT_SUSPECTED``.
-    :ivar checkpoint: newest checkpoint reference, empty for none.
-    :ivar checkpoint_server: where that checkpoint was taken.
-    :ivar failed_on: distinct servers on which attempts failed, in order.
-    :ivar failures: failed attempts in all.
-    :ivar ran_ms: run time of all ended attempts, in milliseconds.
-    :ivar detail: result or last reason, for people.
+    :ivar checkpoint: reference to the latest checkpoint, empty for none.
+    :ivar checkpoint_server: server that wrote that checkpoint.
+    :ivar failed_on: distinct servers on which attempts failed, in order of the
+        first failure.
+    :ivar failures: total number of failed attempts.
+    :ivar ran_ms: total run time of ended attempts, in milliseconds.
+    :ivar detail: result or reason of the latest end of an attempt.
     """
 
     task_id: str
@@ -68,7 +69,7 @@
 
     @property
     def key(self) -> TaskKey:
-        """Name the newest attempt.
+        """Identifier of the latest attempt.
 
         :returns: task id and attempt number.
         """
@@ -76,7 +77,7 @@
 
     @property
     def next_key(self) -> TaskKey:
-        """Name the attempt that may be claimed next.
+        """Identifier of the next attempt.
 
         :returns: task id and attempt number.
         """
@@ -84,22 +85,22 @@
 
     @property
     def resources(self) -> Resources:
-        """Declared size.
+        """Declared size of the task.
 
-        :returns: resources of one task of the job.
+        :returns: declared resources of each task of the job.
         """
         return self.job.spec.resources
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class JobState:
-    """An accepted job that is not finished.
+    """An accepted, unfinished job.
 
-    :ivar spec: as accepted.
-    :ivar accepted_offset: where it was accepted.
-    :ivar cancelled: the member gave it up.
-    :ivar open_count: tasks that are not in a terminal stage.
-    :ivar tasks: all tasks by index.
+    :ivar spec: specification of the job.
+    :ivar accepted_offset: offset of the record that accepted it.
+    :ivar cancelled: whether its member has cancelled it.
+    :ivar open_count: number of tasks that are not in a terminal stage.
+    :ivar tasks: tasks in the order of their indices.
     """
 
     spec: JobSpec
@@ -111,14 +112,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FinishedJob:
-    """What is kept for a while of a job that is finished.
-
-    :ivar job_id: which job.
-    :ivar member: its owner.
-    :ivar done: tasks that finished their work.
-    :ivar failed: tasks given up after failures.
-    :ivar cancelled: tasks that the member gave up.
-    :ivar reasons: some reasons of failed tasks, for people.
+    """Summary of a finished job.
+
+    :ivar job_id: identifier of the job.
+    :ivar member: member that owns the job.
+    :ivar done: number of tasks that completed.
+    :ivar failed: number of tasks that failed.
+    :ivar cancelled: number of tasks that were cancelled.
+    :ivar reasons: reasons of the first few failed tasks.
     """
 
     job_id: str
@@ -130,11 +131,11 @@
 
 
 def new_job(spec: JobSpec, offset: int) -> JobState:
-    """Build the state of a job just accepted.
+    """Create the state of a newly accepted job.
 
-    :param spec: the job.
-    :param offset: where it was accepted.
-    :returns: the job with all its tasks pending.
+    :param spec: specification of the job.
+    :param offset: offset of the record that accepted it.
+    :returns: the job, with all its tasks pending.
     """
     job = JobState(spec, offset, open_count=spec.task_count)
     job.tasks = [
@@ -145,9 +146,9 @@
 
 
 def team_key(spec: JobSpec) -> str:
-    """Name a team over all members.
+    """Build the key of a job's team, which is unique across members.
 
-    :param spec: a job of the team.
+    :param spec: specification of a job of the team.
     :returns: ``<member>/<team>``.
     """
     return f'{spec.member}/{spec.team}'
--- a/waxwingford/records/_verdicts.py
+++ b/waxwingford/records/_verdicts.py
@@ -1,4 +1,4 @@
-"""Whether a record of the stream took effect."""
+"""Verdicts on the validity of records."""
 
 import dataclasses
 
@@ -8,10 +8,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Valid:
-    """A record, or the named part of it, took effect.
+    """A record that was applied, entirely or for the listed attempts.
 
     :ivar record: the record.
-    :ivar keys: attempts of it that took effect.
+    :ivar keys: attempts for which it was applied; empty for a record that
+        concerns no attempt.
     """
 
     record: Record
@@ -20,11 +21,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Invalid:
-    """A record, or the named part of it, changed nothing.
+    """A record that was rejected, entirely or for the listed attempts.
 
     :ivar record: the record.
-    :ivar reason: for people.
-    :ivar keys: attempts of it that are refused.
+    :ivar reason: human-readable reason.
+    :ivar keys: attempts for which it was rejected; empty if the whole record
+        was.
     """
 
     record: Record
--- a/waxwingford/records/tests/fold.feature
+++ b/waxwingford/records/tests/fold.feature
@@ -1,10 +1,9 @@
 Feature: Fold of a failure domain's stream
-  The first valid record in offset order wins; all daemons reach one state.
+  Of conflicting records the first one is valid, so all daemons reach the same state.
 
-  Scenario: Of two claims of one attempt the first wins
-    # Symptom prevented: a task runs on two servers. Two daemons claim the same
-    # attempt at once. Cause: neither knows of the other's append.
-    When these records are folded
+  Scenario: Of two claims of one attempt only the first is valid
+    # Guards against two daemons starting the same attempt on two servers.
+    When these records are applied
       | writer | record                  | verdict             |
       | a      | accept qadri.a 2        | valid               |
       | a      | claim qadri.a/0 1 s1    | valid               |
@@ -13,8 +12,8 @@
       | b      | claim qadri.a/1 2 s2    | attempt must be 1   |
     Then task "qadri.a/0" is "claimed" as attempt 1 at "s1"
 
-  Scenario: An attempt ends once, only where it was claimed
-    When these records are folded
+  Scenario: An attempt ends only once and only on the server of its claim
+    When these records are applied
       | writer | record                        | verdict                               |
       | a      | accept qadri.a 1              | valid                                 |
       | a      | claim qadri.a/0 1 s1          | valid                                 |
@@ -24,8 +23,8 @@
       | b      | end qadri.a/0 1 s1 done       | attempt is not claimed there, or is over |
     Then task "qadri.a/0" is "pending" as attempt 1 at "s1"
 
-  Scenario: Evicted work resumes exactly once, from its last checkpoint
-    When these records are folded
+  Scenario: An evicted task resumes once and from its latest checkpoint
+    When these records are applied
       | writer | record                               | verdict                  |
       | a      | accept qadri.a 1                     | valid                    |
       | a      | claim qadri.a/0 1 s1                 | valid                    |
@@ -35,28 +34,26 @@
       | a      | claim qadri.a/0 2 s1 c1              | task is claimed          |
     Then task "qadri.a/0" is "claimed" as attempt 2 at "s2"
 
-  Scenario: A group that lands twice counts once
-    # Symptom prevented: a job that finished and was forgotten runs again. The
-    # acknowledgement of an append was lost, the writer appended the group again,
-    # and the first copy landed long after. Cause: the log may be late.
-    When these records are folded
+  Scenario: A group that is appended twice is applied once
+    # Guards against running a finished job again when a group is re-appended
+    # after a lost acknowledgement.
+    When these records are applied
       | writer | record                  | verdict  |
       | a      | accept qadri.a 1        | valid    |
-    And the last group is folded again
+    And the last group is applied again
     Then its verdicts are "repeated"
     And offset 0 is not applied twice
 
-  Scenario: A suspicion that was answered cannot end the attempt later
-    # Symptom prevented: a task runs twice. Its server was out of contact, its
-    # holder objected to the suspicion, and the end that rested on that suspicion
-    # landed after a second suspicion. Cause: an end that names no suspicion.
-    When these records are folded
+  Scenario: A refuted suspicion cannot end an attempt
+    # Guards against starting a task twice on a delayed lapse that refers to a
+    # refuted suspicion.
+    When these records are applied
       | writer | record                         | verdict                 |
-      | a      | accept-losable qadri.a 1       | valid                   |
+      | a      | accept-lost-after qadri.a 1    | valid                   |
       | a      | claim qadri.a/0 1 s1           | valid                   |
       | b      | lapse qadri.a/0 1 s1 2         | attempt is not suspected |
       | b      | suspect qadri.a/0 1            | valid                   |
-      | c      | suspect qadri.a/0 1            | nothing to mark         |
+      | c      | suspect qadri.a/0 1            | suspicion unchanged     |
       | a      | alive qadri.a/0 1              | valid                   |
       | b      | lapse qadri.a/0 1 s1 3         | attempt is not suspected |
       | c      | suspect qadri.a/0 1            | valid                   |
@@ -64,8 +61,8 @@
       | c      | lapse qadri.a/0 1 s1 7         | valid                   |
     Then task "qadri.a/0" is "pending" as attempt 1 at "s1"
 
-  Scenario: Only the owner cancels, and a cancelled task is not claimed
-    When these records are folded
+  Scenario: Only the owner can cancel a job, and tasks of a cancelled job cannot be claimed
+    When these records are applied
       | writer | record                    | verdict               |
       | a      | accept qadri.a 2          | valid                 |
       | a      | claim qadri.a/0 1 s1      | valid                 |
@@ -75,20 +72,20 @@
       | a      | end qadri.a/0 1 s1 stopped | valid                |
     Then job "qadri.a" is finished with 0 done, 0 failed, 2 cancelled
 
-  Scenario: A finished job is not run again
-    When these records are folded
+  Scenario: A finished job is not accepted again
+    When these records are applied
       | writer | record                  | verdict   |
       | a      | accept qadri.a 1        | valid     |
       | a      | claim qadri.a/0 1 s1    | valid     |
       | a      | end qadri.a/0 1 s1 done | valid     |
       | b      | accept qadri.a 1        | duplicate |
     And 2001 more jobs finish
-    And these records are folded
+    And these records are applied
       | writer | record                  | verdict   |
       | b      | accept qadri.a 1        | duplicate |
 
-  Scenario: A task that fails on four servers is given up with its reason
-    When these records are folded
+  Scenario: A task that fails on four servers is marked as failed
+    When these records are applied
       | writer | record                      | verdict |
       | a      | accept qadri.a 1            | valid   |
       | a      | claim qadri.a/0 1 s1        | valid   |
@@ -101,24 +98,23 @@
       | a      | end qadri.a/0 4 s4 failed x | valid   |
     Then job "qadri.a" is finished with 0 done, 1 failed, 0 cancelled
 
-  Scenario: A snapshot restores the state, and equal states give equal bytes
-    Given a state with jobs in every stage
-    When it is written as a snapshot and restored
-    Then both states go on alike
+  Scenario: A snapshot restores the state, and its encoding is deterministic
+    Given a state with tasks in every stage
+    When the state is written as a snapshot and restored
+    Then both states apply further records identically
     And the snapshot of the restored state has the same bytes
 
-  Scenario: Torn, mixed and corrupt snapshots are passed over
-    # Symptom prevented: a new VM starts from a state that never was. A writer
-    # died between chunks, or two wrote at once. Cause: chunks of one snapshot
-    # are separate entries of the log.
-    Given a state with jobs in every stage
-    When the chunks of two large snapshots come mixed, the newer one torn
-    Then the assembler gives the older one
-    When the missing chunk comes corrupt
-    Then the assembler gives the older one
-    When the missing chunk comes whole
-    Then the assembler gives the newer one
+  Scenario: Incomplete, interleaved and corrupt snapshots are ignored
+    # Guards against restoring an inconsistent state when a writer stops between
+    # chunks or two writers interleave their chunks.
+    Given a state with tasks in every stage
+    When chunks of two large snapshots are interleaved and the newer one is incomplete
+    Then the assembler returns the older snapshot
+    When the missing chunk is added with a corrupt payload
+    Then the assembler returns the older snapshot
+    When all chunks of the newer snapshot are added
+    Then the assembler returns the newer snapshot
 
-  Scenario: A snapshot cannot claim to cover more than it does
-    Given a state with jobs in every stage
-    Then a snapshot that claims one offset more is refused
+  Scenario: A snapshot cannot cover more than the state it contains
+    Given a state with tasks in every stage
+    Then a snapshot that covers one more offset is rejected
--- a/waxwingford/records/tests/fold_steps.py
+++ b/waxwingford/records/tests/fold_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the fold of a failure domain's stream and its snapshots."""
+"""Steps for folding a failure domain's stream and for its snapshots."""
 
 import msgspec
 from behave import given, then, when
@@ -22,7 +22,7 @@
 )
 
 
-def spec(job_id, count, lost_after_ms=0, payload=''):
+def job_spec(job_id, count, lost_after_ms=0, payload=''):
     member = job_id.partition('.')[0]
     return JobSpec(
         job_id,
@@ -37,79 +37,81 @@
     )
 
 
-def end(task_id, attempt, server_id, how, *detail):
+def end_record(task_id, attempt, server_id, how, *detail):
     key = TaskKey(task_id, int(attempt))
     return AttemptEnded(key, server_id, how, ''.join(detail))
 
 
-def lapse(task_id, attempt, server_id, offset):
+def lapse_record(task_id, attempt, server_id, offset):
     key = TaskKey(task_id, int(attempt))
     return AttemptEnded(key, server_id, 'lapsed', suspected_offset=int(offset))
 
 
-def claim(task_id, attempt, server_id, *resume):
+def claim_record(task_id, attempt, server_id, *resume):
     one = Claim(TaskKey(task_id, int(attempt)), ''.join(resume))
     return TasksClaimed('a#1', server_id, 'boot', 1, (one,))
 
 
-def keys(task_id, attempt):
+def attempt_keys(task_id, attempt):
     return (TaskKey(task_id, int(attempt)),)
 
 
-MAKERS = {
-    'accept': lambda job_id, count: JobAccepted(spec(job_id, int(count))),
-    'accept-losable': lambda job_id, count: JobAccepted(
-        spec(job_id, int(count), 1000)
+RECORD_BUILDERS = {
+    'accept': lambda job_id, count: JobAccepted(job_spec(job_id, int(count))),
+    'accept-lost-after': lambda job_id, count: JobAccepted(
+        job_spec(job_id, int(count), 1000)
     ),
-    'claim': claim,
-    'end': end,
-    'lapse': lapse,
-    'suspect': lambda *key: AttemptSuspected(keys(*key), 'b#1'),
-    'alive': lambda *key: AttemptAlive(keys(*key), 'a#1'),
+    'claim': claim_record,
+    'end': end_record,
+    'lapse': lapse_record,
+    'suspect': lambda *key: AttemptSuspected(attempt_keys(*key), 'b#1'),
+    'alive': lambda *key: AttemptAlive(attempt_keys(*key), 'a#1'),
     'cancel': JobCancelled,
 }
 
 
-def record_of(text):
+def parse_record(text):
     kind, *words = text.split()
-    return MAKERS[kind](*words)
+    return RECORD_BUILDERS[kind](*words)
 
 
-def fold(context, writer, *records):
+def apply_records(context, writer, *records):
     state = context.domain_state
     context.group = RecordGroup(writer, state.next_offset, records)
     context.verdicts = state.apply(state.next_offset, context.group)
     return context.verdicts
 
 
-@when('these records are folded')
-def fold_records(context):
+@when('these records are applied')
+def apply_table(context):
     if 'domain_state' not in context:
         context.domain_state = DomainState()
     for row in context.table:
-        verdict = fold(context, row['writer'], record_of(row['record']))[0]
+        verdict = apply_records(
+            context, row['writer'], parse_record(row['record'])
+        )[0]
         found = verdict.reason if isinstance(verdict, Invalid) else 'valid'
         assert found.startswith(row['verdict']), (row['record'], found)
 
 
-@when('the last group is folded again')
-def fold_again(context):
+@when('the last group is applied again')
+def apply_group_again(context):
     state = context.domain_state
     context.verdicts = state.apply(state.next_offset, context.group)
 
 
 @then('its verdicts are "{reason}"')
-def verdicts_are(context, reason):
+def check_verdicts(context, reason):
     assert [verdict.reason for verdict in context.verdicts] == [reason]
 
 
 @then('offset {offset:d} is not applied twice')
-def offset_not_twice(context, offset):
+def check_offset_ignored(context, offset):
     assert context.domain_state.apply(offset, context.group) == []
 
 
 @then('task "{task_id}" is "{stage}" as attempt {attempt:d} at "{server_id}"')
-def task_is(context, task_id, stage, attempt, server_id):
+def check_task(context, task_id, stage, attempt, server_id):
     task = context.domain_state.task(task_id)
     found = (task.stage.name, task.attempt, task.server_id)
     assert found == (stage, attempt, server_id), found
@@ -119,7 +121,7 @@
     'job "{job_id}" is finished with {done:d} done, {failed:d} failed, '
     '{cancelled:d} cancelled'
 )
-def job_finished(context, job_id, done, failed, cancelled):
+def check_finished_job(context, job_id, done, failed, cancelled):
     job = context.domain_state.finished.kept_by_id[job_id]
     assert (job.done, job.failed, job.cancelled) == (done, failed, cancelled)
     assert not context.domain_state.index.attempts_by_server
@@ -127,20 +129,20 @@
 
 
 @when('{count:d} more jobs finish')
-def jobs_finish(context, count):
+def finish_jobs(context, count):
     for number in range(count):
         name = f'qadri.more{number}'
         records = (f'accept {name} 1', f'cancel {name} qadri')
-        fold(context, 'a', *map(record_of, records))
+        apply_records(context, 'a', *map(parse_record, records))
 
 
-@given('a state with jobs in every stage')
-def state_with_jobs(context):
+@given('a state with tasks in every stage')
+def create_state(context):
     context.domain_state = DomainState()
     lines = (
         'accept qadri.a 3',
         'accept svatbena.b 2',
-        'accept-losable qadri.c 2',
+        'accept-lost-after qadri.c 2',
         'claim qadri.a/0 1 s1',
         'claim qadri.c/0 1 s2',
         'suspect qadri.c/0 1',
@@ -152,25 +154,25 @@
         'cancel svatbena.b svatbena',
     )
     for line in lines:
-        fold(context, 'a', record_of(line))
+        apply_records(context, 'a', parse_record(line))
     assert len(TaskStage) == 5
 
 
-def assembled(chunks):
+def assemble(chunks):
     assembler = SnapshotAssembler()
     for chunk in chunks:
         assembler.add(chunk)
     return assembler.newest
 
 
-@when('it is written as a snapshot and restored')
+@when('the state is written as a snapshot and restored')
 def write_and_restore(context):
     state = context.domain_state
-    context.restored = assembled(snapshot_chunks(state, state.next_offset))
+    context.restored = assemble(snapshot_chunks(state, state.next_offset))
 
 
-@then('both states go on alike')
-def go_on_alike(context):
+@then('both states apply further records identically')
+def check_further_records(context):
     lines = (
         'claim qadri.a/0 2 s1 c1',
         'lapse qadri.c/0 1 s2 5',
@@ -180,7 +182,7 @@
     )
     offset = context.domain_state.next_offset
     for line in lines:
-        group = RecordGroup('a', offset, (record_of(line),))
+        group = RecordGroup('a', offset, (parse_record(line),))
         one, other = (
             state.apply(offset, group)
             for state in (context.domain_state, context.restored)
@@ -195,7 +197,7 @@
 
 
 @then('the snapshot of the restored state has the same bytes')
-def same_bytes(context):
+def check_same_bytes(context):
     offset = context.restored.next_offset
     one, other = (
         snapshot_chunks(state, offset)
@@ -204,16 +206,18 @@
     assert one == other
 
 
-@when('the chunks of two large snapshots come mixed, the newer one torn')
-def mixed_chunks(context):
+@when(
+    'chunks of two large snapshots are interleaved and the newer one is incomplete'
+)
+def interleave_chunks(context):
     state = context.domain_state
     filler = ''.join(f'{number * number:x}' for number in range(20_000))
     for number in range(12):
-        big = spec(f'qadri.big{number}', 1, payload=f'{number}{filler}')
-        fold(context, 'a', JobAccepted(big))
+        big = job_spec(f'qadri.big{number}', 1, payload=f'{number}{filler}')
+        apply_records(context, 'a', JobAccepted(big))
     context.offsets = [state.next_offset]
     older = snapshot_chunks(state, state.next_offset)
-    fold(context, 'a', record_of('accept qadri.last 1'))
+    apply_records(context, 'a', parse_record('accept qadri.last 1'))
     context.offsets.append(state.next_offset)
     newer = snapshot_chunks(state, state.next_offset)
     assert len(older) > 1
@@ -227,32 +231,32 @@
     context.assembler.add(b'no chunk')
 
 
-@when('the missing chunk comes corrupt')
-def corrupt_chunk(context):
+@when('the missing chunk is added with a corrupt payload')
+def add_corrupt_chunk(context):
     fields = msgspec.msgpack.decode(context.missing)
     fields[-1] = bytes(byte ^ 1 for byte in fields[-1])
     context.assembler.add(msgspec.msgpack.encode(fields))
 
 
-@when('the missing chunk comes whole')
-def whole_chunk(context):
+@when('all chunks of the newer snapshot are added')
+def add_newer_snapshot(context):
     state = context.domain_state
     for chunk in snapshot_chunks(state, state.next_offset):
         context.assembler.add(chunk)
 
 
-@then('the assembler gives the {which} one')
-def assembler_gives(context, which):
+@then('the assembler returns the {which} snapshot')
+def check_assembled(context, which):
     found = context.assembler.newest.next_offset
     assert found == context.offsets[which == 'newer'], found
 
 
-@then('a snapshot that claims one offset more is refused')
-def refuses_more(context):
+@then('a snapshot that covers one more offset is rejected')
+def check_covers_rejected(context):
     state = context.domain_state
-    refused = False
+    rejected = False
     try:
         snapshot_chunks(state, state.next_offset + 1)
     except ValueError:
-        refused = True
-    assert refused
+        rejected = True
+    assert rejected
