--- a/waxwingford/bundles/__init__.py
+++ b/waxwingford/bundles/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration bundles: model, sign-off, chain, reader, publishing."""
+"""Configuration bundles: model, signatures, chain, reader, publishing."""
 
 from waxwingford.bundles._baseline import Located, fold_window, locate
 from waxwingford.bundles._canonical import (
--- a/waxwingford/bundles/_baseline.py
+++ b/waxwingford/bundles/_baseline.py
@@ -1,4 +1,7 @@
-"""Finds what is in force at the head of the stream without reading it all."""
+"""Finds the bundle in force at the head of the stream.
+
+Reads backwards from the head in growing windows instead of the whole stream.
+"""
 
 import itertools
 from collections.abc import Iterator, Mapping
@@ -19,23 +22,23 @@
 )
 from waxwingford.ports import LogEntry, LogPort, LogRead, LogUnavailable
 
-#: Entries read back at first; daemons say again what is in force more often.
-FIRST_SPAN = 128
+#: Entries in the first window; restatements are normally more frequent.
+INITIAL_WINDOW_ENTRIES = 128
 
-_SPAN_GROWTH = 4
-#: Signed records that never took force are not chased further back: every
-#: start would read all that the log retains for as long as it retains them.
-_MOST_SPAN = 2048
+_WINDOW_GROWTH = 4
+#: Limits the search for the predecessors of signed records that never took
+#: force; without it every start would read all retained entries.
+_MAX_WINDOW_ENTRIES = 2048
 _READ_LIMIT = 256
 
 
 class Window(NamedTuple):
-    """The end of the stream.
+    """Entries at the end of the stream.
 
-    :ivar entries: all entries from ``start`` to the head.
-    :ivar start: first offset that is covered.
-    :ivar next_offset: the head.
-    :ivar oldest_offset: first offset still retained.
+    :ivar entries: all retained entries from ``start`` to the head.
+    :ivar start: first offset that the window covers.
+    :ivar next_offset: offset of the head, one above the last entry.
+    :ivar oldest_offset: first offset that the log still retains.
     """
 
     entries: tuple[LogEntry, ...]
@@ -44,11 +47,11 @@
     oldest_offset: int
 
 
-class Folded(NamedTuple):
-    """A chain at the head.
+class FoldResult(NamedTuple):
+    """Result of folding a window.
 
-    :ivar chain: the chain.
-    :ivar as_of: offset from which it was folded.
+    :ivar chain: chain after the last entry of the window.
+    :ivar as_of: first offset that was folded into the chain.
     """
 
     chain: BundleChain
@@ -56,13 +59,14 @@
 
 
 class Located(NamedTuple):
-    """What the end of the stream shows.
+    """Chain at the head of the stream.
 
-    :ivar chain: with the newest bundle at the head; empty if none is proved.
-    :ivar as_of: offset from which the chain was folded.
-    :ivar next_offset: the head.
+    :ivar chain: chain with the newest bundle that the retained entries prove
+        to be in force; empty if they prove none.
+    :ivar as_of: first offset that was folded into the chain.
+    :ivar next_offset: offset of the head.
     :ivar from_start: whether the stream was read from its first entry, so
-        that an empty chain means that nothing was published.
+        that an empty chain means that no bundle was published.
     """
 
     chain: BundleChain
@@ -71,41 +75,41 @@
     from_start: bool
 
 
-def fold_window(window: Window, key_by_member: Mapping[str, str]) -> Folded:
+def fold_window(window: Window, key_by_member: Mapping[str, str]) -> FoldResult:
     """Find the newest bundle that the window proves to be in force.
 
-    A published record does not prove by itself that it won its race, and an
-    old one can be appended again.  So the fold starts only where a daemon
-    said what was in force at an offset, with all entries since then in the
-    window (or at the start of the stream); of several such places the one
-    that leads to the newest version counts.
+    A published record does not prove by itself that it was the first
+    successor, and an old record can be appended again.  The fold therefore
+    starts only at the start of the stream, or at the offset of a restatement
+    if all entries from that offset on are in the window.  Of several
+    restatements the one that leads to the newest version is used.
 
     :param window: end of the stream.
-    :param key_by_member: pinned public keys.
-    :returns: the chain at the head.
+    :param key_by_member: pinned public keys, base64.
+    :returns: chain at the head, empty if the window proves no bundle.
     """
     if window.start == 0:
         return _fold(BundleChain(key_by_member), window, 0)
     folds = [
         _fold_from(record, window, key_by_member)
-        for record in _statements(window)
+        for record in _restatements(window)
     ]
     return max(
         folds,
         key=lambda folded: (folded.chain.version, -folded.as_of),
-        default=Folded(BundleChain(key_by_member), window.start),
+        default=FoldResult(BundleChain(key_by_member), window.start),
     )
 
 
-def hides_newer(
+def has_newer_signed_version(
     window: Window, key_by_member: Mapping[str, str], version: int
 ) -> bool:
-    """Check for signed versions that the fold did not reach.
+    """Check for fully signed versions newer than the result of the fold.
 
     :param window: end of the stream.
-    :param key_by_member: pinned public keys.
-    :param version: that the fold reached.
-    :returns: whether to read further back.
+    :param key_by_member: pinned public keys, base64.
+    :param version: version that the fold reached.
+    :returns: whether the window holds such a version.
     """
     return any(
         not signature_fault(
@@ -117,11 +121,11 @@
 
 
 def is_signed_off(payload: bytes, key_by_member: Mapping[str, str]) -> bool:
-    """Check the sign-off of a record, whatever its place in the chain.
+    """Check the signatures of a record, regardless of its predecessor.
 
-    :param payload: a record.
-    :param key_by_member: pinned public keys.
-    :returns: whether every member signed it.
+    :param payload: encoded record.
+    :param key_by_member: pinned public keys, base64.
+    :returns: whether the record is valid and signed by every member.
     """
     record = decode_record(payload)
     if isinstance(record, RejectedBundle):
@@ -134,28 +138,32 @@
 async def locate(
     log: LogPort, key_by_member: Mapping[str, str]
 ) -> Located | LogUnavailable:
-    """Read back from the head until what is in force is proved.
+    """Read back from the head until the bundle in force is proved.
 
     :param log: the platform's log.
-    :param key_by_member: pinned public keys.
-    :returns: what is in force at the head.
+    :param key_by_member: pinned public keys, base64.
+    :returns: chain at the head, or the error of a failed read.
     """
     probe = await log.read(CONFIG_STREAM, 0, 1)
-    span = FIRST_SPAN
+    window_entries = INITIAL_WINDOW_ENTRIES
     while isinstance(probe, LogRead):
-        window = await _read_window(log, max(probe.next_offset - span, 0))
+        window = await _read_window(
+            log, max(probe.next_offset - window_entries, 0)
+        )
         if isinstance(window, LogUnavailable):
             return window
         chain, as_of = fold_window(window, key_by_member)
-        whole = window.start <= window.oldest_offset
-        settled = chain.version and (
-            span >= _MOST_SPAN
-            or not hides_newer(window, key_by_member, chain.version)
+        is_complete = window.start <= window.oldest_offset
+        is_settled = chain.version and (
+            window_entries >= _MAX_WINDOW_ENTRIES
+            or not has_newer_signed_version(
+                window, key_by_member, chain.version
+            )
         )
-        if whole or settled:
+        if is_complete or is_settled:
             from_start = window.start == 0
             return Located(chain, as_of, window.next_offset, from_start)
-        span *= _SPAN_GROWTH
+        window_entries *= _WINDOW_GROWTH
     return probe
 
 
@@ -173,7 +181,8 @@
         if isinstance(block, LogUnavailable):
             return block
         entries.extend(block.entries)
-    # Not the log's word for the head: an entry may come between two reads.
+    # ``next_offset`` of the log may already count entries appended after the
+    # last read.
     head = entries[-1].offset + 1 if entries else first.next_offset
     return Window(tuple(entries), start, head, first.oldest_offset)
 
@@ -185,41 +194,43 @@
     )
 
 
-def _statements(window: Window) -> Iterator[BundleRecord]:
+def _restatements(window: Window) -> Iterator[BundleRecord]:
     decoded = (
         (entry.offset, decode_record(entry.payload)) for entry in window.entries
     )
-    sound = (
+    valid = (
         record
         for offset, record in decoded
         if isinstance(record, BundleRecord)
         and record.body is not None
-        and window.start <= _covered(record) <= offset
+        and window.start <= _coverage_start(record) <= offset
     )
-    # One of each digest is enough: the one that covers least.
+    # One restatement per digest is enough: the one with the lowest ``as_of``.
     groups = itertools.groupby(
-        sorted(sound, key=lambda record: (record.digest, _covered(record))),
+        sorted(
+            valid, key=lambda record: (record.digest, _coverage_start(record))
+        ),
         key=lambda record: record.digest,
     )
-    return (next(same) for _, same in groups)
+    return (next(group) for _, group in groups)
 
 
-def _covered(record: BundleRecord) -> int:
+def _coverage_start(record: BundleRecord) -> int:
     return -1 if record.as_of is None else record.as_of
 
 
 def _fold_from(
     record: BundleRecord, window: Window, key_by_member: Mapping[str, str]
-) -> Folded:
+) -> FoldResult:
     chain = BundleChain(key_by_member)
     as_of = record.as_of or 0
     if isinstance(chain.offer(record, FromBaseline(as_of)), InForce):
         return _fold(chain, window, as_of)
-    return Folded(chain, as_of)
+    return FoldResult(chain, as_of)
 
 
-def _fold(chain: BundleChain, window: Window, as_of: int) -> Folded:
+def _fold(chain: BundleChain, window: Window, as_of: int) -> FoldResult:
     for entry in window.entries:
         if entry.offset >= as_of:
             chain.offer_payload(entry.payload, FromLog(entry.offset))
-    return Folded(chain, as_of)
+    return FoldResult(chain, as_of)
--- a/waxwingford/bundles/_canonical.py
+++ b/waxwingford/bundles/_canonical.py
@@ -1,27 +1,27 @@
-"""Canonical bytes, digest and merge patch (RFC 7396) of a bundle's body."""
+"""Canonical JSON, digest and merge patch (RFC 7396) of a bundle's body."""
 
 import hashlib
 from typing import Any
 
 import msgspec
 
-#: A body is four levels deep; more can only be an attempt to exhaust us.
+#: Guards against stack exhaustion; a valid body has four levels.
 _MAX_DEPTH = 16
 
 Body = dict[str, Any]
 
-#: Digits of a digest in texts for people.
-_SHOWN_DIGITS = 12
+#: Hex digits of a digest in messages.
+_SHORT_DIGEST_DIGITS = 12
 
 _encoder = msgspec.json.Encoder(order='sorted')
 
 
-class TooDeep(Exception):
-    """A patch nests deeper than any bundle."""
+class PatchTooDeep(Exception):
+    """A merge patch exceeds the maximum nesting depth."""
 
 
 def canonical_bytes(body: Body) -> bytes:
-    """Write a body in its one canonical form.
+    """Encode a body in its canonical form.
 
     :param body: JSON object.
     :returns: compact JSON with sorted keys.
@@ -30,34 +30,34 @@
 
 
 def digest_of(canonical: bytes) -> str:
-    """Name a body by its digest.
+    """Compute the digest that identifies a body.
 
-    :param canonical: its canonical bytes.
-    :returns: hex SHA-256.
+    :param canonical: canonical bytes of the body.
+    :returns: SHA-256 as 64 hex digits.
     """
     return hashlib.sha256(canonical).hexdigest()
 
 
 def short_digest(digest: str) -> str:
-    """Shorten a digest for people.
+    """Shorten a digest for messages.
 
     :param digest: hex digest.
-    :returns: its first digits.
+    :returns: its first 12 digits.
     """
-    return digest[:_SHOWN_DIGITS]
+    return digest[:_SHORT_DIGEST_DIGITS]
 
 
 def merge_patch(target: Body, patch: Body, depth: int = 0) -> Body:
     """Apply a merge patch; null removes a key.
 
-    :param target: what the patch was made against; it is not changed.
-    :param patch: the patch.
-    :param depth: levels above this one.
-    :returns: the result, which shares unchanged parts with the target.
-    :raises TooDeep: if the patch nests too deep.
+    :param target: body to patch; not modified.
+    :param patch: merge patch.
+    :param depth: nesting level of ``patch``, 0 at the root.
+    :returns: patched body, which shares unchanged parts with the target.
+    :raises PatchTooDeep: if the patch exceeds the maximum nesting depth.
     """
     if depth > _MAX_DEPTH:
-        raise TooDeep
+        raise PatchTooDeep
     changed = {
         key: _merged_value(target.get(key), change, depth + 1)
         for key, change in patch.items()
@@ -75,27 +75,27 @@
 
 
 def make_patch(old: Body, new: Body) -> Body:
-    """Find the patch that turns one body into another.
+    """Compute the merge patch between two bodies.
 
-    :param old: body before.
-    :param new: body after; without nulls.
-    :returns: smallest merge patch.
+    :param old: body before the change.
+    :param new: body after the change; must not contain nulls.
+    :returns: smallest merge patch that turns ``old`` into ``new``.
     """
     patch: Body = dict.fromkeys(key for key in old if key not in new)
     for key, after in new.items():
         if key not in old:
             patch[key] = after
-        elif not _same(old[key], after):
-            patch[key] = _change(old[key], after)
+        elif not _canonically_equal(old[key], after):
+            patch[key] = _value_patch(old[key], after)
     return patch
 
 
-def _change(before: Any, after: Any) -> Any:
+def _value_patch(before: Any, after: Any) -> Any:
     if isinstance(before, dict) and isinstance(after, dict):
         return make_patch(before, after)
     return after
 
 
-def _same(before: Any, after: Any) -> bool:
-    # By canonical form: 1 equals 1.0, but has another digest.
+def _canonically_equal(before: Any, after: Any) -> bool:
+    # In Python 1 == 1.0, but their canonical bytes and digests differ.
     return _encoder.encode(before) == _encoder.encode(after)
--- a/waxwingford/bundles/_chain.py
+++ b/waxwingford/bundles/_chain.py
@@ -1,4 +1,4 @@
-"""Chain of bundles: decides which record is in force. Pure."""
+"""Chain of bundles: decides which record is in force, without I/O."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 from waxwingford.bundles._canonical import (
     Body,
-    TooDeep,
+    PatchTooDeep,
     canonical_bytes,
     digest_of,
     merge_patch,
@@ -34,7 +34,7 @@
 from waxwingford.kernel import Invariant, require
 
 
-class _Link(NamedTuple):
+class _Accepted(NamedTuple):
     in_force: BundleInForce
     body: Body
     record: BundleRecord
@@ -42,51 +42,51 @@
 
 
 class BundleChain:
-    """The bundle in force, and the rule by which another takes its place.
+    """The bundle in force, and the rules by which a successor replaces it.
 
     Compare-and-set by offset order: a record from the log takes force only
-    as the direct successor of what is in force, so of two racers the one
-    with the lower offset wins in every reader.
+    as the direct successor of the bundle in force.  Of two competing
+    successors, every reader therefore takes the one with the lower offset.
     """
 
     def __init__(self, key_by_member: Mapping[str, str]) -> None:
-        """Start without a bundle.
+        """Create a chain without a bundle.
 
         :param key_by_member: pinned public keys, base64.
         """
         self._key_by_member = dict(key_by_member)
-        self._link: _Link | None = None
+        self._accepted: _Accepted | None = None
 
     @property
     def current(self) -> BundleInForce | None:
-        """What governs.
+        """Bundle in force.
 
-        :returns: the bundle in force, or None at the start.
+        :returns: the bundle in force, or None if there is none yet.
         """
-        return self._link.in_force if self._link else None
+        return self._accepted.in_force if self._accepted else None
 
     @property
     def version(self) -> int:
-        """Version in force.
+        """Version of the bundle in force.
 
         :returns: the version, 0 without a bundle.
         """
-        return self._link.in_force.version if self._link else 0
+        return self._accepted.in_force.version if self._accepted else 0
 
     @property
     def body(self) -> Body:
-        """Body in force, as patches apply to it.
+        """Body of the bundle in force, to which the next patch applies.
 
-        :returns: the body, empty without a bundle; not to be changed.
+        :returns: the body, empty without a bundle; must not be modified.
         """
-        return self._link.body if self._link else {}
+        return self._accepted.body if self._accepted else {}
 
     def offer_payload(self, payload: bytes, source: Source) -> Verdict:
-        """Offer what was read.
+        """Decode a record and offer it to the chain.
 
-        :param payload: bytes of a record.
-        :param source: where it was read.
-        :returns: verdict.
+        :param payload: encoded record.
+        :param source: where the record was read.
+        :returns: whether the record took force, or why it was rejected.
         """
         record = decode_record(payload)
         if isinstance(record, RejectedBundle):
@@ -94,15 +94,15 @@
         return self.offer(record, source)
 
     def offer(self, record: BundleRecord, source: Source) -> Verdict:
-        """Offer a record; a bad one changes nothing.
+        """Offer a record; an invalid one leaves the chain unchanged.
 
-        :param record: the record.
-        :param source: where it was read.
-        :returns: verdict.
+        :param record: decoded record.
+        :param source: where the record was read.
+        :returns: whether the record took force, or why it was rejected.
         """
-        if self._repeats(record):
+        if self._is_current(record):
             return AlreadyInForce(self.version)
-        reason = self._order_fault(record, source) or signature_fault(
+        reason = self._sequence_fault(record, source) or signature_fault(
             self._key_by_member, record.digest, record.signature_by_member
         )
         if reason:
@@ -110,14 +110,15 @@
         return self._check_body(record, source)
 
     def whole_record(self, as_of: int | None = None) -> bytes:
-        """Write what is in force as a record that stands by itself.
+        """Encode the bundle in force as a record with its whole body.
 
-        :param as_of: offset that it covers, for the log.
-        :returns: payload, empty without a bundle.
+        :param as_of: for a restatement in the log, the offset up to which
+            all entries have been read; else None.
+        :returns: encoded record, empty without a bundle.
         """
-        if self._link is None:
+        if self._accepted is None:
             return b''
-        _, body, record, _ = self._link
+        _, body, record, _ = self._accepted
         return encode_record(
             BundleRecord(
                 version=record.version,
@@ -129,14 +130,14 @@
             )
         )
 
-    def _repeats(self, record: BundleRecord) -> bool:
+    def _is_current(self, record: BundleRecord) -> bool:
         current = self.current
         return current is not None and record.digest == current.digest
 
-    def _order_fault(self, record: BundleRecord, source: Source) -> str:
-        if self._link is None:
-            return _first_fault(record, source)
-        _, version, digest = self._link.in_force
+    def _sequence_fault(self, record: BundleRecord, source: Source) -> str:
+        if self._accepted is None:
+            return _initial_fault(record, source)
+        _, version, digest = self._accepted.in_force
         if record.version < version:
             return (
                 f'version {record.version} is older than version {version} '
@@ -145,7 +146,7 @@
         if record.version == version:
             return (
                 f'version {version} was won by {short_digest(digest)} '
-                f'({_place(self._link.source)})'
+                f'({_describe_source(self._accepted.source)})'
             )
         if record.body is not None and not isinstance(source, FromLog):
             return ''
@@ -159,10 +160,10 @@
         return ''
 
     def _check_body(self, record: BundleRecord, source: Source) -> Verdict:
-        body = self._result(record)
+        body = self._resulting_body(record)
         if body is None:
             return RejectedBundle(
-                'patch nests too deep', record.version, record.digest
+                'patch is nested too deep', record.version, record.digest
             )
         canonical = canonical_bytes(body)
         reason = _content_fault(record, canonical)
@@ -172,31 +173,31 @@
             bundle = Bundle.model_validate_json(canonical)
         except ValidationError as error:
             return RejectedBundle(
-                _first_errors(error), record.version, record.digest
+                _summarize_errors(error), record.version, record.digest
             )
-        reason = self._head_fault(record, bundle)
+        reason = self._header_fault(record, bundle)
         if reason:
             return RejectedBundle(reason, record.version, record.digest)
-        return self._take(bundle, body, record, source)
+        return self._accept(bundle, body, record, source)
 
-    def _result(self, record: BundleRecord) -> Body | None:
+    def _resulting_body(self, record: BundleRecord) -> Body | None:
         if record.patch is None:
             return record.body
         try:
             return merge_patch(self.body, record.patch)
-        except TooDeep:
+        except PatchTooDeep:
             return None
 
-    def _head_fault(self, record: BundleRecord, bundle: Bundle) -> str:
-        told = (record.version, record.predecessor)
-        if (bundle.version, bundle.predecessor) != told:
+    def _header_fault(self, record: BundleRecord, bundle: Bundle) -> str:
+        claimed = (record.version, record.predecessor)
+        if (bundle.version, bundle.predecessor) != claimed:
             return 'body and record differ in version or predecessor'
         unpinned = sorted(bundle.members.keys() - self._key_by_member.keys())
         if unpinned:
             return f'members {unpinned} have no pinned key'
         return ''
 
-    def _take(
+    def _accept(
         self,
         bundle: Bundle,
         body: Body,
@@ -209,13 +210,13 @@
             f'version {bundle.version} after version {self.version}',
         )
         in_force = BundleInForce(bundle, bundle.version, record.digest)
-        self._link = _Link(in_force, body, record, source)
+        self._accepted = _Accepted(in_force, body, record, source)
         return InForce(in_force)
 
 
-def _first_fault(record: BundleRecord, source: Source) -> str:
+def _initial_fault(record: BundleRecord, source: Source) -> str:
     if record.body is None:
-        return 'a patch without the bundle that it changes'
+        return 'got a patch without a bundle to apply it to'
     if isinstance(source, FromLog) and record.version != 1:
         return f'expected version 1 first, got {record.version}'
     return ''
@@ -229,18 +230,18 @@
         )
     digest = digest_of(canonical)
     if digest != record.digest:
-        return f'digest is {short_digest(digest)}, the record says {short_digest(record.digest)}'
+        return f'body has digest {short_digest(digest)}, record claims {short_digest(record.digest)}'
     return ''
 
 
-def _first_errors(error: ValidationError) -> str:
+def _summarize_errors(error: ValidationError) -> str:
     return '; '.join(
         f'{".".join(map(str, fault["loc"]))}: {fault["msg"]}'.lstrip(': ')
         for fault in error.errors(include_url=False)[:3]
     )
 
 
-def _place(source: Source) -> str:
+def _describe_source(source: Source) -> str:
     match source:
         case FromLog(offset):
             return f'offset {offset}'
--- a/waxwingford/bundles/_model.py
+++ b/waxwingford/bundles/_model.py
@@ -1,4 +1,4 @@
-"""Body of a configuration bundle, and the limits that it must respect."""
+"""Schema of a configuration bundle and checks across its fields."""
 
 from collections.abc import Iterator
 from typing import Annotated
@@ -7,18 +7,18 @@
 
 from waxwingford.settings import Millis, Name
 
-#: Canonical body and record are refused above this size, in bytes.
+#: Maximum size of a canonical body, in bytes.
 MAX_BUNDLE_BYTES = 524_288
 
 _DIGEST_PATTERN = '^([0-9a-f]{64})?$'
-#: Largest integer that every JSON library reads right.
+#: Largest integer that JSON parsers with 64-bit floats read exactly.
 _MAX_VERSION = 9_007_199_254_740_991
 _MAX_AMOUNT = 1_000_000_000_000
 _MAX_CONCURRENCY = 1_000_000
-#: Two names and the slash.
-_MAX_TEAM_NAME = 129
-#: Sums of shares may miss 1 by rounding.
-_SHARE_SLACK = 1e-9
+#: Two names of at most 64 characters and the slash.
+_MAX_TEAM_NAME_LENGTH = 129
+#: Rounding tolerance for sums of shares.
+_SHARE_TOLERANCE = 1e-9
 
 Share = Annotated[float, Field(ge=0, le=1)]
 Amount = Annotated[int, Field(ge=0, le=_MAX_AMOUNT)]
@@ -26,19 +26,20 @@
 TeamName = Annotated[
     str,
     Field(
-        pattern='^[a-z][a-z0-9_-]*/[a-z][a-z0-9_-]*$', max_length=_MAX_TEAM_NAME
+        pattern='^[a-z][a-z0-9_-]*/[a-z][a-z0-9_-]*$',
+        max_length=_MAX_TEAM_NAME_LENGTH,
     ),
 ]
 
 
-class _Strict(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(
         extra='forbid', frozen=True, strict=True, allow_inf_nan=False
     )
 
 
-class MemberTerms(_Strict):
-    """What a member is entitled to.
+class MemberTerms(_StrictModel):
+    """Entitlement of a member.
 
     :ivar share: share of the backend servers' capacity, 0 to 1.
     """
@@ -46,23 +47,23 @@
     share: Share
 
 
-class FailureDomain(_Strict):
+class FailureDomain(_StrictModel):
     """A failure domain.
 
-    :ivar region: its region.
-    :ivar daemons: ids of its daemons.
+    :ivar region: name of the region that contains it.
+    :ivar daemons: ids of the daemons in it.
     """
 
     region: Name
     daemons: tuple[Name, ...]
 
 
-class ServerSize(_Strict):
+class ServerSize(_StrictModel):
     """A vector of resources.
 
     :ivar processors_milli: thousandths of a core.
     :ivar memory_mb: mebibytes.
-    :ivar accelerators: whole devices.
+    :ivar accelerators: number of devices.
     """
 
     processors_milli: Amount
@@ -70,17 +71,19 @@
     accelerators: Amount = 0
 
 
-class Service(_Strict):
+class Service(_StrictModel):
     """A latency-critical service.
 
-    :ivar member: organisation that answers for it.
-    :ivar failure_domains: where it runs; empty for everywhere.
-    :ivar target_p99_ms: target of its 99th percentile, in milliseconds.
+    :ivar member: organisation that owns the service.
+    :ivar failure_domains: names of the failure domains where it runs; empty
+        for all.
+    :ivar target_p99_ms: target of the 99th percentile of latency, in
+        milliseconds.
     :ivar tail_weight: weight of tail latency in placement, 0 to 1.
     :ivar eviction_weight: weight of evictions in placement, 0 to 1.
-    :ivar reserved: kept for it on each backend server.
-    :ivar concurrency_by_member: requests of a member at once, by member.
-    :ivar retry_budget_share: retries as a share of requests, 0 to 1.
+    :ivar reserved: resources reserved for it on each backend server.
+    :ivar concurrency_by_member: maximum concurrent requests, by member.
+    :ivar retry_budget_share: maximum retries as a share of requests, 0 to 1.
     """
 
     member: Name
@@ -96,31 +99,33 @@
 
 
 class TeamQuota(ServerSize):
-    """Quota of a team, named ``<member>/<team>``.
+    """Resource quota of a team, named ``<member>/<team>``.
 
-    :ivar may_borrow: whether it may use what others leave idle.
+    :ivar may_borrow: whether it may use idle quota of other teams.
     """
 
     may_borrow: bool = True
 
 
-class BatchKind(_Strict):
+class BatchKind(_StrictModel):
     """A kind of batch work.
 
-    :ivar member: organisation whose jobs may be of this kind.
+    :ivar member: organisation that may submit jobs of this kind.
     """
 
     member: Name
 
 
-class Batch(_Strict):
-    """Figures of batch scheduling.
+class Batch(_StrictModel):
+    """Parameters of batch scheduling.
 
-    :ivar probation_ms: time that a quarantined server stays out.
-    :ivar quarantine_share: share of servers in quarantine at most, 0 to 1.
-    :ivar cooldown_ms: least time between two evictions of one task.
-    :ivar failures_before_quarantine: failures in a row on one server.
-    :ivar attempts: attempts of a task that fails everywhere.
+    :ivar probation_ms: duration of a quarantine, in milliseconds.
+    :ivar quarantine_share: maximum share of servers in quarantine, 0 to 1.
+    :ivar cooldown_ms: minimum time between two evictions of one task, in
+        milliseconds.
+    :ivar failures_before_quarantine: consecutive failures after which a
+        server is quarantined.
+    :ivar attempts: maximum attempts of a task that fails on every server.
     :ivar kinds: kinds of batch work by name.
     """
 
@@ -132,14 +137,14 @@
     kinds: dict[Name, BatchKind] = {}
 
 
-class Switches(_Strict):
-    """Mechanisms that can be turned off to measure what they are worth.
+class Switches(_StrictModel):
+    """Feature switches for mechanisms that can be disabled individually.
 
-    :ivar colocation_throttle: throttle before evicting.
-    :ivar colocation_evict: evict when throttling does not help.
-    :ivar outlier_ejection: leave slow backend servers out for a while.
-    :ivar request_spill: forward to peers when there is no room.
-    :ivar quarantine: leave out servers that fail everything.
+    :ivar colocation_throttle: throttle batch tasks before evicting them.
+    :ivar colocation_evict: evict batch tasks if throttling does not suffice.
+    :ivar outlier_ejection: temporarily stop routing to slow backend servers.
+    :ivar request_spill: forward requests to peers when there is no local capacity.
+    :ivar quarantine: stop placing tasks on servers where every task fails.
     """
 
     colocation_throttle: bool = True
@@ -149,22 +154,22 @@
     quarantine: bool = True
 
 
-class Bundle(_Strict):
-    """Everything that operators decide together.
+class Bundle(_StrictModel):
+    """Configuration that all members sign together.
 
-    :ivar version: counts up by one.
-    :ivar predecessor: hex SHA-256 of the canonical body of the version
-        before; empty for version 1.
-    :ivar members: terms by member.
-    :ivar failure_domains: by name.
-    :ivar largest_server: largest backend server that exists; nothing may
-        reserve more.
-    :ivar services: by name.
+    :ivar version: version number, one above that of the predecessor.
+    :ivar predecessor: hex SHA-256 of the predecessor's canonical body; empty
+        for version 1.
+    :ivar members: entitlements by member.
+    :ivar failure_domains: failure domains by name.
+    :ivar largest_server: capacity of the largest backend server; upper bound
+        of each service's reservation.
+    :ivar services: services by name.
     :ivar teams: quotas by ``<member>/<team>``.
     :ivar policy: name of the colocation policy.
     :ivar routing: name of the routing policy.
-    :ivar batch: figures of batch scheduling.
-    :ivar switches: mechanisms turned on.
+    :ivar batch: parameters of batch scheduling.
+    :ivar switches: feature switches.
     """
 
     version: Annotated[int, Field(ge=1, le=_MAX_VERSION)]
@@ -181,10 +186,10 @@
 
     @model_validator(mode='after')
     def check_limits(self) -> 'Bundle':
-        """Check what one key alone can't show.
+        """Check constraints between fields.
 
         :returns: the bundle itself.
-        :raises ValueError: naming every limit that is impossible.
+        :raises ValueError: listing every violated constraint.
         """
         faults = list(limit_faults(self))
         if faults:
@@ -193,18 +198,18 @@
 
 
 def limit_faults(bundle: Bundle) -> Iterator[str]:
-    """Find impossible limits.
+    """Find violated constraints between fields.
 
-    :param bundle: with each key right by itself.
-    :returns: one text for each fault, naming key and expected value.
+    :param bundle: bundle whose fields are valid individually.
+    :returns: one message per fault, with the key and the expected value.
     """
-    yield from _link_faults(bundle)
+    yield from _predecessor_faults(bundle)
     yield from _member_faults(bundle)
     yield from _domain_faults(bundle)
-    yield from _reserve_faults(bundle)
+    yield from _reservation_faults(bundle)
 
 
-def _link_faults(bundle: Bundle) -> Iterator[str]:
+def _predecessor_faults(bundle: Bundle) -> Iterator[str]:
     if (bundle.version == 1) == bool(bundle.predecessor):
         yield (
             'predecessor: expected a digest from version 2 on, '
@@ -214,9 +219,9 @@
 
 def _member_faults(bundle: Bundle) -> Iterator[str]:
     total = sum(terms.share for terms in bundle.members.values())
-    if total > 1 + _SHARE_SLACK:
+    if total > 1 + _SHARE_TOLERANCE:
         yield f'members: shares add up to {total:.3f}, expected at most 1'
-    owners = [
+    references = [
         *(
             (f'services.{name}.member', service.member)
             for name, service in bundle.services.items()
@@ -235,7 +240,7 @@
     known = ', '.join(sorted(bundle.members))
     yield from (
         f'{key}: unknown member {member!r}, expected one of {known}'
-        for key, member in owners
+        for key, member in references
         if member not in bundle.members
     )
 
@@ -251,13 +256,16 @@
     )
     seen: set[str] = set()
     for name, domain in bundle.failure_domains.items():
-        twice = sorted(seen.intersection(domain.daemons))
-        if twice:
-            yield f'failure_domains.{name}.daemons: {twice} are elsewhere too'
+        duplicates = sorted(seen.intersection(domain.daemons))
+        if duplicates:
+            yield (
+                f'failure_domains.{name}.daemons: {duplicates} are also in '
+                'another failure domain'
+            )
         seen.update(domain.daemons)
 
 
-def _reserve_faults(bundle: Bundle) -> Iterator[str]:
+def _reservation_faults(bundle: Bundle) -> Iterator[str]:
     largest = bundle.largest_server.model_dump()
     yield from (
         f'services.{name}.reserved.{dimension}: {amount}, '
--- a/waxwingford/bundles/_peers.py
+++ b/waxwingford/bundles/_peers.py
@@ -1,4 +1,4 @@
-"""What peers are asked for while the log is away."""
+"""Fetching bundles from peers while the log is unavailable."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -7,10 +7,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerBundle:
-    """A peer answered.
+    """Answer of a peer.
 
-    :ivar payloads: whole record of what it has in force; empty if that is
-        not newer than what was asked for, or if it has none.
+    :ivar payloads: record of the bundle that the peer has in force, with its
+        whole body; empty if the peer has none or none newer than requested.
     """
 
     payloads: tuple[bytes, ...]
@@ -18,9 +18,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerSilent:
-    """A peer gave no answer.
+    """A peer did not answer.
 
-    :ivar reason: for people.
+    :ivar reason: error message.
     """
 
     reason: str
@@ -30,13 +30,13 @@
 
 
 class PeerBundles(Protocol):
-    """Way to ask all configured peers."""
+    """Client for all configured peers."""
 
     async def fetch(self, after_version: int) -> dict[str, PeerBundleAnswer]:
-        """Ask every peer at once.
+        """Query all peers concurrently.
 
-        :param after_version: version known here, 0 for none.
-        :returns: one answer by daemon id, silent ones included.
+        :param after_version: version in force here, 0 for none.
+        :returns: answer or error of every peer, by daemon id.
         """
         ...
 
@@ -44,10 +44,10 @@
 def offered_payloads(
     answers: Mapping[str, PeerBundleAnswer],
 ) -> dict[str, bytes]:
-    """Pick the bundles out of the answers.
+    """Extract the bundle records from the answers of peers.
 
-    :param answers: by daemon id.
-    :returns: payload of a whole record by daemon id, in order of ids.
+    :param answers: answers by daemon id.
+    :returns: records with their whole bodies by daemon id, sorted by id.
     """
     return {
         daemon_id: answer.payloads[-1]
@@ -56,26 +56,28 @@
     }
 
 
-def missing_for_start(
+def bootstrap_fault(
     answers: Mapping[str, PeerBundleAnswer], domain_daemons: frozenset[str]
 ) -> str:
-    """Say why an empty VM may not take what peers have.
+    """Check whether a daemon without a bundle may take one from its peers.
 
-    A peer that did not answer might be the only one that has a newer bundle;
-    to start with an older one would revert it here.
+    Requires an answer from every daemon of the failure domain: one that did
+    not answer may hold a newer bundle, and starting with an older one would
+    revert it.
 
-    :param answers: by daemon id.
-    :param domain_daemons: other configured daemons of the failure domain.
-    :returns: what is missing, empty if nothing is.
+    :param answers: answers by daemon id.
+    :param domain_daemons: ids of the other configured daemons of the failure
+        domain.
+    :returns: why it may not, empty if it may.
     """
     answered = {
         daemon_id
         for daemon_id, answer in answers.items()
         if isinstance(answer, PeerBundle)
     }
-    silent = sorted(domain_daemons - answered)
-    if silent:
-        return f'no answer from {", ".join(silent)}'
+    unanswered = sorted(domain_daemons - answered)
+    if unanswered:
+        return f'no answer from {", ".join(unanswered)}'
     if not domain_daemons:
         return 'no other daemon in the failure domain to ask'
     return '' if offered_payloads(answers) else 'no peer has a bundle'
--- a/waxwingford/bundles/_publish.py
+++ b/waxwingford/bundles/_publish.py
@@ -1,4 +1,4 @@
-"""Publishing a signed bundle: append, then read what became of it."""
+"""Publishes a signed bundle and reads back whether it took force."""
 
 import copy
 import dataclasses
@@ -37,20 +37,20 @@
 )
 
 _READ_LIMIT = 256
-_ALL_LOST = (
+_PROOF_LOST = (
     'the log retains no proof of what governs; state the newest bundle again '
     '(bundle publish --restate)'
 )
-_NOT_LOST = 'the log proves what governs; publish a successor of it'
+_PROOF_RETAINED = 'the log proves what governs; publish a successor of it'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Published:
     """The bundle is in force at the head of the stream.
 
-    :ivar version: its version.
-    :ivar digest: its digest.
-    :ivar offset: where it stands; -1 if it stood there before.
+    :ivar version: version of the bundle.
+    :ivar digest: hex digest of the bundle.
+    :ivar offset: offset of its record; -1 if it was in force already.
     """
 
     version: int
@@ -60,9 +60,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishRefused:
-    """The bundle is not in force and will not be; nothing changed.
+    """The bundle was rejected and will not take force.
 
-    :ivar reason: why; after a lost race it names the winner.
+    :ivar reason: error message; names the winner if another operator's
+        successor was appended first.
     """
 
     reason: str
@@ -70,9 +71,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishUnavailable:
-    """The log was away before anything was appended; try again later.
+    """The log was unavailable; nothing was appended, so retry later.
 
-    :ivar reason: for people.
+    :ivar reason: error message of the log.
     """
 
     reason: str
@@ -80,9 +81,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishUnknown:
-    """The append may or may not show up; publishing again is harmless.
+    """The append may have taken effect; publishing again is safe.
 
-    :ivar reason: for people.
+    :ivar reason: error message.
     """
 
     reason: str
@@ -99,18 +100,19 @@
     current_body: Body,
     as_of: int | None = None,
 ) -> BundleRecord:
-    """Build the record of a change: a patch where that is smaller.
-
-    :param bundle: what to publish.
-    :param signature_by_member: over its digest.
-    :param current_body: body that it succeeds, empty for none.
-    :param as_of: offset that a restatement covers; None for a change.
-    :returns: the record.
+    """Build a record, with a merge patch if that is smaller than the body.
+
+    :param bundle: bundle to publish.
+    :param signature_by_member: signatures over the bundle's digest.
+    :param current_body: body of the predecessor, empty for none.
+    :param as_of: for a restatement, the offset up to which all entries have
+        been read; else None.
+    :returns: record to append.
     """
     body = body_of(bundle)
     canonical = canonical_bytes(body)
     patch = make_patch(current_body, body)
-    is_small = bool(current_body) and (
+    use_patch = bool(current_body) and (
         len(canonical_bytes(patch)) < len(canonical)
     )
     return BundleRecord(
@@ -118,8 +120,8 @@
         predecessor=bundle.predecessor,
         digest=digest_of(canonical),
         signature_by_member=dict(signature_by_member),
-        body=None if is_small else body,
-        patch=patch if is_small else None,
+        body=None if use_patch else body,
+        patch=patch if use_patch else None,
         as_of=as_of,
     )
 
@@ -131,15 +133,16 @@
     signature_by_member: Mapping[str, bytes],
     restate: bool = False,
 ) -> PublishOutcome:
-    """Publish a bundle; a bad one is refused before it reaches the log.
+    """Publish a bundle; an invalid one is rejected before the append.
 
     :param log: the platform's log.
-    :param key_by_member: pinned public keys.
-    :param bundle: what to publish.
+    :param key_by_member: pinned public keys, base64.
+    :param bundle: bundle to publish.
     :param signature_by_member: signature of every member.
-    :param restate: state it to be in force where the log has lost all proof
-        of what is; daemons that have a newer one keep that.
-    :returns: tagged outcome; safe to call again after any of them.
+    :param restate: publish a restatement instead of a successor; allowed only
+        if the retained entries prove no bundle.  Daemons that have a newer
+        bundle in force keep it.
+    :returns: tagged outcome; calling again is safe after each of them.
     """
     located = await locate(log, key_by_member)
     if isinstance(located, LogUnavailable):
@@ -151,14 +154,14 @@
         return Published(record.version, record.digest, -1)
     proved = located.chain.current is not None or located.from_start
     if proved == restate:
-        return PublishRefused(_NOT_LOST if restate else _ALL_LOST)
+        return PublishRefused(_PROOF_RETAINED if restate else _PROOF_LOST)
     fault = _dry_run(located, record)
     if fault:
         return PublishRefused(fault)
     appended = await log.append(CONFIG_STREAM, encode_record(record))
     if isinstance(appended, AppendRefused):
         return PublishUnavailable(appended.reason)
-    return await _resolve(log, located, record, appended)
+    return await _resolve_append(log, located, record, appended)
 
 
 def _is_current(current: BundleInForce | None, record: BundleRecord) -> bool:
@@ -166,28 +169,28 @@
 
 
 def _dry_run(located: Located, record: BundleRecord) -> str:
-    # A copy: the chain itself goes on to judge what is read after the append.
+    # The original chain is still needed for the entries read after the append.
     trial = copy.copy(located.chain)
     source = _source(record, located.next_offset)
     verdict = trial.offer_payload(encode_record(record), source)
     return verdict.reason if isinstance(verdict, RejectedBundle) else ''
 
 
-async def _resolve(
+async def _resolve_append(
     log: LogPort,
     located: Located,
     record: BundleRecord,
     appended: AppendOutcome,
 ) -> PublishOutcome:
-    """Read forward until the record, or its winner, is seen.
+    """Read forward until the record or a competing successor takes force.
 
-    An acknowledgement can be lost after the append took effect: the stream,
-    not the answer, says what happened.
+    The stream decides rather than the outcome of the append, because an
+    acknowledgement can be lost after the append took effect.
 
     :param log: the platform's log.
-    :param located: the chain before the append.
-    :param record: what was appended.
-    :param appended: the log's answer.
+    :param located: chain before the append.
+    :param record: record that was appended.
+    :param appended: outcome of the append.
     :returns: tagged outcome.
     """
     position = located.next_offset
@@ -201,9 +204,9 @@
                 entry.payload, _source(record, entry.offset)
             )
             if isinstance(verdict, InForce):
-                return _ruling(verdict.in_force, record, entry.offset)
+                return _race_outcome(verdict.in_force, record, entry.offset)
         if position >= block.next_offset:
-            return _unseen(appended)
+            return _unseen_outcome(appended)
 
 
 def _source(record: BundleRecord, offset: int) -> Source:
@@ -212,20 +215,22 @@
     return FromBaseline(record.as_of)
 
 
-def _ruling(
+def _race_outcome(
     winner: BundleInForce, record: BundleRecord, offset: int
 ) -> PublishOutcome:
     if winner.digest == record.digest:
         return Published(record.version, record.digest, offset)
     return PublishRefused(
         f'version {winner.version} was won by {short_digest(winner.digest)} at '
-        f'offset {offset}; sign again on top of it'
+        f'offset {offset}; rebase the change on it and sign again'
     )
 
 
-def _unseen(appended: AppendOutcome) -> PublishOutcome:
+def _unseen_outcome(appended: AppendOutcome) -> PublishOutcome:
     match appended:
         case Appended(offset):
-            return PublishUnknown(f'offset {offset} can not be read yet')
+            return PublishUnknown(
+                f'entry at offset {offset} is not readable yet'
+            )
         case AppendRefused(reason) | AppendUnknown(reason):
             return PublishUnknown(reason)
--- a/waxwingford/bundles/_record.py
+++ b/waxwingford/bundles/_record.py
@@ -1,4 +1,4 @@
-"""Entries of stream ``config``: a signed bundle or a signed change."""
+"""Records in stream ``config``: a signed bundle, as whole body or patch."""
 
 import dataclasses
 from typing import Any
@@ -10,7 +10,7 @@
 #: Stream that carries bundles.
 CONFIG_STREAM = 'config'
 
-#: A payload also holds signatures and names besides a body.
+#: Allowance for signatures and names besides the body, in bytes.
 _OVERHEAD_BYTES = 10_000
 _MAX_PAYLOAD_BYTES = MAX_BUNDLE_BYTES + _OVERHEAD_BYTES
 
@@ -18,18 +18,19 @@
 class BundleRecord(
     msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True
 ):
-    """One entry of the stream.
+    """Payload of one entry of the stream.
 
-    :ivar version: of the bundle.
-    :ivar predecessor: hex digest of the version before, empty for the first.
+    :ivar version: version of the bundle.
+    :ivar predecessor: hex digest of the predecessor, empty for version 1.
     :ivar digest: hex digest of the whole body.
-    :ivar signature_by_member: over the digest, by member.
-    :ivar body: the whole body, or
-    :ivar patch: merge patch against the predecessor's body.
-    :ivar as_of: set when a daemon says again what is in force: every entry
-        below this offset is covered.  A reader may start there only if all
-        entries from this offset on are still retained, else a newer version
-        could hide among those that are gone.
+    :ivar signature_by_member: signatures over the digest, by member.
+    :ivar body: whole body; None if ``patch`` is set.
+    :ivar patch: merge patch against the predecessor's body; None if ``body``
+        is set.
+    :ivar as_of: set in a restatement of the bundle in force: the restatement
+        covers every entry below this offset.  A reader may start from it only
+        if all entries from this offset on are still retained; otherwise a
+        newer version could be among the dropped ones.
     """
 
     version: int
@@ -43,11 +44,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RejectedBundle:
-    """A record that changes nothing.
+    """A record was rejected; the bundle in force is unchanged.
 
-    :ivar reason: why, for operators.
-    :ivar version: that it claims, 0 if unreadable.
-    :ivar digest: that it claims, empty if unreadable.
+    :ivar reason: error message for operators.
+    :ivar version: version that the record claims, 0 if it can't be decoded.
+    :ivar digest: digest that the record claims, empty if it can't be decoded.
     """
 
     reason: str
@@ -62,17 +63,17 @@
 def encode_record(record: BundleRecord) -> bytes:
     """Serialize a record.
 
-    :param record: what to write.
-    :returns: payload of one log entry.
+    :param record: record to serialize.
+    :returns: JSON, the payload of one log entry.
     """
     return _encoder.encode(record)
 
 
 def decode_record(payload: bytes) -> BundleRecord | RejectedBundle:
-    """Read a record back; anyone may have written it.
+    """Deserialize an untrusted record.
 
-    :param payload: payload of a log entry, or from a peer.
-    :returns: the record, or why it is none.
+    :param payload: payload of a log entry or of a peer's answer.
+    :returns: the record, or why it is invalid.
     """
     if len(payload) > _MAX_PAYLOAD_BYTES:
         return RejectedBundle(
--- a/waxwingford/bundles/_requests.py
+++ b/waxwingford/bundles/_requests.py
@@ -1,4 +1,4 @@
-"""Signatures of operators' HTTP requests."""
+"""Signs and verifies operators' HTTP requests."""
 
 import base64
 import binascii
@@ -11,27 +11,27 @@
 from cryptography.exceptions import InvalidSignature
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from waxwingford.bundles._signing import public_key
+from waxwingford.bundles._signing import decode_public_key
 
 MEMBER_HEADER = 'X-Waxwingford-Member'
 TIME_HEADER = 'X-Waxwingford-Time-Ms'
 NONCE_HEADER = 'X-Waxwingford-Nonce'
 SIGNATURE_HEADER = 'X-Waxwingford-Signature'
 
-#: A request is refused when its time is further off than this, milliseconds.
+#: Maximum difference between a request's time and the local time, in ms.
 FRESH_MS = 60_000
 
-_DOMAIN = b'waxwingford request v1\x00'
+_DOMAIN_SEPARATOR = b'waxwingford request v1\x00'
 _NONCE_BYTES = 16
-_MAX_HEADER = 128
-_NONCES_KEPT = 65_536
+_MAX_HEADER_LENGTH = 128
+_NONCE_CAPACITY = 65_536
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verified:
-    """The request is by this member.
+    """The request carries a valid signature.
 
-    :ivar member: who signed.
+    :ivar member: member that signed it.
     """
 
     member: str
@@ -39,47 +39,47 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unverified:
-    """Nobody can be held to the request.
+    """The request could not be verified.
 
-    :ivar reason: why.
+    :ivar reason: error message.
     """
 
     reason: str
 
 
 class NonceCache:
-    """Nonces of fresh requests, so that none is taken twice.
+    """Nonces of recent requests, for replay protection.
 
-    A full cache refuses: to forget a nonce that is still fresh would let a
-    captured request be replayed.
+    A full cache rejects new requests: evicting a nonce that has not expired
+    would allow a replay of its request.
     """
 
-    def __init__(self, capacity: int = _NONCES_KEPT) -> None:
-        """Start empty.
+    def __init__(self, capacity: int = _NONCE_CAPACITY) -> None:
+        """Create an empty cache.
 
-        :param capacity: nonces kept at most.
+        :param capacity: maximum number of nonces.
         """
         self._capacity = capacity
-        self._until_by_nonce: collections.OrderedDict[str, int] = (
+        self._expiry_ms_by_nonce: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
 
     def fault(self, nonce: str, now_wall_ms: int) -> str:
-        """Take a nonce.
+        """Add a nonce if it was not used before.
 
-        :param nonce: of a request whose signature is right.
-        :param now_wall_ms: present time, in milliseconds.
-        :returns: why it can't be taken, empty if it was.
+        :param nonce: nonce of a request with a valid signature.
+        :param now_wall_ms: current time, in milliseconds since the epoch.
+        :returns: why the nonce was rejected, empty if it was added.
         """
-        kept = self._until_by_nonce
-        while kept and next(iter(kept.values())) < now_wall_ms:
-            kept.popitem(last=False)
-        if nonce in kept:
+        expiries = self._expiry_ms_by_nonce
+        while expiries and next(iter(expiries.values())) < now_wall_ms:
+            expiries.popitem(last=False)
+        if nonce in expiries:
             return 'replayed: this nonce was used before'
-        if len(kept) >= self._capacity:
+        if len(expiries) >= self._capacity:
             return 'too many signed requests at once, try again in a minute'
-        # Fresh from FRESH_MS before its time to FRESH_MS after it.
-        kept[nonce] = now_wall_ms + 2 * FRESH_MS
+        # A request is valid from FRESH_MS before its time to FRESH_MS after.
+        expiries[nonce] = now_wall_ms + 2 * FRESH_MS
         return ''
 
 
@@ -93,16 +93,16 @@
 ) -> dict[str, str]:
     """Sign a request.
 
-    :param key: the member's private key.
-    :param member: who signs.
+    :param key: private key of the member.
+    :param member: name of the member.
     :param method: HTTP method.
     :param path: path with query.
-    :param body: whole body.
-    :param wall_ms: present time, milliseconds since the epoch.
-    :returns: headers to add.
+    :param body: request body.
+    :param wall_ms: current time, in milliseconds since the epoch.
+    :returns: headers to add to the request.
     """
     nonce = secrets.token_hex(_NONCE_BYTES)
-    message = _message(member, method, path, body, str(wall_ms), nonce)
+    message = _signed_message(member, method, path, body, str(wall_ms), nonce)
     return {
         MEMBER_HEADER: member,
         TIME_HEADER: str(wall_ms),
@@ -120,19 +120,20 @@
     now_wall_ms: int,
     nonces: NonceCache,
 ) -> Verified | Unverified:
-    """Check who sent a request.
+    """Verify time, signature and nonce of a request.
 
     :param public_key_by_member: pinned keys, base64 (``settings.trust``).
-    :param headers: of the request, in any case.
+    :param headers: request headers; names are case-insensitive.
     :param method: HTTP method.
     :param path: path with query.
-    :param body: whole body.
-    :param now_wall_ms: present time, milliseconds since the epoch.
-    :param nonces: of requests taken before.
-    :returns: the member, or why there is none.
+    :param body: request body.
+    :param now_wall_ms: current time, in milliseconds since the epoch.
+    :param nonces: nonces of requests that were accepted before.
+    :returns: the member that signed, or why verification failed.
     """
     header_by_name = {
-        name.lower(): text[:_MAX_HEADER] for name, text in headers.items()
+        name.lower(): text[:_MAX_HEADER_LENGTH]
+        for name, text in headers.items()
     }
     member, wall_ms, nonce, signature = (
         header_by_name.get(name.lower(), '')
@@ -147,24 +148,24 @@
             f'time is {int(wall_ms) - now_wall_ms} ms off, '
             f'expected at most {FRESH_MS} ms'
         )
-    message = _message(member, method, path, body, wall_ms, nonce)
-    if not _signed(public_key_by_member[member], message, signature):
+    message = _signed_message(member, method, path, body, wall_ms, nonce)
+    if not _is_signed_by(public_key_by_member[member], message, signature):
         return Unverified(f'signature is not by the key of {member!r}')
     fault = nonces.fault(nonce, now_wall_ms)
     return Unverified(fault) if fault else Verified(member)
 
 
-def _message(
+def _signed_message(
     member: str, method: str, path: str, body: bytes, wall_ms: str, nonce: str
 ) -> bytes:
     digest = hashlib.sha256(body).hexdigest()
     lines = (member, method.upper(), path, wall_ms, nonce, digest)
-    return _DOMAIN + '\n'.join(lines).encode()
+    return _DOMAIN_SEPARATOR + '\n'.join(lines).encode()
 
 
-def _signed(key_text: str, message: bytes, signature: str) -> bool:
+def _is_signed_by(encoded_key: str, message: bytes, signature: str) -> bool:
     try:
-        public_key(key_text).verify(
+        decode_public_key(encoded_key).verify(
             base64.b64decode(signature, validate=True), message
         )
     except (InvalidSignature, ValueError, binascii.Error):
--- a/waxwingford/bundles/_setup.py
+++ b/waxwingford/bundles/_setup.py
@@ -1,4 +1,4 @@
-"""What a bundle reader works with, and whether it is ready."""
+"""Dependencies, timing and readiness of the bundle reader."""
 
 import asyncio
 import dataclasses
@@ -14,41 +14,41 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ready:
-    """A bundle is in force here."""
+    """A bundle is in force on this daemon."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotReady:
-    """No bundle is in force here, and none may be guessed.
+    """No bundle is in force on this daemon.
 
-    :ivar reason: for operators.
+    :ivar reason: error message for operators.
     """
 
     reason: str
 
 
-class Note(Protocol):
-    """Writes an event, as ``timeline.TimeLine.note`` does."""
+class EventRecorder(Protocol):
+    """Callable that records an event, such as ``timeline.TimeLine.note``."""
 
     def __call__(self, kind: str, subject: str, detail: str = '') -> object:
-        """Write it.
+        """Record an event.
 
-        :param kind: what happened.
-        :param subject: what it is about.
-        :param detail: for people.
-        :returns: anything.
+        :param kind: kind of the event.
+        :param subject: object that the event concerns.
+        :param detail: details for operators.
+        :returns: ignored.
         """
         ...
 
 
 class Counters(Protocol):
-    """Part of the metrics that the reader writes to."""
+    """Interface of the metrics that the reader updates."""
 
     def count(self, name: str, by: int = 1, **labels: str) -> None:
-        """Add to a counter.
+        """Increment a counter.
 
-        :param name: which.
-        :param by: how much.
+        :param name: name of the metric.
+        :param by: increment.
         :param labels: label values by name.
         """
         ...
@@ -56,19 +56,19 @@
     def gauge(self, name: str, level: float, **labels: str) -> None:
         """Set a gauge.
 
-        :param name: which.
-        :param level: present level.
+        :param name: name of the metric.
+        :param level: current value.
         :param labels: label values by name.
         """
         ...
 
 
 class ReaderTimes(NamedTuple):
-    """Times of the reader, in milliseconds.
+    """Timing of the reader, in milliseconds.
 
-    :ivar long_poll_ms: the log may hold a read for so long.
-    :ivar backoff_ms: first pause after a failed read; it doubles.
-    :ivar backoff_max_ms: longest pause, also between questions to peers.
+    :ivar long_poll_ms: maximum long-poll time of a read.
+    :ivar backoff_ms: initial backoff after a failed read; doubles each time.
+    :ivar backoff_max_ms: maximum backoff, also between queries to peers.
     """
 
     long_poll_ms: int = 10_000
@@ -77,19 +77,20 @@
 
 
 class ReaderSetup(NamedTuple):
-    """What a reader works with.
+    """Dependencies of the reader.
 
     :ivar log: the platform's log.
-    :ivar peers: way to all configured peers.
-    :ivar clock: for the times of restatements.
+    :ivar peers: client for all configured peers.
+    :ivar clock: clock for idle pauses and restatements.
     :ivar key_by_member: pinned public keys, base64.
-    :ivar domain_daemons: other configured daemons of the failure domain.
-    :ivar on_in_force: hears of each bundle that takes force here.
-    :ivar note: writes to the time line.
+    :ivar domain_daemons: ids of the other configured daemons of the failure
+        domain.
+    :ivar on_in_force: called with each bundle that takes force.
+    :ivar note: records an event.
     :ivar counters: metrics.
-    :ivar rng: jitter.
-    :ivar times: times.
-    :ivar sleep: waits for seconds.
+    :ivar rng: source of jitter.
+    :ivar times: timing of reads and backoff.
+    :ivar sleep: asynchronous sleep, in seconds.
     """
 
     log: LogPort
@@ -98,7 +99,7 @@
     key_by_member: Mapping[str, str]
     domain_daemons: frozenset[str]
     on_in_force: Callable[[BundleInForce], None]
-    note: Note
+    note: EventRecorder
     counters: Counters
     rng: random.Random
     times: ReaderTimes = ReaderTimes()
--- a/waxwingford/bundles/_signing.py
+++ b/waxwingford/bundles/_signing.py
@@ -1,4 +1,4 @@
-"""Ed25519 keys and signatures of members over bundles."""
+"""Ed25519 keys of members and their signatures over bundles."""
 
 import base64
 import functools
@@ -10,27 +10,27 @@
     Ed25519PublicKey,
 )
 
-#: Keeps a signature of a bundle from passing as one of anything else.
-_DOMAIN = b'waxwingford bundle v1\x00'
-_KEYS_CACHED = 256
+#: Prevents reuse of a bundle's signature in another context.
+_DOMAIN_SEPARATOR = b'waxwingford bundle v1\x00'
+_KEY_CACHE_SIZE = 256
 
 
-@functools.lru_cache(_KEYS_CACHED)
-def public_key(text: str) -> Ed25519PublicKey:
-    """Read a pinned public key.
+@functools.lru_cache(_KEY_CACHE_SIZE)
+def decode_public_key(encoded_key: str) -> Ed25519PublicKey:
+    """Decode a public key.
 
-    :param text: base64 of 32 bytes, checked by the settings.
+    :param encoded_key: base64 of 32 bytes.
     :returns: the key.
-    :raises ValueError: if it is not a key.
+    :raises ValueError: if the text is not a valid key.
     """
-    return Ed25519PublicKey.from_public_bytes(base64.b64decode(text))
+    return Ed25519PublicKey.from_public_bytes(base64.b64decode(encoded_key))
 
 
 def public_text(key: Ed25519PrivateKey) -> str:
-    """Write the public half of a key as settings want it.
+    """Encode the public key of a private key as in the settings.
 
     :param key: private key.
-    :returns: base64.
+    :returns: public key, base64.
     """
     return base64.b64encode(key.public_key().public_bytes_raw()).decode()
 
@@ -38,23 +38,25 @@
 def sign_digest(key: Ed25519PrivateKey, digest: str) -> bytes:
     """Sign a bundle.
 
-    :param key: the member's private key.
+    :param key: private key of the member.
     :param digest: hex digest of the bundle's canonical body.
-    :returns: signature.
+    :returns: signature, 64 bytes.
     """
-    return key.sign(_DOMAIN + bytes.fromhex(digest))
+    return key.sign(_DOMAIN_SEPARATOR + bytes.fromhex(digest))
 
 
-def is_signed(text: str, digest: str, signature: bytes) -> bool:
-    """Check one signature.
+def is_valid_signature(encoded_key: str, digest: str, signature: bytes) -> bool:
+    """Verify one signature.
 
-    :param text: public key, base64.
+    :param encoded_key: public key, base64.
     :param digest: hex digest that was signed.
-    :param signature: what to check.
-    :returns: whether the key made it.
+    :param signature: signature to verify.
+    :returns: whether the signature was made with the key.
     """
     try:
-        public_key(text).verify(signature, _DOMAIN + bytes.fromhex(digest))
+        decode_public_key(encoded_key).verify(
+            signature, _DOMAIN_SEPARATOR + bytes.fromhex(digest)
+        )
     except (InvalidSignature, ValueError):
         return False
     return True
@@ -65,12 +67,12 @@
     digest: str,
     signature_by_member: Mapping[str, bytes],
 ) -> str:
-    """Say what is wrong with the sign-off of a bundle.
+    """Verify that every member has signed a bundle.
 
-    :param key_by_member: pinned public keys, base64; all of them must sign.
-    :param digest: hex digest that they signed.
-    :param signature_by_member: what they gave.
-    :returns: the fault, empty if every member signed.
+    :param key_by_member: pinned public keys, base64, of all members.
+    :param digest: hex digest that was signed.
+    :param signature_by_member: signatures by member.
+    :returns: the fault, empty if all signatures are valid.
     """
     unknown = sorted(signature_by_member.keys() - key_by_member.keys())
     if unknown:
@@ -80,7 +82,9 @@
         return f'signatures of {missing} are missing'
     wrong = [
         member
-        for member, text in sorted(key_by_member.items())
-        if not is_signed(text, digest, signature_by_member[member])
+        for member, encoded_key in sorted(key_by_member.items())
+        if not is_valid_signature(
+            encoded_key, digest, signature_by_member[member]
+        )
     ]
     return f'signatures of {wrong} are not by the pinned keys' if wrong else ''
--- a/waxwingford/bundles/_toml.py
+++ b/waxwingford/bundles/_toml.py
@@ -1,4 +1,4 @@
-"""Bundles as operators write them: a TOML file."""
+"""Loads bundles from TOML files."""
 
 import dataclasses
 import pathlib
@@ -10,9 +10,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BundleLoaded:
-    """The file is right.
+    """The file is valid.
 
-    :ivar bundle: checked bundle.
+    :ivar bundle: validated bundle.
     """
 
     bundle: Bundle
@@ -20,19 +20,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BundleInvalid:
-    """The file can't be used.
+    """The file is invalid.
 
-    :ivar problems: everything that is wrong with it.
+    :ivar problems: all problems found in the file.
     """
 
     problems: tuple[Problem, ...]
 
 
 def load_bundle(path: str | pathlib.Path) -> BundleLoaded | BundleInvalid:
-    """Load a bundle's source.
+    """Load a bundle from a TOML file.
 
-    :param path: TOML file.
-    :returns: the bundle, or everything that is wrong with the file.
+    :param path: path of the file.
+    :returns: the validated bundle, or all problems found in the file.
     """
     loaded = load_toml(path, Bundle)
     if isinstance(loaded, Bundle):
@@ -41,9 +41,9 @@
 
 
 def body_of(bundle: Bundle) -> Body:
-    """Write a bundle as the JSON object that is signed.
+    """Convert a bundle to the JSON object that is signed.
 
-    :param bundle: checked bundle.
-    :returns: its body, defaults written out.
+    :param bundle: validated bundle.
+    :returns: body of the bundle, including fields with default values.
     """
     return bundle.model_dump(mode='json')
--- a/waxwingford/bundles/_verdicts.py
+++ b/waxwingford/bundles/_verdicts.py
@@ -1,4 +1,4 @@
-"""Where a bundle record was read, and what became of it."""
+"""Sources of bundle records and results of offering them to a chain."""
 
 import dataclasses
 from typing import NamedTuple
@@ -9,9 +9,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FromLog:
-    """The record stands in the stream.
+    """The record was read from the stream.
 
-    :ivar offset: where.
+    :ivar offset: offset of its entry.
     """
 
     offset: int
@@ -21,7 +21,7 @@
 class FromPeer:
     """A peer has the record in force.
 
-    :ivar daemon_id: which peer.
+    :ivar daemon_id: id of the peer.
     """
 
     daemon_id: str
@@ -29,9 +29,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FromBaseline:
-    """The reader found the record to be in force at an offset.
+    """A restatement, or a fold from an offset, shows the record in force.
 
-    :ivar as_of: that offset.
+    :ivar as_of: offset at which the record is known to be in force.
     """
 
     as_of: int
@@ -41,11 +41,11 @@
 
 
 class BundleInForce(NamedTuple):
-    """A bundle that governs from now on.
+    """A bundle in force.
 
-    :ivar bundle: its checked body.
-    :ivar version: its version.
-    :ivar digest: its hex digest.
+    :ivar bundle: validated bundle.
+    :ivar version: version of the bundle.
+    :ivar digest: hex digest of the bundle.
     """
 
     bundle: Bundle
@@ -55,9 +55,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """The record was taken.
+    """The record took force.
 
-    :ivar in_force: what governs now.
+    :ivar in_force: the bundle now in force.
     """
 
     in_force: BundleInForce
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AlreadyInForce:
-    """The record says what governs already; doubled records end here.
+    """The record repeats the bundle in force, as duplicate records do.
 
     :ivar version: version in force.
     """
--- a/waxwingford/bundles/tests/chain.feature
+++ b/waxwingford/bundles/tests/chain.feature
@@ -20,7 +20,7 @@
       | of the same version           | version 2 was won by                   |
       | of a version too far          | expected version 3, got 4              |
       | on a wrong predecessor        | predecessor is                         |
-      | with a changed body           | the record says                        |
+      | with a changed body           | record claims                          |
       | with a changed version        | differ in version or predecessor       |
       | with a share above 1          | members.qadri.share                    |
       | with shares above 1 together  | shares add up to 1.200                 |
@@ -31,7 +31,7 @@
       | with an unknown key           | Extra inputs are not permitted         |
       | with a body above 512 KiB     | expected at most 524288                |
       | with a record above all size  | expected at most 534288                |
-      | with a patch nested too deep  | nests too deep                         |
+      | with a patch nested too deep  | patch is nested too deep               |
       | with a body nested too deep   | not a bundle record                    |
       | with neither body nor patch   | expected either a body or a patch      |
       | not JSON                      | not a bundle record                    |
--- a/waxwingford/bundles/tests/chain_steps.py
+++ b/waxwingford/bundles/tests/chain_steps.py
@@ -14,31 +14,31 @@
 )
 from waxwingford.bundles._canonical import merge_patch
 from waxwingford.bundles.tests.consortium import (
-    STRANGER,
     TRUST,
-    bodies,
+    UNPINNED_KEY,
     first_body,
+    make_bodies,
     next_body,
-    payload_of,
-    record_of,
+    signed_payload,
+    signed_record,
 )
 
-REPLACE = msgspec.structs.replace
+replace_fields = msgspec.structs.replace
 
 
 def with_signatures(record, *members, **others):
     kept = {member: record.signature_by_member[member] for member in members}
-    return REPLACE(record, signature_by_member={**kept, **others})
+    return replace_fields(record, signature_by_member={**kept, **others})
 
 
-def nested(levels):
+def nested_patch(levels):
     patch = {}
     for _ in range(levels):
         patch = {'teams': patch}
     return patch
 
 
-AMOUNT = {'processors_milli': 1, 'memory_mb': 1}
+SMALL_QUOTA = {'processors_milli': 1, 'memory_mb': 1}
 #: What the author of a fully signed successor put into it.
 SIGNED_CHANGES = {
     'with a share above 1': {'members': {'qadri': {'share': 1.1}}},
@@ -46,58 +46,64 @@
     'reserving beyond any server': {
         'services': {'report_desk': {'reserved': {'processors_milli': 32_001}}}
     },
-    'with a quota of a stranger': {'teams': {'stranger/a': AMOUNT}},
+    'with a quota of a stranger': {'teams': {'stranger/a': SMALL_QUOTA}},
     'with an unknown domain': {
         'services': {'report_desk': {'failure_domains': ['clifton']}}
     },
     'with a member without a key': {'members': {'stranger': {'share': 0}}},
     'with an unknown key': {'services': {'report_desk': {'target_p99': 9}}},
     'with a body above 512 KiB': {
-        'teams': {f'qadri/team{index:0>55}': AMOUNT for index in range(5050)}
+        'teams': {
+            f'qadri/team{index:0>55}': SMALL_QUOTA for index in range(5050)
+        }
     },
 }
 FAULTS = {
     'unsigned': lambda old, good: with_signatures(good),
     'signed by one member': lambda old, good: with_signatures(good, 'qadri'),
     'signed with a wrong key': lambda old, good: with_signatures(
-        good, 'qadri', svatbena=sign_digest(STRANGER, good.digest)
+        good, 'qadri', svatbena=sign_digest(UNPINNED_KEY, good.digest)
     ),
     'signed by a stranger too': lambda old, good: with_signatures(
-        good, *TRUST, stranger=sign_digest(STRANGER, good.digest)
+        good, *TRUST, stranger=sign_digest(UNPINNED_KEY, good.digest)
     ),
-    'of the version before': lambda old, good: record_of(old[0]),
-    'of the same version': lambda old, good: record_of(next_body(old[0], 55)),
-    'of a version too far': lambda old, good: record_of(
+    'of the version before': lambda old, good: signed_record(old[0]),
+    'of the same version': lambda old, good: signed_record(
+        next_body(old[0], 55)
+    ),
+    'of a version too far': lambda old, good: signed_record(
         next_body(good.body, 61)
     ),
-    'on a wrong predecessor': lambda old, good: record_of(
+    'on a wrong predecessor': lambda old, good: signed_record(
         next_body(next_body(old[0], 55), 60)
     ),
-    'with a changed body': lambda old, good: REPLACE(
+    'with a changed body': lambda old, good: replace_fields(
         good, body=next_body(old[1], 7)
     ),
-    'with a changed version': lambda old, good: REPLACE(
-        record_of({**good.body, 'version': 4}), version=3
+    'with a changed version': lambda old, good: replace_fields(
+        signed_record({**good.body, 'version': 4}), version=3
+    ),
+    'with a patch nested too deep': lambda old, good: replace_fields(
+        good, body=None, patch=nested_patch(40)
     ),
-    'with a patch nested too deep': lambda old, good: REPLACE(
-        good, body=None, patch=nested(40)
+    'with neither body nor patch': lambda old, good: replace_fields(
+        good, body=None
     ),
-    'with neither body nor patch': lambda old, good: REPLACE(good, body=None),
 }
-DEEP = '{{"version":3,"body":{0}'.format('{"a":' * 90_000).encode()
-RAW = {
+DEEPLY_NESTED = '{{"version":3,"body":{0}'.format('{"a":' * 90_000).encode()
+RAW_PAYLOADS = {
     'with a record above all size': b'{}'.ljust(600_000),
-    'with a body nested too deep': DEEP,
+    'with a body nested too deep': DEEPLY_NESTED,
     'not JSON': b'\xff\x00',
 }
 
 
 @given('a bundle chain with version 2 in force')
 def chain_with_two(context):
-    context.bodies = bodies(2)
+    context.bodies = make_bodies(2)
     context.chain = BundleChain(TRUST)
     context.verdicts = [
-        context.chain.offer_payload(payload_of(body), FromLog(offset))
+        context.chain.offer_payload(signed_payload(body), FromLog(offset))
         for offset, body in enumerate(context.bodies)
     ]
     context.before = context.chain.current
@@ -105,16 +111,16 @@
 
 
 @when('a bundle record is offered that is {fault}')
-def offer_faulty(context, fault):
+def offer_bad_record(context, fault):
     body = next_body(context.bodies[1], 99)
     change = SIGNED_CHANGES.get(fault)
     make = FAULTS.get(fault)
     if change:
-        payload = payload_of(merge_patch(body, change))
+        payload = signed_payload(merge_patch(body, change))
     elif make:
-        payload = encode_record(make(context.bodies, record_of(body)))
+        payload = encode_record(make(context.bodies, signed_record(body)))
     else:
-        payload = RAW[fault]
+        payload = RAW_PAYLOADS[fault]
     context.verdicts.append(context.chain.offer_payload(payload, FromLog(9)))
 
 
@@ -123,7 +129,7 @@
     context.racers = [next_body(context.bodies[1], ms) for ms in (50, 60)]
     context.verdicts = [
         context.chain.offer_payload(
-            payload_of(body, context.bodies[1]), FromLog(offset)
+            signed_payload(body, context.bodies[1]), FromLog(offset)
         )
         for offset, body in enumerate(context.racers, 7)
     ]
@@ -132,7 +138,9 @@
 @when('the record of version 2 is offered again')
 def offer_again(context):
     context.verdicts.append(
-        context.chain.offer_payload(payload_of(context.bodies[1]), FromLog(5))
+        context.chain.offer_payload(
+            signed_payload(context.bodies[1]), FromLog(5)
+        )
     )
 
 
@@ -147,7 +155,7 @@
 def still_two(context):
     assert context.chain.current == context.before
     # A good successor is still taken after the bad one.
-    good = payload_of(next_body(context.bodies[1], 99), context.bodies[1])
+    good = signed_payload(next_body(context.bodies[1], 99), context.bodies[1])
     verdict = context.chain.offer_payload(good, FromLog(10))
     assert isinstance(verdict, InForce), verdict
 
@@ -159,7 +167,7 @@
 
 
 @then('the bundle is already in force')
-def already(context):
+def assert_already_in_force(context):
     assert context.verdicts[-1] == AlreadyInForce(2), context.verdicts
 
 
@@ -167,15 +175,15 @@
 def large_bundle(context):
     context.body = first_body(680)
     context.chain = BundleChain(TRUST)
-    context.chain.offer_payload(payload_of(context.body), FromLog(0))
+    context.chain.offer_payload(signed_payload(context.body), FromLog(0))
 
 
 @when('one quota is changed')
 def change_quota(context):
     after = next_body(context.body, 120)
     after['teams']['qadri/team7']['memory_mb'] += 1
-    context.payload = payload_of(after, context.body)
-    context.whole = record_of(after)
+    context.payload = signed_payload(after, context.body)
+    context.whole = signed_record(after)
 
 
 @then('the record takes less than 1000 bytes and gives the same digest')
--- a/waxwingford/bundles/tests/consortium.py
+++ b/waxwingford/bundles/tests/consortium.py
@@ -23,12 +23,12 @@
     member: Ed25519PrivateKey.from_private_bytes(bytes([index]) * 32)
     for index, member in enumerate(('qadri', 'svatbena'), 1)
 }
-STRANGER = Ed25519PrivateKey.from_private_bytes(b'x' * 32)
+UNPINNED_KEY = Ed25519PrivateKey.from_private_bytes(b'x' * 32)
 TRUST = {member: public_text(key) for member, key in KEY_BY_MEMBER.items()}
-AMOUNTS = {'processors_milli': 8000, 'memory_mb': 16_000, 'accelerators': 0}
+RESOURCES = {'processors_milli': 8000, 'memory_mb': 16_000, 'accelerators': 0}
 
 
-def reader_of(log, peers, clock, domain_daemons, hear, note):
+def make_reader(log, peers, clock, domain_daemons, on_in_force, note):
     """Make a reader that trusts the members."""
     return BundleReader(
         ReaderSetup(
@@ -37,7 +37,7 @@
             clock=clock,
             key_by_member=TRUST,
             domain_daemons=domain_daemons,
-            on_in_force=hear,
+            on_in_force=on_in_force,
             note=note,
             counters=Metrics(),
             rng=random.Random(str(sorted(domain_daemons))),
@@ -54,19 +54,19 @@
         'failure_domains': {
             'gulberg': {'region': 'lahore', 'daemons': ['qadri-1', 'qadri-2']}
         },
-        'largest_server': {**AMOUNTS, 'processors_milli': 32_000},
+        'largest_server': {**RESOURCES, 'processors_milli': 32_000},
         'services': {
             'report_desk': {
                 'member': 'qadri',
                 'target_p99_ms': 120,
                 'tail_weight': 0.8,
                 'eviction_weight': 0.2,
-                'reserved': dict(AMOUNTS),
+                'reserved': dict(RESOURCES),
                 'concurrency_by_member': {'qadri': 192},
             }
         },
         'teams': {
-            f'qadri/team{index}': {**AMOUNTS, 'may_borrow': True}
+            f'qadri/team{index}': {**RESOURCES, 'may_borrow': True}
             for index in range(teams)
         },
     }
@@ -81,7 +81,7 @@
     return body
 
 
-def record_of(
+def signed_record(
     body: Body, before: Body | None = None, as_of: int | None = None
 ) -> BundleRecord:
     """Sign a body by every member."""
@@ -100,14 +100,14 @@
     )
 
 
-def payload_of(
+def signed_payload(
     body: Body, before: Body | None = None, as_of: int | None = None
 ) -> bytes:
     """Sign a body and serialize the record."""
-    return encode_record(record_of(body, before, as_of))
+    return encode_record(signed_record(body, before, as_of))
 
 
-def bodies(count: int) -> list[Body]:
+def make_bodies(count: int) -> list[Body]:
     """Make a chain of bodies."""
     chain = [first_body()]
     for target_ms in range(101, 100 + count):
--- a/waxwingford/bundles/tests/interleavings_steps.py
+++ b/waxwingford/bundles/tests/interleavings_steps.py
@@ -15,28 +15,28 @@
     digest_of,
     encode_record,
 )
-from waxwingford.bundles.tests.chain_steps import REPLACE
+from waxwingford.bundles.tests.chain_steps import replace_fields
 from waxwingford.bundles.tests.consortium import (
     first_body,
+    make_reader,
     next_body,
-    payload_of,
-    reader_of,
-    record_of,
+    signed_payload,
+    signed_record,
 )
 from waxwingford.kernel import ManualClock
 from waxwingford.ports import LogUnavailable
 from waxwingford_standins.platform_log import FakeLog, LogCore
 
-SLOTS = 4
+DAEMON_COUNT = 4
 MINUTE_MS = 60_000
-ALL = 1000
+MAX_ENTRIES = 1000
 
 
 def digest(body):
     return digest_of(canonical_bytes(body))
 
 
-class Daemon(FakeLog):
+class SimulatedDaemon(FakeLog):
     """A daemon's reader with its own way to the log and to its peers."""
 
     def __init__(self, world, slot):
@@ -44,24 +44,26 @@
         super().__init__(world.core, world.clock)
         self.world = world
         self.slot = slot
-        self.limit = ALL
-        self.told = []
-        others = frozenset(f'd{other}' for other in range(SLOTS))
-        self.reader = reader_of(
+        self.limit = MAX_ENTRIES
+        self.versions_in_force = []
+        others = frozenset(f'd{other}' for other in range(DAEMON_COUNT))
+        self.reader = make_reader(
             self,
             self,
             world.clock,
             others - {f'd{slot}'},
-            self.hear,
+            self.on_in_force,
             lambda *_: None,
         )
 
-    def hear(self, seen):
+    def on_in_force(self, seen):
         """Check each bundle that takes force here."""
-        known = [digest(body) for body in self.world.truth]
+        known = [digest(body) for body in self.world.accepted_bodies]
         assert seen.digest in known, f'd{self.slot} took a loser {seen}'
-        assert seen.version > max(self.told, default=0), 'went back'
-        self.told.append(seen.version)
+        assert seen.version > max(self.versions_in_force, default=0), (
+            'went back'
+        )
+        self.versions_in_force.append(seen.version)
 
     async def read(self, stream, from_offset, limit, wait_ms=0):
         """Read few entries at once, or none when cut off."""
@@ -76,12 +78,12 @@
             f'd{slot}': PeerSilent('muted')
             if slot in self.world.muted or self.slot in self.world.muted
             else PeerBundle(self.world.payloads(slot, after_version))
-            for slot in range(SLOTS)
+            for slot in range(DAEMON_COUNT)
             if slot != self.slot
         }
 
 
-class World:
+class Simulation:
     """The log, what is truly in force, and the daemons."""
 
     def __init__(self):
@@ -91,13 +93,17 @@
         self.cut = set()
         self.muted = set()
         self.body_by_payload = {}
-        self.truth = [first_body()]
+        self.accepted_bodies = [first_body()]
         self.count = 100
-        self.publish(payload_of(self.truth[0]), self.truth[0])
-        self.daemons = [Daemon(self, slot) for slot in range(SLOTS)]
+        self.publish(
+            signed_payload(self.accepted_bodies[0]), self.accepted_bodies[0]
+        )
+        self.daemons = [
+            SimulatedDaemon(self, slot) for slot in range(DAEMON_COUNT)
+        ]
 
     def entries(self):
-        return self.core.read(CONFIG_STREAM, 0, ALL, 0)
+        return self.core.read(CONFIG_STREAM, 0, MAX_ENTRIES, 0)
 
     def payloads(self, slot, after_version):
         reader = self.daemons[slot].reader
@@ -111,26 +117,26 @@
         if body:
             self.body_by_payload[payload] = body
         body = self.body_by_payload.get(payload)
-        if body and body['predecessor'] == digest(self.truth[-1]):
-            self.truth.append(body)
+        if body and body['predecessor'] == digest(self.accepted_bodies[-1]):
+            self.accepted_bodies.append(body)
 
     def successor(self, before):
         self.count += 1
         return next_body(before, self.count)
 
-    async def heal(self):
+    async def recover(self):
         """Let all read to the head and restate."""
         self.cut.clear()
         self.muted.clear()
         for _ in range(60):
             self.clock.advance(MINUTE_MS)
             for daemon in self.daemons:
-                daemon.limit = ALL
+                daemon.limit = MAX_ENTRIES
                 await daemon.reader.step()
 
     def check(self):
         """All have what is in force, if any of them has it."""
-        newest = digest(self.truth[-1])
+        newest = digest(self.accepted_bodies[-1])
         held = [
             daemon.reader.current and daemon.reader.current.digest
             for daemon in self.daemons
@@ -140,72 +146,86 @@
 
 
 async def publish(world, number):
-    body = world.successor(world.truth[-1])
-    base = world.truth[-1] if number % 2 else None
-    world.publish(payload_of(body, base), body)
+    body = world.successor(world.accepted_bodies[-1])
+    base = world.accepted_bodies[-1] if number % 2 else None
+    world.publish(signed_payload(body, base), body)
 
 
-async def race(world, number):
-    body = world.successor(world.truth[max(len(world.truth) - 2, 0)])
-    world.publish(payload_of(body), body)
+async def publish_competing(world, number):
+    body = world.successor(
+        world.accepted_bodies[max(len(world.accepted_bodies) - 2, 0)]
+    )
+    world.publish(signed_payload(body), body)
 
 
-async def orphan(world, number):
-    body = {**world.successor(world.truth[-1]), 'predecessor': 'ab' * 32}
+async def publish_orphan(world, number):
+    body = {
+        **world.successor(world.accepted_bodies[-1]),
+        'predecessor': 'ab' * 32,
+    }
     body['version'] += number % 3
-    world.publish(payload_of(body), body)
+    world.publish(signed_payload(body), body)
 
 
-async def early(world, number):
-    body = world.successor(world.truth[-1])
+async def publish_out_of_order(world, number):
+    body = world.successor(world.accepted_bodies[-1])
     after = world.successor(body)
-    world.publish(payload_of(after, body), after)
-    world.publish(payload_of(body), body)
+    world.publish(signed_payload(after, body), after)
+    world.publish(signed_payload(body), body)
 
 
-async def replay(world, number):
+async def replay_record(world, number):
     held = [entry.payload for entry in world.entries().entries]
     past = held or list(world.body_by_payload)
     world.publish(past[number % len(past)])
 
 
-async def forge(world, number):
-    record = record_of(world.successor(world.truth[-1]))
+async def append_partly_signed(world, number):
+    record = signed_record(world.successor(world.accepted_bodies[-1]))
     signed = {'qadri': record.signature_by_member['qadri']}
-    world.publish(encode_record(REPLACE(record, signature_by_member=signed)))
+    world.publish(
+        encode_record(replace_fields(record, signature_by_member=signed))
+    )
 
 
-async def drop(world, number):
+async def truncate_log(world, number):
     head = world.entries().next_offset
     world.core.truncate(CONFIG_STREAM, head - 6 - number % 24)
 
 
 async def step(world, number):
-    daemon = world.daemons[number % SLOTS]
-    daemon.limit = 1 + number // SLOTS % 7
+    daemon = world.daemons[number % DAEMON_COUNT]
+    daemon.limit = 1 + number // DAEMON_COUNT % 7
     await daemon.reader.step()
 
 
 async def cut(world, number):
-    world.cut ^= {number % SLOTS}
+    world.cut ^= {number % DAEMON_COUNT}
 
 
-async def mute(world, number):
-    world.muted ^= {number % SLOTS}
+async def toggle_muted(world, number):
+    world.muted ^= {number % DAEMON_COUNT}
 
 
-async def replace(world, number):
-    slot = number % SLOTS
-    world.daemons[slot] = Daemon(world, slot)
+async def restart_empty(world, number):
+    slot = number % DAEMON_COUNT
+    world.daemons[slot] = SimulatedDaemon(world, slot)
 
 
-async def wait(world, number):
+async def advance_clock(world, number):
     world.clock.advance((1 + number % 60) * MINUTE_MS)
 
 
 ACTIONS = (
-    *(publish, race, orphan, early, replay, forge),
-    *(drop, cut, mute, replace, wait),
+    *(
+        publish,
+        publish_competing,
+        publish_orphan,
+        publish_out_of_order,
+        replay_record,
+        append_partly_signed,
+    ),
+    *(truncate_log, cut, toggle_muted, restart_empty, advance_clock),
     *(step,) * 8,
 )
 MOVES = drawn.lists(
@@ -216,10 +236,10 @@
 
 
 async def play(moves):
-    world = World()
+    world = Simulation()
     for action, number in moves:
         await action(world, number)
-    await world.heal()
+    await world.recover()
     world.check()
     return world
 
--- a/waxwingford/bundles/tests/reader_steps.py
+++ b/waxwingford/bundles/tests/reader_steps.py
@@ -19,23 +19,25 @@
 )
 from waxwingford.bundles.tests.consortium import (
     TRUST,
-    bodies,
+    make_bodies,
+    make_reader,
     next_body,
-    payload_of,
-    reader_of,
-    record_of,
+    signed_payload,
+    signed_record,
 )
 from waxwingford.kernel import ManualClock
 from waxwingford_standins.platform_log import FakeLog, LogCore, Outage
 
-DOMAIN = frozenset(('gulberg-1', 'gulberg-2'))
+DOMAIN_DAEMONS = frozenset(('gulberg-1', 'gulberg-2'))
 
 
 class FakePeers:
     """Peers that answer as the scenario says."""
 
     def __init__(self):
-        self.answer_by_id = {name: PeerSilent('down') for name in DOMAIN}
+        self.answer_by_id = {
+            name: PeerSilent('down') for name in DOMAIN_DAEMONS
+        }
 
     async def fetch(self, after_version):
         return dict(self.answer_by_id)
@@ -49,7 +51,7 @@
         return await super().read(stream, from_offset, min(limit, 3), wait_ms)
 
 
-class Rig:
+class ReaderFixture:
     """A log, peers, and readers that write down what takes force."""
 
     def __init__(self):
@@ -57,10 +59,10 @@
         self.core = LogCore()
         self.log = SmallReads(self.core, self.clock)
         self.peers = FakePeers()
-        self.bodies = bodies(80)
+        self.bodies = make_bodies(80)
         self.readers = []
         self.versions = []
-        self.notes = []
+        self.events = []
 
     def append(self, payload):
         self.clock.advance(10)
@@ -73,19 +75,19 @@
         for version in range(first, last + 1):
             body = self.bodies[version - 1]
             before = self.bodies[version - 2] if version > 1 else None
-            self.append(payload_of(body, before))
+            self.append(signed_payload(body, before))
 
     def start(self):
-        told = []
-        self.versions.append(told)
+        versions_in_force = []
+        self.versions.append(versions_in_force)
         self.readers.append(
-            reader_of(
+            make_reader(
                 self.log,
                 self.peers,
                 self.clock,
-                DOMAIN,
-                lambda seen: told.append(seen.version),
-                lambda kind, *_: self.notes.append(kind),
+                DOMAIN_DAEMONS,
+                lambda seen: versions_in_force.append(seen.version),
+                lambda kind, *_: self.events.append(kind),
             )
         )
 
@@ -97,7 +99,7 @@
 
 @fixture
 def bundle_rig(context):
-    context.rig = Rig()
+    context.rig = ReaderFixture()
     yield context.rig
 
 
@@ -123,7 +125,7 @@
 @given('bundle peer "{name}" has bundle version {version:d}')
 @when('bundle peer "{name}" has bundle version {version:d}')
 def peer_has(context, name, version):
-    payload = payload_of(context.rig.bodies[version - 1])
+    payload = signed_payload(context.rig.bodies[version - 1])
     context.rig.peers.answer_by_id[name] = PeerBundle((payload,))
 
 
@@ -141,7 +143,7 @@
 def restate_and_drop(context, version):
     head = context.rig.head()
     body = context.rig.bodies[version - 1]
-    context.rig.append(payload_of(body, as_of=head))
+    context.rig.append(signed_payload(body, as_of=head))
     context.rig.core.truncate(CONFIG_STREAM, head)
 
 
@@ -150,12 +152,12 @@
 @given('version {version:d} is restated as if it were in force')
 def restate(context, version):
     body = context.rig.bodies[version - 1]
-    context.rig.append(payload_of(body, as_of=context.rig.head()))
+    context.rig.append(signed_payload(body, as_of=context.rig.head()))
 
 
 @given('version {version:d} is restated by a daemon that has read 3 entries')
 def restate_late(context, version):
-    context.rig.append(payload_of(context.rig.bodies[version - 1], as_of=3))
+    context.rig.append(signed_payload(context.rig.bodies[version - 1], as_of=3))
 
 
 @given('the log keeps only the last entry')
@@ -171,13 +173,13 @@
 @given('version 1 is appended again')
 @when('version 1 is appended again')
 def append_first(context):
-    context.rig.append(payload_of(context.rig.bodies[0]))
+    context.rig.append(signed_payload(context.rig.bodies[0]))
 
 
 @given('a racer of version {version:d} comes late, whole')
-def late_racer(context, version):
+def append_competing(context, version):
     body = next_body(context.rig.bodies[version - 2], 77)
-    context.rig.append(payload_of(body))
+    context.rig.append(signed_payload(body))
 
 
 @given('version 4 is appended before version 3')
@@ -187,9 +189,9 @@
 
 
 @given('a lost racer of version 3 is restated as if it were in force')
-def forged_statement(context):
+def restate_competing(context):
     body = next_body(context.rig.bodies[1], 77)
-    context.rig.append(payload_of(body, as_of=context.rig.head()))
+    context.rig.append(signed_payload(body, as_of=context.rig.head()))
 
 
 @given('a bundle reader that read them')
@@ -224,19 +226,24 @@
 
 @then('its bundles in force were "{versions}"')
 def were_in_force(context, versions):
-    told = ', '.join(map(str, context.rig.versions[-1]))
-    assert told == versions, (told, context.rig.readers[-1].readiness())
+    versions_in_force = ', '.join(map(str, context.rig.versions[-1]))
+    assert versions_in_force == versions, (
+        versions_in_force,
+        context.rig.readers[-1].readiness(),
+    )
 
 
 @then('the bundles in force of both end with version {version:d}')
 def both_end(context, version):
-    ends = [told[-1:] for told in context.rig.versions]
+    ends = [
+        versions_in_force[-1:] for versions_in_force in context.rig.versions
+    ]
     assert ends == [[version], [version]], ends
 
 
 @then('the bundle reader noted "{kind}"')
 def was_noted(context, kind):
-    assert kind in context.rig.notes, context.rig.notes
+    assert kind in context.rig.events, context.rig.events
 
 
 @then('its digest is that of version {version:d}')
@@ -260,7 +267,7 @@
 def publish_body(rig, log, body, restate=False):
     bundle = Bundle.model_validate_json(canonical_bytes(body))
     whole = bundle.model_dump(mode='json')
-    signed = record_of(whole)
+    signed = signed_record(whole)
     return asyncio.run(
         publish(log, TRUST, bundle, signed.signature_by_member, restate)
     )
@@ -274,13 +281,13 @@
 
 
 @when('version 4 is stated again by its operators')
-def state_again(context):
+def restate_by_operators(context):
     body = context.rig.bodies[3]
     context.outcome = publish_body(context.rig, context.rig.log, body, True)
 
 
 @when('the log loses all, and version 4 is stated again twice')
-def lose_and_state(context):
+def truncate_and_restate(context):
     rig = context.rig
     rig.core.truncate(CONFIG_STREAM, rig.head())
     context.outcomes = [
@@ -315,7 +322,7 @@
 def lose_race(context):
     rig = context.rig
     log = RacedLog(rig.core, rig.clock)
-    log.racer = payload_of(next_body(rig.bodies[2], 66), rig.bodies[2])
+    log.racer = signed_payload(next_body(rig.bodies[2], 66), rig.bodies[2])
     context.outcome = publish_body(rig, log, next_body(rig.bodies[2], 44))
 
 
