--- a/waxwingford/bundles/tests/chain_steps.py
+++ b/waxwingford/bundles/tests/chain_steps.py
@@ -39,11 +39,11 @@
 
 
 SMALL_QUOTA = {'processors_milli': 1, 'memory_mb': 1}
-#: What the author of a fully signed successor put into it.
+#: Invalid changes in an otherwise valid, fully signed successor.
 SIGNED_CHANGES = {
     'with a share above 1': {'members': {'qadri': {'share': 1.1}}},
-    'with shares above 1 together': {'members': {'svatbena': {'share': 0.5}}},
-    'reserving beyond any server': {
+    'with shares that sum above 1': {'members': {'svatbena': {'share': 0.5}}},
+    'reserving above any server': {
         'services': {'report_desk': {'reserved': {'processors_milli': 32_001}}}
     },
     'with a quota of a stranger': {'teams': {'stranger/a': SMALL_QUOTA}},
@@ -64,17 +64,17 @@
     'signed with a wrong key': lambda old, good: with_signatures(
         good, 'qadri', svatbena=sign_digest(UNPINNED_KEY, good.digest)
     ),
-    'signed by a stranger too': lambda old, good: with_signatures(
+    'also signed by a stranger': lambda old, good: with_signatures(
         good, *TRUST, stranger=sign_digest(UNPINNED_KEY, good.digest)
     ),
     'of the version before': lambda old, good: signed_record(old[0]),
     'of the same version': lambda old, good: signed_record(
         next_body(old[0], 55)
     ),
-    'of a version too far': lambda old, good: signed_record(
+    'of a skipped version': lambda old, good: signed_record(
         next_body(good.body, 61)
     ),
-    'on a wrong predecessor': lambda old, good: signed_record(
+    'with a wrong predecessor': lambda old, good: signed_record(
         next_body(next_body(old[0], 55), 60)
     ),
     'with a changed body': lambda old, good: replace_fields(
@@ -92,14 +92,14 @@
 }
 DEEPLY_NESTED = '{{"version":3,"body":{0}'.format('{"a":' * 90_000).encode()
 RAW_PAYLOADS = {
-    'with a record above all size': b'{}'.ljust(600_000),
+    'with an oversized record': b'{}'.ljust(600_000),
     'with a body nested too deep': DEEPLY_NESTED,
     'not JSON': b'\xff\x00',
 }
 
 
 @given('a bundle chain with version 2 in force')
-def chain_with_two(context):
+def chain_at_version_two(context):
     context.bodies = make_bodies(2)
     context.chain = BundleChain(TRUST)
     context.verdicts = [
@@ -124,14 +124,16 @@
     context.verdicts.append(context.chain.offer_payload(payload, FromLog(9)))
 
 
-@when('two successors of version 2 are offered at offsets 7 and 8')
-def offer_racers(context):
-    context.racers = [next_body(context.bodies[1], ms) for ms in (50, 60)]
+@when('two competing successors of version 2 are offered at offsets 7 and 8')
+def offer_competing(context):
+    context.competing_bodies = [
+        next_body(context.bodies[1], ms) for ms in (50, 60)
+    ]
     context.verdicts = [
         context.chain.offer_payload(
             signed_payload(body, context.bodies[1]), FromLog(offset)
         )
-        for offset, body in enumerate(context.racers, 7)
+        for offset, body in enumerate(context.competing_bodies, 7)
     ]
 
 
@@ -151,17 +153,17 @@
     assert reason in verdict.reason, verdict.reason
 
 
-@then('version 2 stays in force unchanged')
-def still_two(context):
+@then('version 2 stays in force and accepts a valid successor')
+def still_at_version_two(context):
     assert context.chain.current == context.before
-    # A good successor is still taken after the bad one.
+    # A valid successor still takes force after the rejected one.
     good = signed_payload(next_body(context.bodies[1], 99), context.bodies[1])
     verdict = context.chain.offer_payload(good, FromLog(10))
     assert isinstance(verdict, InForce), verdict
 
 
-@then('version 3 of the first racer is in force')
-def first_racer(context):
+@then('version 3 from offset 7 is in force')
+def lower_offset_in_force(context):
     service = context.chain.current.bundle.services['report_desk']
     assert (context.chain.version, service.target_p99_ms) == (3, 50)
 
--- a/waxwingford/bundles/tests/consortium.py
+++ b/waxwingford/bundles/tests/consortium.py
@@ -1,4 +1,4 @@
-"""Members with fixed keys, and bundles that they sign, for tests."""
+"""Test support: members with fixed keys, and bundles signed by them."""
 
 import copy
 import random
@@ -29,7 +29,7 @@
 
 
 def make_reader(log, peers, clock, domain_daemons, on_in_force, note):
-    """Make a reader that trusts the members."""
+    """Make a reader that pins the keys of all members."""
     return BundleReader(
         ReaderSetup(
             log=log,
@@ -46,7 +46,7 @@
 
 
 def first_body(teams: int = 2) -> Body:
-    """Make the body of a first version."""
+    """Make the body of version 1."""
     return {
         'version': 1,
         'predecessor': '',
@@ -73,7 +73,7 @@
 
 
 def next_body(before: Body, target_ms: int) -> Body:
-    """Make a successor that changes one figure."""
+    """Make a successor that changes the latency target of one service."""
     body = copy.deepcopy(before)
     body['version'] += 1
     body['predecessor'] = digest_of(canonical_bytes(before))
@@ -84,7 +84,7 @@
 def signed_record(
     body: Body, before: Body | None = None, as_of: int | None = None
 ) -> BundleRecord:
-    """Sign a body by every member."""
+    """Make a record of a body, signed by every member."""
     digest = digest_of(canonical_bytes(body))
     return BundleRecord(
         version=body['version'],
@@ -103,12 +103,12 @@
 def signed_payload(
     body: Body, before: Body | None = None, as_of: int | None = None
 ) -> bytes:
-    """Sign a body and serialize the record."""
+    """Make a serialized record of a body, signed by every member."""
     return encode_record(signed_record(body, before, as_of))
 
 
 def make_bodies(count: int) -> list[Body]:
-    """Make a chain of bodies."""
+    """Make the bodies of versions 1 to ``count``."""
     chain = [first_body()]
     for target_ms in range(101, 100 + count):
         chain.append(next_body(chain[-1], target_ms))
--- a/waxwingford/bundles/tests/interleavings_steps.py
+++ b/waxwingford/bundles/tests/interleavings_steps.py
@@ -1,4 +1,4 @@
-"""Random interleavings of everything that can happen to bundles."""
+"""Property test of bundle readers under random interleavings."""
 
 import asyncio
 
@@ -37,10 +37,10 @@
 
 
 class SimulatedDaemon(FakeLog):
-    """A daemon's reader with its own way to the log and to its peers."""
+    """A bundle reader with its own connections to the log and to peers."""
 
     def __init__(self, world, slot):
-        """Start empty in a slot of the world."""
+        """Start without a bundle as daemon ``slot`` of the simulation."""
         super().__init__(world.core, world.clock)
         self.world = world
         self.slot = slot
@@ -59,21 +59,23 @@
     def on_in_force(self, seen):
         """Check each bundle that takes force here."""
         known = [digest(body) for body in self.world.accepted_bodies]
-        assert seen.digest in known, f'd{self.slot} took a loser {seen}'
+        assert seen.digest in known, (
+            f'd{self.slot} took a losing version {seen}'
+        )
         assert seen.version > max(self.versions_in_force, default=0), (
-            'went back'
+            'reverted to an older version'
         )
         self.versions_in_force.append(seen.version)
 
     async def read(self, stream, from_offset, limit, wait_ms=0):
-        """Read few entries at once, or none when cut off."""
+        """Read at most ``self.limit`` entries; fail when cut off."""
         if self.slot in self.world.cut:
             return LogUnavailable('cut off')
         small = min(limit, self.limit)
         return await super().read(stream, from_offset, small, wait_ms)
 
     async def fetch(self, after_version):
-        """Ask the others; a muted one does not answer."""
+        """Query the other daemons; muted ones do not answer."""
         return {
             f'd{slot}': PeerSilent('muted')
             if slot in self.world.muted or self.slot in self.world.muted
@@ -84,10 +86,10 @@
 
 
 class Simulation:
-    """The log, what is truly in force, and the daemons."""
+    """The log, the chain of accepted bodies, and the daemons."""
 
     def __init__(self):
-        """Publish a first version."""
+        """Publish version 1."""
         self.clock = ManualClock()
         self.core = LogCore()
         self.cut = set()
@@ -111,7 +113,7 @@
         return (reader.whole_record(),) if newer else ()
 
     def publish(self, payload, body=None):
-        """Append, and write down whether it takes force."""
+        """Append, and track whether the record takes force."""
         self.clock.advance(10)
         self.core.append(CONFIG_STREAM, payload, self.clock.monotonic_ms())
         if body:
@@ -125,7 +127,7 @@
         return next_body(before, self.count)
 
     async def recover(self):
-        """Let all read to the head and restate."""
+        """Reconnect all daemons and let them read to the head."""
         self.cut.clear()
         self.muted.clear()
         for _ in range(60):
@@ -135,7 +137,7 @@
                 await daemon.reader.step()
 
     def check(self):
-        """All have what is in force, if any of them has it."""
+        """Check that all have the newest bundle if any of them has it."""
         newest = digest(self.accepted_bodies[-1])
         held = [
             daemon.reader.current and daemon.reader.current.digest
@@ -193,13 +195,13 @@
     world.core.truncate(CONFIG_STREAM, head - 6 - number % 24)
 
 
-async def step(world, number):
+async def step_reader(world, number):
     daemon = world.daemons[number % DAEMON_COUNT]
     daemon.limit = 1 + number // DAEMON_COUNT % 7
     await daemon.reader.step()
 
 
-async def cut(world, number):
+async def toggle_cut_off(world, number):
     world.cut ^= {number % DAEMON_COUNT}
 
 
@@ -225,8 +227,8 @@
         replay_record,
         append_partly_signed,
     ),
-    *(truncate_log, cut, toggle_muted, restart_empty, advance_clock),
-    *(step,) * 8,
+    *(truncate_log, toggle_cut_off, toggle_muted, restart_empty, advance_clock),
+    *(step_reader,) * 8,
 )
 MOVES = drawn.lists(
     drawn.tuples(drawn.sampled_from(ACTIONS), drawn.integers(0, 1000)),
@@ -255,5 +257,5 @@
         ends.append(world.daemons[0].reader.current is not None)
 
     agree()
-    # A world in which nothing is ever in force would prove nothing.
+    # Without bundles in force the property would hold trivially.
     assert sum(ends) * 2 > len(ends), ends
--- a/waxwingford/bundles/tests/reader.feature
+++ b/waxwingford/bundles/tests/reader.feature
@@ -1,131 +1,129 @@
 Feature: Bundle reader of a daemon
-  Symptom: a daemon goes back to limits that were replaced long ago.
-  Sequence: a VM starts empty, or was frozen; the log is away or has dropped
-  old records; an old record is appended again; a peer is behind.
-  Cause: the reader takes the first bundle that it meets.
+  Guards against a reader that reverts to an outdated bundle after a restart,
+  a pause, a log outage, dropped records or a replayed record.
 
-  Scenario: On its way to the head nothing old takes force
+  Scenario: No older version takes force before the head is reached
     Given the log holds bundle versions 1 to 9
     When a bundle reader starts and reads
     Then its bundles in force were "9"
 
-  Scenario: An empty VM waits for every daemon of its failure domain
+  Scenario: A daemon without a bundle waits for all of its failure domain
     Given the log holds bundle versions 1 to 3
-    And the log is away for bundle readers
+    And the log is unavailable for bundle readers
     And bundle peer "gulberg-1" has bundle version 2
-    And bundle peer "gulberg-2" is silent
+    And bundle peer "gulberg-2" does not answer
     And bundle peer "johar-1" has bundle version 3
     When a bundle reader starts and reads
     Then the bundle reader is not ready because "no answer from gulberg-2"
-    When bundle peer "gulberg-2" is there without a bundle
+    When bundle peer "gulberg-2" answers without a bundle
     And the bundle reader reads again
     Then its bundles in force were "3"
 
-  Scenario: Without the log a newer bundle of a peer is taken, an older is not
+  Scenario: During a log outage only a peer's newer bundle takes force
     Given the log holds bundle versions 1 to 3
-    And a bundle reader that read them
-    And the log is away for bundle readers
+    And a bundle reader that has read them
+    And the log is unavailable for bundle readers
     And bundle peer "gulberg-1" has bundle version 2
     When the bundle reader reads again
     Then its bundles in force were "3"
     When bundle peer "gulberg-1" has bundle version 5
     And the bundle reader reads again
     Then its bundles in force were "3, 5"
-    When the log is back and holds bundle versions up to 6
+    When the log is available and holds bundle versions up to 6
     And the bundle reader reads again
     Then its bundles in force were "3, 5, 6"
 
-  Scenario: A version that came too early does not win by way of a peer
+  Scenario: A version appended too early does not take force through a peer
     Given the log holds bundle versions 1 to 2
-    And a bundle reader that read them
+    And a bundle reader that has read them
     And version 4 is appended before version 3
-    And the log is away for bundle readers
+    And the log is unavailable for bundle readers
     And bundle peer "gulberg-1" has bundle version 3
     When the bundle reader reads again
-    And the log is back and holds bundle versions up to 2
+    And the log is available and holds bundle versions up to 2
     And the bundle reader reads again
     Then its bundles in force were "2, 3"
 
-  Scenario: An old bundle that is said again at the head is not taken
+  Scenario: A restated old version does not take force
     Given the log holds bundle versions 1 to 9
-    And the log restates version 9 and keeps nothing older
-    And version 2 is restated as if it were in force
+    And version 9 is restated and the log drops all older entries
+    And version 2 is wrongly restated at the head
     When a bundle reader starts and reads
     Then its bundles in force were "9"
 
-  Scenario: A restatement by a daemon that lagged does not hide newer versions
+  Scenario: A restatement by a lagging daemon does not hide newer versions
     Given the log holds bundle versions 1 to 5
-    And version 3 is restated by a daemon that has read 3 entries
-    And the log keeps only the last entry
-    And bundle peer "gulberg-1" is silent
+    And version 3 is restated by a daemon that has read only 3 entries
+    And the log has dropped all but the last entry
+    And bundle peer "gulberg-1" does not answer
     When a bundle reader starts and reads
     Then the bundle reader is not ready because "no proof of what governs"
 
-  Scenario: A first version that is appended again is not a first version
+  Scenario: A replayed version 1 does not take force
     Given the log holds bundle versions 1 to 3
-    And the log keeps nothing of that
+    And the log has dropped all entries
     And version 1 is appended again
-    And bundle peer "gulberg-1" is silent
+    And bundle peer "gulberg-1" does not answer
     When a bundle reader starts and reads
     And version 1 is appended again
     And the bundle reader reads again
     Then the bundle reader is not ready because "no proof of what governs"
 
-  Scenario: A lost racer does not win when the winner's record has aged out
+  Scenario: A losing version stays out after the winner's record is dropped
     Given the log holds bundle versions 1 to 3
-    And the log keeps nothing of that
-    And a racer of version 3 comes late, whole
-    And version 3 is restated as it should be
+    And the log has dropped all entries
+    And a competing version 3 is appended with its whole body
+    And version 3 is restated at the head
     When a bundle reader starts and reads
     Then its bundles in force were "3"
     And its digest is that of version 3
 
-  Scenario: A reader that was frozen past retention finds its place again
+  Scenario: A reader paused beyond the retention period continues at the head
     Given the log holds bundle versions 1 to 3
-    And a bundle reader that read them
-    And the log is back and holds bundle versions up to 70
-    And the log restates version 70 and keeps nothing older
+    And a bundle reader that has read them
+    And the log is available and holds bundle versions up to 70
+    And version 70 is restated and the log drops all older entries
     When the bundle reader reads again
     Then its bundles in force were "3, 70"
-    And the bundle reader noted "bundle.gap"
+    And the bundle reader recorded event "bundle.gap"
 
-  Scenario: A reader on a chain that lost comes back to the one that won
+  Scenario: A reader on a losing chain returns to the winning one
     Given the log holds bundle versions 1 to 3
-    And the log keeps nothing of that
-    And a lost racer of version 3 is restated as if it were in force
+    And the log has dropped all entries
+    And a losing version 3 is wrongly restated at the head
     When a bundle reader starts and reads
-    And the log is back and holds bundle versions up to 5
-    And version 5 is restated as it should be
+    And the log is available and holds bundle versions up to 5
+    And version 5 is restated at the head
     And the bundle reader reads again
     Then its bundles in force were "3, 5"
     And its digest is that of version 5
 
-  Scenario: What is in force is said again before it ages out
+  Scenario: The bundle in force is restated before its record is dropped
     Given the log holds bundle versions 1 to 3
-    And a bundle reader that read them
+    And a bundle reader that has read them
     When an hour passes with the bundle reader reading
-    And the log keeps only restatements
+    And the log drops everything but restatements
     And a second bundle reader starts and reads
     Then the bundles in force of both end with version 3
 
-  Scenario: A change that lost its acknowledgement is resolved by reading
+  Scenario: A lost acknowledgement is resolved by reading the log
     Given the log holds bundle versions 1 to 3
     And the log loses every acknowledgement
     When version 4 is published, and then published again
     Then both times it is in force
     And the log holds versions "1, 2, 3, 4"
 
-  Scenario: Operators state again what the log has lost, and only then
+  Scenario: Operators can restate only after the log has dropped all proof
     Given the log holds bundle versions 1 to 3
-    When version 4 is stated again by its operators
+    When version 4 is restated by operators
     Then publishing is refused with "the log proves what governs"
-    When the log loses all, and version 4 is stated again twice
+    When the log drops all entries and operators restate version 4 twice
     Then both times it is in force
     And the log holds versions "4"
     When a bundle reader starts and reads
     Then its bundles in force were "4"
 
-  Scenario: The loser of a race is told who won
+  Scenario: A losing publisher is told which version won
     Given the log holds bundle versions 1 to 3
-    When a racer wins between reading and appending of version 4
+    When a competing version 4 is appended between read and append
     Then publishing is refused with "version 4 was won by"
--- a/waxwingford/bundles/tests/reader_steps.py
+++ b/waxwingford/bundles/tests/reader_steps.py
@@ -32,7 +32,7 @@
 
 
 class FakePeers:
-    """Peers that answer as the scenario says."""
+    """Peers with answers set by the scenario."""
 
     def __init__(self):
         self.answer_by_id = {
@@ -43,8 +43,8 @@
         return dict(self.answer_by_id)
 
 
-class SmallReads(FakeLog):
-    """Log that gives few entries at once, so that a start takes many reads."""
+class SmallReadLog(FakeLog):
+    """Log that returns few entries per read, so that a start needs several."""
 
     async def read(self, stream, from_offset, limit, wait_ms=0):
         """Read at most three entries."""
@@ -52,12 +52,12 @@
 
 
 class ReaderFixture:
-    """A log, peers, and readers that write down what takes force."""
+    """A log, peers, and readers whose versions in force are recorded."""
 
     def __init__(self):
         self.clock = ManualClock()
         self.core = LogCore()
-        self.log = SmallReads(self.core, self.clock)
+        self.log = SmallReadLog(self.core, self.clock)
         self.peers = FakePeers()
         self.bodies = make_bodies(80)
         self.readers = []
@@ -110,14 +110,14 @@
     context.last = last
 
 
-@given('the log is away for bundle readers')
-def log_away(context):
+@given('the log is unavailable for bundle readers')
+def log_unavailable(context):
     context.rig.core.faults.outage = Outage.refuse
 
 
-@given('the log is back and holds bundle versions up to {last:d}')
-@when('the log is back and holds bundle versions up to {last:d}')
-def log_back(context, last):
+@given('the log is available and holds bundle versions up to {last:d}')
+@when('the log is available and holds bundle versions up to {last:d}')
+def log_available(context, last):
     context.rig.core.faults.outage = Outage.none
     context.rig.fill(context.last + 1, last)
 
@@ -129,17 +129,17 @@
     context.rig.peers.answer_by_id[name] = PeerBundle((payload,))
 
 
-@given('bundle peer "{name}" is silent')
-def peer_silent(context, name):
+@given('bundle peer "{name}" does not answer')
+def peer_unavailable(context, name):
     context.rig.peers.answer_by_id[name] = PeerSilent('down')
 
 
-@when('bundle peer "{name}" is there without a bundle')
-def peer_empty(context, name):
+@when('bundle peer "{name}" answers without a bundle')
+def peer_without_bundle(context, name):
     context.rig.peers.answer_by_id[name] = PeerBundle(())
 
 
-@given('the log restates version {version:d} and keeps nothing older')
+@given('version {version:d} is restated and the log drops all older entries')
 def restate_and_drop(context, version):
     head = context.rig.head()
     body = context.rig.bodies[version - 1]
@@ -147,26 +147,28 @@
     context.rig.core.truncate(CONFIG_STREAM, head)
 
 
-@given('version {version:d} is restated as it should be')
-@when('version {version:d} is restated as it should be')
-@given('version {version:d} is restated as if it were in force')
+@given('version {version:d} is restated at the head')
+@when('version {version:d} is restated at the head')
+@given('version {version:d} is wrongly restated at the head')
 def restate(context, version):
     body = context.rig.bodies[version - 1]
     context.rig.append(signed_payload(body, as_of=context.rig.head()))
 
 
-@given('version {version:d} is restated by a daemon that has read 3 entries')
-def restate_late(context, version):
+@given(
+    'version {version:d} is restated by a daemon that has read only 3 entries'
+)
+def restate_lagging(context, version):
     context.rig.append(signed_payload(context.rig.bodies[version - 1], as_of=3))
 
 
-@given('the log keeps only the last entry')
-def keep_last(context):
+@given('the log has dropped all but the last entry')
+def drop_all_but_last(context):
     context.rig.core.truncate(CONFIG_STREAM, context.rig.head() - 1)
 
 
-@given('the log keeps nothing of that')
-def keep_nothing(context):
+@given('the log has dropped all entries')
+def drop_all(context):
     context.rig.core.truncate(CONFIG_STREAM, context.rig.head())
 
 
@@ -176,25 +178,25 @@
     context.rig.append(signed_payload(context.rig.bodies[0]))
 
 
-@given('a racer of version {version:d} comes late, whole')
+@given('a competing version {version:d} is appended with its whole body')
 def append_competing(context, version):
     body = next_body(context.rig.bodies[version - 2], 77)
     context.rig.append(signed_payload(body))
 
 
 @given('version 4 is appended before version 3')
-def append_early(context):
+def append_out_of_order(context):
     context.rig.fill(4, 4)
     context.rig.fill(3, 3)
 
 
-@given('a lost racer of version 3 is restated as if it were in force')
+@given('a losing version 3 is wrongly restated at the head')
 def restate_competing(context):
     body = next_body(context.rig.bodies[1], 77)
     context.rig.append(signed_payload(body, as_of=context.rig.head()))
 
 
-@given('a bundle reader that read them')
+@given('a bundle reader that has read them')
 @when('a bundle reader starts and reads')
 @when('a second bundle reader starts and reads')
 def reader_starts(context):
@@ -214,8 +216,8 @@
         context.rig.step(1)
 
 
-@when('the log keeps only restatements')
-def keep_restatements(context):
+@when('the log drops everything but restatements')
+def drop_all_but_restatements(context):
     context.rig.core.truncate(CONFIG_STREAM, context.last)
 
 
@@ -234,15 +236,15 @@
 
 
 @then('the bundles in force of both end with version {version:d}')
-def both_end(context, version):
+def both_end_with(context, version):
     ends = [
         versions_in_force[-1:] for versions_in_force in context.rig.versions
     ]
     assert ends == [[version], [version]], ends
 
 
-@then('the bundle reader noted "{kind}"')
-def was_noted(context, kind):
+@then('the bundle reader recorded event "{kind}"')
+def event_recorded(context, kind):
     assert kind in context.rig.events, context.rig.events
 
 
@@ -280,13 +282,13 @@
     context.outcomes = [publish_body(rig, rig.log, body) for _ in range(2)]
 
 
-@when('version 4 is stated again by its operators')
+@when('version 4 is restated by operators')
 def restate_by_operators(context):
     body = context.rig.bodies[3]
     context.outcome = publish_body(context.rig, context.rig.log, body, True)
 
 
-@when('the log loses all, and version 4 is stated again twice')
+@when('the log drops all entries and operators restate version 4 twice')
 def truncate_and_restate(context):
     rig = context.rig
     rig.core.truncate(CONFIG_STREAM, rig.head())
@@ -309,20 +311,22 @@
     assert ', '.join(held) == versions, held
 
 
-class RacedLog(FakeLog):
-    """Log in which another operator's append always comes first."""
+class ContendedLog(FakeLog):
+    """Log in which a competing record is appended before each append."""
 
     async def append(self, stream, payload):
-        """Let the racer in first."""
-        await super().append(stream, self.racer)
+        """Append the competing record first."""
+        await super().append(stream, self.competing_payload)
         return await super().append(stream, payload)
 
 
-@when('a racer wins between reading and appending of version 4')
-def lose_race(context):
+@when('a competing version 4 is appended between read and append')
+def publish_contended(context):
     rig = context.rig
-    log = RacedLog(rig.core, rig.clock)
-    log.racer = signed_payload(next_body(rig.bodies[2], 66), rig.bodies[2])
+    log = ContendedLog(rig.core, rig.clock)
+    log.competing_payload = signed_payload(
+        next_body(rig.bodies[2], 66), rig.bodies[2]
+    )
     context.outcome = publish_body(rig, log, next_body(rig.bodies[2], 44))
 
 
