--- a/waxwingford/bundles/tests/interleavings_steps.py
+++ b/waxwingford/bundles/tests/interleavings_steps.py
@@ -69,10 +69,10 @@
 
     async def read(self, stream, from_offset, limit, wait_ms=0):
         """Read at most ``self.limit`` entries; fail when cut off."""
-        if self.slot in self.world.cut:
+        if self.slot in self.world.cut_off:
             return LogUnavailable('cut off')
-        small = min(limit, self.limit)
-        return await super().read(stream, from_offset, small, wait_ms)
+        read_limit = min(limit, self.limit)
+        return await super().read(stream, from_offset, read_limit, wait_ms)
 
     async def fetch(self, after_version):
         """Query the other daemons; muted ones do not answer."""
@@ -92,7 +92,7 @@
         """Publish version 1."""
         self.clock = ManualClock()
         self.core = LogCore()
-        self.cut = set()
+        self.cut_off = set()
         self.muted = set()
         self.body_by_payload = {}
         self.accepted_bodies = [first_body()]
@@ -128,7 +128,7 @@
 
     async def recover(self):
         """Reconnect all daemons and let them read to the head."""
-        self.cut.clear()
+        self.cut_off.clear()
         self.muted.clear()
         for _ in range(60):
             self.clock.advance(MINUTE_MS)
@@ -202,7 +202,7 @@
 
 
 async def toggle_cut_off(world, number):
-    world.cut ^= {number % DAEMON_COUNT}
+    world.cut_off ^= {number % DAEMON_COUNT}
 
 
 async def toggle_muted(world, number):
