--- a/waxwingford/bundles/tests/interleavings_steps.py
+++ b/waxwingford/bundles/tests/interleavings_steps.py
@@ -1,4 +1,4 @@
-"""Random interleavings of everything that can happen to bundles."""
+"""Property test of bundle readers under random interleavings."""
 
 import asyncio
 
@@ -15,89 +15,97 @@
     digest_of,
     encode_record,
 )
-from waxwingford.bundles.tests.chain_steps import REPLACE
+from waxwingford.bundles.tests.chain_steps import replace_fields
 from waxwingford.bundles.tests.consortium import (
     first_body,
+    make_reader,
     next_body,
-    payload_of,
-    reader_of,
-    record_of,
+    signed_payload,
+    signed_record,
 )
 from waxwingford.kernel import ManualClock
 from waxwingford.ports import LogUnavailable
 from waxwingford_standins.platform_log import FakeLog, LogCore
 
-SLOTS = 4
+DAEMON_COUNT = 4
 MINUTE_MS = 60_000
-ALL = 1000
+MAX_ENTRIES = 1000
 
 
 def digest(body):
     return digest_of(canonical_bytes(body))
 
 
-class Daemon(FakeLog):
-    """A daemon's reader with its own way to the log and to its peers."""
+class SimulatedDaemon(FakeLog):
+    """A bundle reader with its own connections to the log and to peers."""
 
     def __init__(self, world, slot):
-        """Start empty in a slot of the world."""
+        """Start without a bundle as daemon ``slot`` of the simulation."""
         super().__init__(world.core, world.clock)
         self.world = world
         self.slot = slot
-        self.limit = ALL
-        self.told = []
-        others = frozenset(f'd{other}' for other in range(SLOTS))
-        self.reader = reader_of(
+        self.limit = MAX_ENTRIES
+        self.versions_in_force = []
+        others = frozenset(f'd{other}' for other in range(DAEMON_COUNT))
+        self.reader = make_reader(
             self,
             self,
             world.clock,
             others - {f'd{slot}'},
-            self.hear,
+            self.on_in_force,
             lambda *_: None,
         )
 
-    def hear(self, seen):
+    def on_in_force(self, seen):
         """Check each bundle that takes force here."""
-        known = [digest(body) for body in self.world.truth]
-        assert seen.digest in known, f'd{self.slot} took a loser {seen}'
-        assert seen.version > max(self.told, default=0), 'went back'
-        self.told.append(seen.version)
+        known = [digest(body) for body in self.world.accepted_bodies]
+        assert seen.digest in known, (
+            f'd{self.slot} took a losing version {seen}'
+        )
+        assert seen.version > max(self.versions_in_force, default=0), (
+            'reverted to an older version'
+        )
+        self.versions_in_force.append(seen.version)
 
     async def read(self, stream, from_offset, limit, wait_ms=0):
-        """Read few entries at once, or none when cut off."""
-        if self.slot in self.world.cut:
+        """Read at most ``self.limit`` entries; fail when cut off."""
+        if self.slot in self.world.cut_off:
             return LogUnavailable('cut off')
-        small = min(limit, self.limit)
-        return await super().read(stream, from_offset, small, wait_ms)
+        read_limit = min(limit, self.limit)
+        return await super().read(stream, from_offset, read_limit, wait_ms)
 
     async def fetch(self, after_version):
-        """Ask the others; a muted one does not answer."""
+        """Query the other daemons; muted ones do not answer."""
         return {
             f'd{slot}': PeerSilent('muted')
             if slot in self.world.muted or self.slot in self.world.muted
             else PeerBundle(self.world.payloads(slot, after_version))
-            for slot in range(SLOTS)
+            for slot in range(DAEMON_COUNT)
             if slot != self.slot
         }
 
 
-class World:
-    """The log, what is truly in force, and the daemons."""
+class Simulation:
+    """The log, the chain of accepted bodies, and the daemons."""
 
     def __init__(self):
-        """Publish a first version."""
+        """Publish version 1."""
         self.clock = ManualClock()
         self.core = LogCore()
-        self.cut = set()
+        self.cut_off = set()
         self.muted = set()
         self.body_by_payload = {}
-        self.truth = [first_body()]
+        self.accepted_bodies = [first_body()]
         self.count = 100
-        self.publish(payload_of(self.truth[0]), self.truth[0])
-        self.daemons = [Daemon(self, slot) for slot in range(SLOTS)]
+        self.publish(
+            signed_payload(self.accepted_bodies[0]), self.accepted_bodies[0]
+        )
+        self.daemons = [
+            SimulatedDaemon(self, slot) for slot in range(DAEMON_COUNT)
+        ]
 
     def entries(self):
-        return self.core.read(CONFIG_STREAM, 0, ALL, 0)
+        return self.core.read(CONFIG_STREAM, 0, MAX_ENTRIES, 0)
 
     def payloads(self, slot, after_version):
         reader = self.daemons[slot].reader
@@ -105,32 +113,32 @@
         return (reader.whole_record(),) if newer else ()
 
     def publish(self, payload, body=None):
-        """Append, and write down whether it takes force."""
+        """Append, and track whether the record takes force."""
         self.clock.advance(10)
         self.core.append(CONFIG_STREAM, payload, self.clock.monotonic_ms())
         if body:
             self.body_by_payload[payload] = body
         body = self.body_by_payload.get(payload)
-        if body and body['predecessor'] == digest(self.truth[-1]):
-            self.truth.append(body)
+        if body and body['predecessor'] == digest(self.accepted_bodies[-1]):
+            self.accepted_bodies.append(body)
 
     def successor(self, before):
         self.count += 1
         return next_body(before, self.count)
 
-    async def heal(self):
-        """Let all read to the head and restate."""
-        self.cut.clear()
+    async def recover(self):
+        """Reconnect all daemons and let them read to the head."""
+        self.cut_off.clear()
         self.muted.clear()
         for _ in range(60):
             self.clock.advance(MINUTE_MS)
             for daemon in self.daemons:
-                daemon.limit = ALL
+                daemon.limit = MAX_ENTRIES
                 await daemon.reader.step()
 
     def check(self):
-        """All have what is in force, if any of them has it."""
-        newest = digest(self.truth[-1])
+        """Check that all have the newest bundle if any of them has it."""
+        newest = digest(self.accepted_bodies[-1])
         held = [
             daemon.reader.current and daemon.reader.current.digest
             for daemon in self.daemons
@@ -140,73 +148,87 @@
 
 
 async def publish(world, number):
-    body = world.successor(world.truth[-1])
-    base = world.truth[-1] if number % 2 else None
-    world.publish(payload_of(body, base), body)
+    body = world.successor(world.accepted_bodies[-1])
+    base = world.accepted_bodies[-1] if number % 2 else None
+    world.publish(signed_payload(body, base), body)
 
 
-async def race(world, number):
-    body = world.successor(world.truth[max(len(world.truth) - 2, 0)])
-    world.publish(payload_of(body), body)
+async def publish_competing(world, number):
+    body = world.successor(
+        world.accepted_bodies[max(len(world.accepted_bodies) - 2, 0)]
+    )
+    world.publish(signed_payload(body), body)
 
 
-async def orphan(world, number):
-    body = {**world.successor(world.truth[-1]), 'predecessor': 'ab' * 32}
+async def publish_orphan(world, number):
+    body = {
+        **world.successor(world.accepted_bodies[-1]),
+        'predecessor': 'ab' * 32,
+    }
     body['version'] += number % 3
-    world.publish(payload_of(body), body)
+    world.publish(signed_payload(body), body)
 
 
-async def early(world, number):
-    body = world.successor(world.truth[-1])
+async def publish_out_of_order(world, number):
+    body = world.successor(world.accepted_bodies[-1])
     after = world.successor(body)
-    world.publish(payload_of(after, body), after)
-    world.publish(payload_of(body), body)
+    world.publish(signed_payload(after, body), after)
+    world.publish(signed_payload(body), body)
 
 
-async def replay(world, number):
+async def replay_record(world, number):
     held = [entry.payload for entry in world.entries().entries]
     past = held or list(world.body_by_payload)
     world.publish(past[number % len(past)])
 
 
-async def forge(world, number):
-    record = record_of(world.successor(world.truth[-1]))
+async def append_partly_signed(world, number):
+    record = signed_record(world.successor(world.accepted_bodies[-1]))
     signed = {'qadri': record.signature_by_member['qadri']}
-    world.publish(encode_record(REPLACE(record, signature_by_member=signed)))
+    world.publish(
+        encode_record(replace_fields(record, signature_by_member=signed))
+    )
 
 
-async def drop(world, number):
+async def truncate_log(world, number):
     head = world.entries().next_offset
     world.core.truncate(CONFIG_STREAM, head - 6 - number % 24)
 
 
-async def step(world, number):
-    daemon = world.daemons[number % SLOTS]
-    daemon.limit = 1 + number // SLOTS % 7
+async def step_reader(world, number):
+    daemon = world.daemons[number % DAEMON_COUNT]
+    daemon.limit = 1 + number // DAEMON_COUNT % 7
     await daemon.reader.step()
 
 
-async def cut(world, number):
-    world.cut ^= {number % SLOTS}
+async def toggle_cut_off(world, number):
+    world.cut_off ^= {number % DAEMON_COUNT}
 
 
-async def mute(world, number):
-    world.muted ^= {number % SLOTS}
+async def toggle_muted(world, number):
+    world.muted ^= {number % DAEMON_COUNT}
 
 
-async def replace(world, number):
-    slot = number % SLOTS
-    world.daemons[slot] = Daemon(world, slot)
+async def restart_empty(world, number):
+    slot = number % DAEMON_COUNT
+    world.daemons[slot] = SimulatedDaemon(world, slot)
 
 
-async def wait(world, number):
+async def advance_clock(world, number):
     world.clock.advance((1 + number % 60) * MINUTE_MS)
 
 
 ACTIONS = (
-    *(publish, race, orphan, early, replay, forge),
-    *(drop, cut, mute, replace, wait),
-    *(step,) * 8,
+    *(
+        publish,
+        publish_competing,
+        publish_orphan,
+        publish_out_of_order,
+        replay_record,
+        append_partly_signed,
+    ),
+    *(truncate_log, toggle_cut_off, toggle_muted, restart_empty, advance_clock),
+    *(step_reader,) * 8,
 )
 MOVES = drawn.lists(
     drawn.tuples(drawn.sampled_from(ACTIONS), drawn.integers(0, 1000)),
@@ -216,10 +238,10 @@
 
 
 async def play(moves):
-    world = World()
+    world = Simulation()
     for action, number in moves:
         await action(world, number)
-    await world.heal()
+    await world.recover()
     world.check()
     return world
 
@@ -235,5 +257,5 @@
         ends.append(world.daemons[0].reader.current is not None)
 
     agree()
-    # A world in which nothing is ever in force would prove nothing.
+    # Without bundles in force the property would hold trivially.
     assert sum(ends) * 2 > len(ends), ends
--- a/waxwingford/bundles/tests/reader_steps.py
+++ b/waxwingford/bundles/tests/reader_steps.py
@@ -19,48 +19,50 @@
 )
 from waxwingford.bundles.tests.consortium import (
     TRUST,
-    bodies,
+    make_bodies,
+    make_reader,
     next_body,
-    payload_of,
-    reader_of,
-    record_of,
+    signed_payload,
+    signed_record,
 )
 from waxwingford.kernel import ManualClock
 from waxwingford_standins.platform_log import FakeLog, LogCore, Outage
 
-DOMAIN = frozenset(('gulberg-1', 'gulberg-2'))
+DOMAIN_DAEMONS = frozenset(('gulberg-1', 'gulberg-2'))
 
 
 class FakePeers:
-    """Peers that answer as the scenario says."""
+    """Peers with answers set by the scenario."""
 
     def __init__(self):
-        self.answer_by_id = {name: PeerSilent('down') for name in DOMAIN}
+        self.answer_by_id = {
+            name: PeerSilent('down') for name in DOMAIN_DAEMONS
+        }
 
     async def fetch(self, after_version):
         return dict(self.answer_by_id)
 
 
-class SmallReads(FakeLog):
-    """Log that gives few entries at once, so that a start takes many reads."""
+class SmallReadLog(FakeLog):
+    """Log that returns few entries per read, so that a start needs several."""
 
     async def read(self, stream, from_offset, limit, wait_ms=0):
         """Read at most three entries."""
         return await super().read(stream, from_offset, min(limit, 3), wait_ms)
 
 
-class Rig:
-    """A log, peers, and readers that write down what takes force."""
+class ReaderFixture:
+    """A log, peers, and readers whose versions in force are recorded."""
 
     def __init__(self):
         self.clock = ManualClock()
         self.core = LogCore()
-        self.log = SmallReads(self.core, self.clock)
+        self.log = SmallReadLog(self.core, self.clock)
         self.peers = FakePeers()
-        self.bodies = bodies(80)
+        self.bodies = make_bodies(80)
         self.readers = []
         self.versions = []
-        self.notes = []
+        self.events = []
 
     def append(self, payload):
         self.clock.advance(10)
@@ -73,19 +75,19 @@
         for version in range(first, last + 1):
             body = self.bodies[version - 1]
             before = self.bodies[version - 2] if version > 1 else None
-            self.append(payload_of(body, before))
+            self.append(signed_payload(body, before))
 
     def start(self):
-        told = []
-        self.versions.append(told)
+        versions_in_force = []
+        self.versions.append(versions_in_force)
         self.readers.append(
-            reader_of(
+            make_reader(
                 self.log,
                 self.peers,
                 self.clock,
-                DOMAIN,
-                lambda seen: told.append(seen.version),
-                lambda kind, *_: self.notes.append(kind),
+                DOMAIN_DAEMONS,
+                lambda seen: versions_in_force.append(seen.version),
+                lambda kind, *_: self.events.append(kind),
             )
         )
 
@@ -97,7 +99,7 @@
 
 @fixture
 def bundle_rig(context):
-    context.rig = Rig()
+    context.rig = ReaderFixture()
     yield context.rig
 
 
@@ -108,14 +110,14 @@
     context.last = last
 
 
-@given('the log is away for bundle readers')
-def log_away(context):
+@given('the log is unavailable for bundle readers')
+def log_unavailable(context):
     context.rig.core.faults.outage = Outage.refuse
 
 
-@given('the log is back and holds bundle versions up to {last:d}')
-@when('the log is back and holds bundle versions up to {last:d}')
-def log_back(context, last):
+@given('the log is available and holds bundle versions up to {last:d}')
+@when('the log is available and holds bundle versions up to {last:d}')
+def log_available(context, last):
     context.rig.core.faults.outage = Outage.none
     context.rig.fill(context.last + 1, last)
 
@@ -123,76 +125,78 @@
 @given('bundle peer "{name}" has bundle version {version:d}')
 @when('bundle peer "{name}" has bundle version {version:d}')
 def peer_has(context, name, version):
-    payload = payload_of(context.rig.bodies[version - 1])
+    payload = signed_payload(context.rig.bodies[version - 1])
     context.rig.peers.answer_by_id[name] = PeerBundle((payload,))
 
 
-@given('bundle peer "{name}" is silent')
-def peer_silent(context, name):
+@given('bundle peer "{name}" does not answer')
+def peer_unavailable(context, name):
     context.rig.peers.answer_by_id[name] = PeerSilent('down')
 
 
-@when('bundle peer "{name}" is there without a bundle')
-def peer_empty(context, name):
+@when('bundle peer "{name}" answers without a bundle')
+def peer_without_bundle(context, name):
     context.rig.peers.answer_by_id[name] = PeerBundle(())
 
 
-@given('the log restates version {version:d} and keeps nothing older')
+@given('version {version:d} is restated and the log drops all older entries')
 def restate_and_drop(context, version):
     head = context.rig.head()
     body = context.rig.bodies[version - 1]
-    context.rig.append(payload_of(body, as_of=head))
+    context.rig.append(signed_payload(body, as_of=head))
     context.rig.core.truncate(CONFIG_STREAM, head)
 
 
-@given('version {version:d} is restated as it should be')
-@when('version {version:d} is restated as it should be')
-@given('version {version:d} is restated as if it were in force')
+@given('version {version:d} is restated at the head')
+@when('version {version:d} is restated at the head')
+@given('version {version:d} is wrongly restated at the head')
 def restate(context, version):
     body = context.rig.bodies[version - 1]
-    context.rig.append(payload_of(body, as_of=context.rig.head()))
+    context.rig.append(signed_payload(body, as_of=context.rig.head()))
 
 
-@given('version {version:d} is restated by a daemon that has read 3 entries')
-def restate_late(context, version):
-    context.rig.append(payload_of(context.rig.bodies[version - 1], as_of=3))
+@given(
+    'version {version:d} is restated by a daemon that has read only 3 entries'
+)
+def restate_lagging(context, version):
+    context.rig.append(signed_payload(context.rig.bodies[version - 1], as_of=3))
 
 
-@given('the log keeps only the last entry')
-def keep_last(context):
+@given('the log has dropped all but the last entry')
+def drop_all_but_last(context):
     context.rig.core.truncate(CONFIG_STREAM, context.rig.head() - 1)
 
 
-@given('the log keeps nothing of that')
-def keep_nothing(context):
+@given('the log has dropped all entries')
+def drop_all(context):
     context.rig.core.truncate(CONFIG_STREAM, context.rig.head())
 
 
 @given('version 1 is appended again')
 @when('version 1 is appended again')
 def append_first(context):
-    context.rig.append(payload_of(context.rig.bodies[0]))
+    context.rig.append(signed_payload(context.rig.bodies[0]))
 
 
-@given('a racer of version {version:d} comes late, whole')
-def late_racer(context, version):
+@given('a competing version {version:d} is appended with its whole body')
+def append_competing(context, version):
     body = next_body(context.rig.bodies[version - 2], 77)
-    context.rig.append(payload_of(body))
+    context.rig.append(signed_payload(body))
 
 
 @given('version 4 is appended before version 3')
-def append_early(context):
+def append_out_of_order(context):
     context.rig.fill(4, 4)
     context.rig.fill(3, 3)
 
 
-@given('a lost racer of version 3 is restated as if it were in force')
-def forged_statement(context):
+@given('a losing version 3 is wrongly restated at the head')
+def restate_competing(context):
     body = next_body(context.rig.bodies[1], 77)
-    context.rig.append(payload_of(body, as_of=context.rig.head()))
+    context.rig.append(signed_payload(body, as_of=context.rig.head()))
 
 
-@given('a bundle reader that read them')
+@given('a bundle reader that has read them')
 @when('a bundle reader starts and reads')
 @when('a second bundle reader starts and reads')
 def reader_starts(context):
@@ -212,8 +216,8 @@
         context.rig.step(1)
 
 
-@when('the log keeps only restatements')
-def keep_restatements(context):
+@when('the log drops everything but restatements')
+def drop_all_but_restatements(context):
     context.rig.core.truncate(CONFIG_STREAM, context.last)
 
 
@@ -224,19 +228,24 @@
 
 @then('its bundles in force were "{versions}"')
 def were_in_force(context, versions):
-    told = ', '.join(map(str, context.rig.versions[-1]))
-    assert told == versions, (told, context.rig.readers[-1].readiness())
+    versions_in_force = ', '.join(map(str, context.rig.versions[-1]))
+    assert versions_in_force == versions, (
+        versions_in_force,
+        context.rig.readers[-1].readiness(),
+    )
 
 
 @then('the bundles in force of both end with version {version:d}')
-def both_end(context, version):
-    ends = [told[-1:] for told in context.rig.versions]
+def both_end_with(context, version):
+    ends = [
+        versions_in_force[-1:] for versions_in_force in context.rig.versions
+    ]
     assert ends == [[version], [version]], ends
 
 
-@then('the bundle reader noted "{kind}"')
-def was_noted(context, kind):
-    assert kind in context.rig.notes, context.rig.notes
+@then('the bundle reader recorded event "{kind}"')
+def event_recorded(context, kind):
+    assert kind in context.rig.events, context.rig.events
 
 
 @then('its digest is that of version {version:d}')
@@ -260,7 +269,7 @@
 def publish_body(rig, log, body, restate=False):
     bundle = Bundle.model_validate_json(canonical_bytes(body))
     whole = bundle.model_dump(mode='json')
-    signed = record_of(whole)
+    signed = signed_record(whole)
     return asyncio.run(
         publish(log, TRUST, bundle, signed.signature_by_member, restate)
     )
@@ -273,14 +282,14 @@
     context.outcomes = [publish_body(rig, rig.log, body) for _ in range(2)]
 
 
-@when('version 4 is stated again by its operators')
-def state_again(context):
+@when('version 4 is restated by operators')
+def restate_by_operators(context):
     body = context.rig.bodies[3]
     context.outcome = publish_body(context.rig, context.rig.log, body, True)
 
 
-@when('the log loses all, and version 4 is stated again twice')
-def lose_and_state(context):
+@when('the log drops all entries and operators restate version 4 twice')
+def truncate_and_restate(context):
     rig = context.rig
     rig.core.truncate(CONFIG_STREAM, rig.head())
     context.outcomes = [
@@ -302,20 +311,22 @@
     assert ', '.join(held) == versions, held
 
 
-class RacedLog(FakeLog):
-    """Log in which another operator's append always comes first."""
+class ContendedLog(FakeLog):
+    """Log in which a competing record is appended before each append."""
 
     async def append(self, stream, payload):
-        """Let the racer in first."""
-        await super().append(stream, self.racer)
+        """Append the competing record first."""
+        await super().append(stream, self.competing_payload)
         return await super().append(stream, payload)
 
 
-@when('a racer wins between reading and appending of version 4')
-def lose_race(context):
+@when('a competing version 4 is appended between read and append')
+def publish_contended(context):
     rig = context.rig
-    log = RacedLog(rig.core, rig.clock)
-    log.racer = payload_of(next_body(rig.bodies[2], 66), rig.bodies[2])
+    log = ContendedLog(rig.core, rig.clock)
+    log.competing_payload = signed_payload(
+        next_body(rig.bodies[2], 66), rig.bodies[2]
+    )
     context.outcome = publish_body(rig, log, next_body(rig.bodies[2], 44))
 
 
