--- a/waxwingford/batch/_appender.py
+++ b/waxwingford/batch/_appender.py
@@ -22,29 +22,29 @@
 from waxwingford.records import Record, RecordGroup
 
 #: Records in a group at most.
-_GROUP_RECORDS = 512
+_MAX_GROUP_RECORDS = 512
 #: Submissions in a group at most; with the bound of a job's payload a group
 #: stays below the log's 1 MiB.
-_GROUP_SUBMISSIONS = 8
+_MAX_GROUP_SUBMISSIONS = 8
 #: Longest interval between appends while the log refuses them.
-_SLOWEST_MS = 8000
+_MAX_APPEND_INTERVAL_MS = 8000
 _UNKNOWN_RETRY_MS = 2000
-_SLOW_DOWN = 2
+_BACKOFF_FACTOR = 2
 #: Taken off the interval at each append that succeeds.
-_SPEED_UP = 0.8
+_RECOVERY_FACTOR = 0.8
 
 
-class _Waiting(NamedTuple):
+class _PendingSubmission(NamedTuple):
     submission_id: int
     record: Record
 
 
 @dataclasses.dataclass(slots=True)
-class _InFlight:
+class _InFlightGroup:
     group: RecordGroup
-    waiting: tuple[_Waiting, ...]
+    submissions: tuple[_PendingSubmission, ...]
     keys: frozenset[Hashable]
-    may_have_landed: bool = False
+    may_be_appended: bool = False
     unknown_ms: int | None = None
 
 
@@ -60,21 +60,21 @@
         """
         self._writer = writer
         self._capacity = capacity
-        self._fastest_ms = every_ms
-        self._every_ms: float = every_ms
-        self._next_ms = 0
+        self._min_interval_ms = every_ms
+        self._interval_ms: float = every_ms
+        self._next_append_ms = 0
         self._sequence = itertools.count(1)
-        self._submissions: list[_Waiting] = []
+        self._submissions: list[_PendingSubmission] = []
         self._record_by_key: dict[Hashable, Record] = {}
-        self._in_flight: _InFlight | None = None
+        self._in_flight: _InFlightGroup | None = None
 
     def __len__(self) -> int:
         """Count what waits or is in flight.
 
         :returns: records.
         """
-        flying = len(self._in_flight.group.records) if self._in_flight else 0
-        return len(self._submissions) + len(self._record_by_key) + flying
+        in_flight = len(self._in_flight.group.records) if self._in_flight else 0
+        return len(self._submissions) + len(self._record_by_key) + in_flight
 
     @property
     def is_idle(self) -> bool:
@@ -94,9 +94,9 @@
         :returns: the refusal, if there is no room.
         """
         if len(self) >= self._capacity:
-            refusal = JobRefused('outbox full', int(self._every_ms))
+            refusal = JobRefused('outbox full', int(self._interval_ms))
             return [ReplySubmission(submission_id, refusal)]
-        self._submissions.append(_Waiting(submission_id, record))
+        self._submissions.append(_PendingSubmission(submission_id, record))
         return []
 
     def offer(self, key: Hashable, record: Record) -> None:
@@ -116,7 +116,7 @@
         :param now_ms: monotonic time.
         :returns: true if nothing is in flight and the interval has passed.
         """
-        return self._in_flight is None and now_ms >= self._next_ms
+        return self._in_flight is None and now_ms >= self._next_append_ms
 
     def build(self, claims: Iterable[Record], now_ms: int) -> list[Append]:
         """Put the next group in flight.
@@ -125,26 +125,26 @@
         :param now_ms: monotonic time.
         :returns: the append; nothing if there is nothing to append.
         """
-        waiting = tuple(self._submissions[:_GROUP_SUBMISSIONS])
-        keys = tuple(itertools.islice(self._record_by_key, _GROUP_RECORDS))
+        submissions = tuple(self._submissions[:_MAX_GROUP_SUBMISSIONS])
+        keys = tuple(itertools.islice(self._record_by_key, _MAX_GROUP_RECORDS))
         records = tuple(
             itertools.chain(
-                (item.record for item in waiting),
+                (submission.record for submission in submissions),
                 (self._record_by_key[key] for key in keys),
                 claims,
             ),
         )
         if not records:
             return []
-        del self._submissions[: len(waiting)]
+        del self._submissions[: len(submissions)]
         for key in keys:
             self._record_by_key.pop(key)
         group = RecordGroup(self._writer, next(self._sequence), records)
-        self._in_flight = _InFlight(group, waiting, frozenset(keys))
-        self._next_ms = now_ms + int(self._every_ms)
+        self._in_flight = _InFlightGroup(group, submissions, frozenset(keys))
+        self._next_append_ms = now_ms + int(self._interval_ms)
         return [Append(group)]
 
-    def note_result(
+    def handle_result(
         self, sequence: int, outcome: AppendOutcome, now_ms: int
     ) -> list[ReplySubmission]:
         """Take the outcome of the append.
@@ -154,35 +154,37 @@
         :param now_ms: monotonic time.
         :returns: replies that are final.
         """
-        flying = self._in_flight
-        if flying is None or flying.group.sequence != sequence:
+        in_flight = self._in_flight
+        if in_flight is None or in_flight.group.sequence != sequence:
             return []
         match outcome:
             case Appended():
-                flying.may_have_landed = True
-                speed = self._every_ms * _SPEED_UP
-                self._every_ms = max(self._fastest_ms, speed)
+                in_flight.may_be_appended = True
+                speed = self._interval_ms * _RECOVERY_FACTOR
+                self._interval_ms = max(self._min_interval_ms, speed)
                 return []
             case AppendRefused(retry_after_ms=retry_after_ms):
-                return self._note_refused(flying, retry_after_ms, now_ms)
-        flying.may_have_landed = True
-        flying.unknown_ms = now_ms
-        return self._reply_unknown(flying)
+                return self._handle_refused(in_flight, retry_after_ms, now_ms)
+        in_flight.may_be_appended = True
+        in_flight.unknown_ms = now_ms
+        return self._reply_unknown(in_flight)
 
-    def note_seen(self, group: RecordGroup) -> list[int]:
+    def handle_read(self, group: RecordGroup) -> list[int]:
         """Take a group that was read.
 
         :param group: any writer's.
         :returns: submissions to reply to by the verdicts, in order of records;
             empty for a group of another writer.
         """
-        flying = self._in_flight
-        if flying is None or group.writer != self._writer:
+        in_flight = self._in_flight
+        if in_flight is None or group.writer != self._writer:
             return []
-        if group.sequence != flying.group.sequence:
+        if group.sequence != in_flight.group.sequence:
             return []
         self._in_flight = None
-        return [item.submission_id for item in flying.waiting]
+        return [
+            submission.submission_id for submission in in_flight.submissions
+        ]
 
     def repeat(self, head_read_ms: int, now_ms: int) -> list[Append]:
         """Append a group of unknown outcome once more, if it is not there.
@@ -191,16 +193,19 @@
         :param now_ms: monotonic time.
         :returns: the append, if it is due.
         """
-        flying = self._in_flight
-        if flying is None or flying.unknown_ms is None:
+        in_flight = self._in_flight
+        if in_flight is None or in_flight.unknown_ms is None:
             return []
-        if head_read_ms <= flying.unknown_ms or now_ms < self._next_ms:
+        if (
+            head_read_ms <= in_flight.unknown_ms
+            or now_ms < self._next_append_ms
+        ):
             return []
-        flying.unknown_ms = None
-        self._next_ms = now_ms + _UNKNOWN_RETRY_MS
-        return [Append(flying.group)]
+        in_flight.unknown_ms = None
+        self._next_append_ms = now_ms + _UNKNOWN_RETRY_MS
+        return [Append(in_flight.group)]
 
-    def note_away(self, retry_after_ms: int) -> list[ReplySubmission]:
+    def fail_pending(self, retry_after_ms: int) -> list[ReplySubmission]:
         """Answer all that waits for a log that is away.
 
         :param retry_after_ms: when members may come back, in milliseconds.
@@ -208,38 +213,44 @@
         """
         refusal = JobRefused('the log is away', retry_after_ms)
         replies = [
-            ReplySubmission(item.submission_id, refusal)
-            for item in self._submissions
+            ReplySubmission(submission.submission_id, refusal)
+            for submission in self._submissions
         ]
         self._submissions.clear()
         if self._in_flight is not None:
             replies.extend(self._reply_unknown(self._in_flight))
         return replies
 
-    def _note_refused(
-        self, flying: _InFlight, retry_after_ms: int, now_ms: int
+    def _handle_refused(
+        self, in_flight: _InFlightGroup, retry_after_ms: int, now_ms: int
     ) -> list[ReplySubmission]:
-        slower_ms = self._every_ms * _SLOW_DOWN
-        self._every_ms = min(_SLOWEST_MS, slower_ms)
-        self._next_ms = now_ms + max(retry_after_ms, int(self._every_ms))
-        if flying.may_have_landed:
-            flying.unknown_ms = now_ms
+        slower_ms = self._interval_ms * _BACKOFF_FACTOR
+        self._interval_ms = min(_MAX_APPEND_INTERVAL_MS, slower_ms)
+        self._next_append_ms = now_ms + max(
+            retry_after_ms, int(self._interval_ms)
+        )
+        if in_flight.may_be_appended:
+            in_flight.unknown_ms = now_ms
             return []
         self._in_flight = None
-        refusal = JobRefused('the log refused it', self._next_ms - now_ms)
+        refusal = JobRefused(
+            'the log refused it', self._next_append_ms - now_ms
+        )
         return [
-            ReplySubmission(item.submission_id, refusal)
-            for item in flying.waiting
+            ReplySubmission(submission.submission_id, refusal)
+            for submission in in_flight.submissions
         ]
 
-    def _reply_unknown(self, flying: _InFlight) -> list[ReplySubmission]:
+    def _reply_unknown(
+        self, in_flight: _InFlightGroup
+    ) -> list[ReplySubmission]:
         unknown = JobUnknown(
             'the log did not answer; it may still be accepted',
             _UNKNOWN_RETRY_MS,
         )
         replies = [
-            ReplySubmission(item.submission_id, unknown)
-            for item in flying.waiting
+            ReplySubmission(submission.submission_id, unknown)
+            for submission in in_flight.submissions
         ]
-        flying.waiting = ()
+        in_flight.submissions = ()
         return replies
--- a/waxwingford/batch/_outcomes.py
+++ b/waxwingford/batch/_control_results.py
@@ -5,7 +5,7 @@
 from waxwingford.batch._messages import ControlResult
 from waxwingford.batch._server import (
     ServerControl,
-    note_server,
+    server_event,
     started_keys,
 )
 from waxwingford.batch._settings import BatchSettings
@@ -20,7 +20,7 @@
 _RETRY_MS = 250
 
 
-class OutcomeTaker:
+class ControlResultHandler:
     """Takes outcomes of exchanges into the servers' states."""
 
     def __init__(self, settings: BatchSettings, fleet: Fleet) -> None:
@@ -32,7 +32,7 @@
         self._settings = settings
         self._fleet = fleet
 
-    def note_result(self, result: ControlResult, now_ms: int) -> list[Effect]:
+    def handle_result(self, result: ControlResult, now_ms: int) -> list[Effect]:
         """Take the outcome of an exchange.
 
         An outcome of an earlier exchange, late or doubled, is passed over: it
@@ -51,13 +51,13 @@
         server.in_flight = None
         match result.outcome:
             case ControlGranted() as answer:
-                return self._take_grant(server, result, answer, now_ms)
+                return self._handle_granted(server, result, answer, now_ms)
             case ControlDenied() as denial:
-                return self._take_denial(server, denial, now_ms)
+                return self._handle_denied(server, denial, now_ms)
             case ControlUnknown() as unknown:
-                return self._take_unknown(server, control, unknown, now_ms)
+                return self._handle_unknown(server, control, unknown, now_ms)
 
-    def _take_grant(
+    def _handle_granted(
         self,
         server: ServerControl,
         result: ControlResult,
@@ -71,21 +71,21 @@
             result.sent_ms, now_ms, result.request.lease_ms, answer
         )
         server.take_grant(result.request, answer, changed)
-        _give_up_refused(server, answer)
-        _note_missing(server, result)
-        effects = _notes_started(server, result)
+        _abandon_refused(server, answer)
+        _require_epoch_for_lost_starts(server, result)
+        effects = _started_events(server, result)
         if handed_over:
             server.preference.note_tried(now_ms)
-            self._fleet.mark_try(server, now_ms)
+            self._fleet.schedule_acquisition(server, now_ms)
             self._fleet.released.append(server.vm.server_id)
             detail = f'epoch {answer.epoch}'
-            return [*effects, note_server('lease.given_up', server, detail)]
+            return [*effects, server_event('lease.given_up', server, detail)]
         next_ms = result.sent_ms + self._fleet.pace.renew_every_ms
         # An acquisition is followed at once by an exchange that renews the
         # task leases, whose last renewal was another holder's.
-        at_once = changed or server.is_dirty or lease.needs_new_epoch
-        server.is_dirty = False
-        self._fleet.push_due(
+        at_once = changed or server.exchange_requested or lease.needs_new_epoch
+        server.exchange_requested = False
+        self._fleet.reschedule(
             server, now_ms if at_once else max(now_ms, next_ms)
         )
         if was_held:
@@ -93,9 +93,9 @@
         server.preference.note_granted(now_ms)
         self._fleet.room_changed = True
         detail = f'epoch {answer.epoch}'
-        return [*effects, note_server('lease.acquired', server, detail)]
+        return [*effects, server_event('lease.acquired', server, detail)]
 
-    def _take_denial(
+    def _handle_denied(
         self, server: ServerControl, denial: ControlDenied, now_ms: int
     ) -> list[Effect]:
         was_held = server.lease.is_valid(now_ms)
@@ -103,12 +103,12 @@
         server.unreachable_since_ms = None
         if denial.holder != self._settings.writer:
             server.preference.note_tried(now_ms)
-        self._fleet.mark_try(server, now_ms + 1)
+        self._fleet.schedule_acquisition(server, now_ms + 1)
         if not was_held:
             return []
-        return [note_server('lease.lost', server, f'to {denial.holder}')]
+        return [server_event('lease.lost', server, f'to {denial.holder}')]
 
-    def _take_unknown(
+    def _handle_unknown(
         self,
         server: ServerControl,
         control: Control,
@@ -123,14 +123,14 @@
         if server.unreachable_since_ms is None:
             server.unreachable_since_ms = now_ms
         if server.lease.is_valid(now_ms):
-            self._fleet.push_due(server, now_ms + _RETRY_MS)
+            self._fleet.reschedule(server, now_ms + _RETRY_MS)
         else:
             server.preference.note_tried(now_ms)
-            self._fleet.mark_try(server, now_ms)
-        return [note_server('control.unknown', server, unknown.reason)]
+            self._fleet.schedule_acquisition(server, now_ms)
+        return [server_event('control.unknown', server, unknown.reason)]
 
 
-def _notes_started(
+def _started_events(
     server: ServerControl, result: ControlResult
 ) -> list[Effect]:
     return [
@@ -144,7 +144,9 @@
     ]
 
 
-def _note_missing(server: ServerControl, result: ControlResult) -> None:
+def _require_epoch_for_lost_starts(
+    server: ServerControl, result: ControlResult
+) -> None:
     # A start that the server took without naming the attempt: it may still
     # come up.  Only a new epoch tells.
     refused = {key for key, _ in result.outcome.refused}
@@ -153,10 +155,10 @@
         server.lease.needs_new_epoch = True
 
 
-def _give_up_refused(server: ServerControl, answer: ControlGranted) -> None:
+def _abandon_refused(server: ServerControl, answer: ControlGranted) -> None:
     for key, reason in answer.refused:
         if key in server.started and key not in server.report_by_key:
-            server.given_up_by_key[key] = AttemptEnded(
+            server.abandoned_by_key[key] = AttemptEnded(
                 key,
                 server.vm.server_id,
                 'absent' if answer.leaving else 'failed',
--- a/waxwingford/batch/_exchanges.py
+++ b/waxwingford/batch/_exchanges.py
@@ -3,9 +3,9 @@
 import itertools
 
 from waxwingford.batch._effects import Control, Effect
-from waxwingford.batch._fleet import LOWEST_RANK, Fleet
+from waxwingford.batch._fleet import MAX_ACQUIRE_RANK, Fleet
 from waxwingford.batch._plan import PlanInput, plan_exchange
-from waxwingford.batch._server import ServerControl, note_server
+from waxwingford.batch._server import ServerControl, server_event
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.ports import ControlRequest, Resources
 from waxwingford.records import DomainState, Record
@@ -13,7 +13,7 @@
 _NOTHING = Resources(0, 0, 0)
 #: Every so many answers one names all attempts, with their present run times;
 #: the others only those that changed.
-_WHOLE_EVERY = 6
+_ANSWERS_PER_FULL_REPORT = 6
 
 
 class Exchanges:
@@ -27,33 +27,37 @@
         """
         self._settings = settings
         self._fleet = fleet
-        self._exchange = itertools.count(1)
+        self._exchange_numbers = itertools.count(1)
 
     def advance(
         self,
         state: DomainState,
         head_read_ms: int,
         now_ms: int,
-        busy: frozenset[str],
+        claiming: frozenset[str],
     ) -> tuple[list[Effect], dict[object, Record]]:
         """Decide the exchanges that are due.
 
         :param state: fold of the domain's stream.
         :param head_read_ms: monotonic start of the last read to the head.
         :param now_ms: monotonic time.
-        :param busy: servers with claims in flight to the log, which are not
+        :param claiming: servers with claims in flight to the log, which are not
             given up just now.
         :returns: effects, and records to offer to the appender by key.
         """
         effects: list[Effect] = []
         record_by_key: dict[object, Record] = {}
-        for server in self._fleet.take_due(now_ms):
+        for server in self._fleet.pop_due(now_ms):
             if server.in_flight is not None:
-                server.is_dirty = True
+                server.exchange_requested = True
             else:
-                given = self._plan_input(server, state, head_read_ms, now_ms)
+                plan_input = self._plan_input(
+                    server, state, head_read_ms, now_ms
+                )
                 effects.extend(
-                    self._exchange_with(server, given, busy, record_by_key),
+                    self._exchange_with(
+                        server, plan_input, claiming, record_by_key
+                    ),
                 )
         return effects, record_by_key
 
@@ -79,36 +83,38 @@
     def _exchange_with(
         self,
         server: ServerControl,
-        given: PlanInput,
-        busy: frozenset[str],
+        plan_input: PlanInput,
+        claiming: frozenset[str],
         record_by_key: dict[object, Record],
     ) -> list[Effect]:
-        now_ms = given.now_ms
+        now_ms = plan_input.now_ms
         effects: list[Effect] = []
         if server.lease.note_time(now_ms):
-            effects.append(note_server('lease.lost', server, 'ran out'))
+            effects.append(server_event('lease.lost', server, 'ran out'))
         if server.lease.may_command(now_ms):
-            control = self._plan_held(server, given, busy, record_by_key)
-        elif self._may_ask(server, now_ms):
-            control = self._ask(server, now_ms)
+            control = self._plan_held(
+                server, plan_input, claiming, record_by_key
+            )
+        elif self._may_acquire(server, now_ms):
+            control = self._acquire(server, now_ms)
         else:
             if not server.lease.is_valid(now_ms):
-                self._fleet.mark_try(server, now_ms + 1)
+                self._fleet.schedule_acquisition(server, now_ms + 1)
             return effects
         server.in_flight = control
-        server.in_flight_offset = given.state.next_offset
+        server.in_flight_offset = plan_input.state.next_offset
         return [*effects, control]
 
-    def _may_ask(self, server: ServerControl, now_ms: int) -> bool:
+    def _may_acquire(self, server: ServerControl, now_ms: int) -> bool:
         if server.lease.is_valid(now_ms):
             return True
         if not (self._fleet.may_acquire and server.listed):
             return False
         is_turn = now_ms >= server.preference.next_try_ms()
-        may_try = server.preference.rank <= LOWEST_RANK
+        may_try = server.preference.rank <= MAX_ACQUIRE_RANK
         return is_turn and may_try
 
-    def _ask(self, server: ServerControl, now_ms: int) -> Control:
+    def _acquire(self, server: ServerControl, now_ms: int) -> Control:
         # No command goes with it: one that arrived late under an epoch that
         # this daemon does not know yet could not be told from a new one.
         server.lease.note_asked()
@@ -120,40 +126,42 @@
     def _plan_held(
         self,
         server: ServerControl,
-        given: PlanInput,
-        busy: frozenset[str],
+        plan_input: PlanInput,
+        claiming: frozenset[str],
         record_by_key: dict[object, Record],
     ) -> Control:
-        plan = plan_exchange(server, given)
+        plan = plan_exchange(server, plan_input)
         record_by_key.update(plan.record_by_key)
-        gives_up = self._gives_up(server, given.now_ms, busy)
-        if gives_up:
+        should_release = self._should_release(
+            server, plan_input.now_ms, claiming
+        )
+        if should_release:
             server.lease.note_handing_over()
-        known = server.known
-        if server.whole_answers_ago >= _WHOLE_EVERY:
-            known = 0
+        report_version = server.report_version
+        if server.answers_since_full_report >= _ANSWERS_PER_FULL_REPORT:
+            report_version = 0
         stamp_ms, good_for_ms = server.lease.good_for(plan.valid_until_ms)
         request = ControlRequest(
             self._settings.writer,
             server.lease.epoch,
-            0 if gives_up else given.pace.control_lease_ms,
-            () if known else tuple(plan.renew),
-            given.pace.task_lease_ms,
+            0 if should_release else plan_input.pace.control_lease_ms,
+            () if report_version else tuple(plan.renew),
+            plan_input.pace.task_lease_ms,
             tuple(plan.commands),
             stamp_ms,
             good_for_ms,
-            known,
-            server.not_in(plan.renew) if known else None,
+            report_version,
+            server.running_except(plan.renew) if report_version else None,
         )
         return self._control(server, request, plan.valid_until_ms)
 
-    def _gives_up(
-        self, server: ServerControl, now_ms: int, busy: frozenset[str]
+    def _should_release(
+        self, server: ServerControl, now_ms: int, claiming: frozenset[str]
     ) -> bool:
         if self._fleet.draining:
             return True
         return (
-            server.vm.server_id not in busy
+            server.vm.server_id not in claiming
             and server.preference.should_hand_over(now_ms)
         )
 
@@ -165,6 +173,6 @@
             server.vm.host,
             server.vm.port,
             request,
-            next(self._exchange),
+            next(self._exchange_numbers),
             until_ms,
         )
--- a/waxwingford/batch/_executor.py
+++ b/waxwingford/batch/_executor.py
@@ -20,7 +20,7 @@
 )
 from waxwingford.records import DomainState, encode_group
 
-_TOO_LATE = 'the lease ended before the request was sent'
+_LEASE_EXPIRED = 'the lease ended before the request was sent'
 
 
 def is_too_late(effect: Control, now_ms: int) -> bool:
@@ -59,7 +59,7 @@
         self._handle = handle
         self._generation = 0
 
-    def begin(self, generation: int) -> None:
+    def start_generation(self, generation: int) -> None:
         """Pass over the outcomes of an earlier controller from now on.
 
         :param generation: number of the controller.
@@ -78,13 +78,15 @@
         generation = self._generation
         sent_ms = self._clock.monotonic_ms()
         if is_too_late(effect, sent_ms):
-            outcome: ControlOutcome = ControlUnknown(_TOO_LATE, not_sent=True)
+            outcome: ControlOutcome = ControlUnknown(
+                _LEASE_EXPIRED, not_sent=True
+            )
         else:
             outcome = await self._send(effect, sent_ms)
         result = ControlResult(
             effect.server_id, effect.exchange, sent_ms, effect.request, outcome
         )
-        self._hand_back(generation, result)
+        self._deliver(generation, result)
 
     async def append(self, effect: Append) -> None:
         """Append a group to the domain's stream.
@@ -96,9 +98,7 @@
             f'domain/{self._settings.failure_domain}',
             encode_group(effect.group),
         )
-        self._hand_back(
-            generation, AppendResult(effect.group.sequence, outcome)
-        )
+        self._deliver(generation, AppendResult(effect.group.sequence, outcome))
 
     async def snapshot(self, state: DomainState) -> None:
         """Write a snapshot and report it once it stands.
@@ -108,9 +108,9 @@
         generation = self._generation
         covers_offset = state.next_offset
         stream = f'snapshots/{self._settings.failure_domain}'
-        problem = await write_snapshot(self._log, stream, state)
-        if not problem:
-            self._hand_back(generation, SnapshotWritten(covers_offset))
+        failure = await write_snapshot(self._log, stream, state)
+        if not failure:
+            self._deliver(generation, SnapshotWritten(covers_offset))
 
     async def _send(self, effect: Control, sent_ms: int) -> ControlOutcome:
         require(
@@ -125,6 +125,6 @@
             self._settings.control_timeout_ms,
         )
 
-    def _hand_back(self, generation: int, message: Message) -> None:
+    def _deliver(self, generation: int, message: Message) -> None:
         if generation == self._generation:
             self._handle(message)
--- a/waxwingford/batch/_fleet.py
+++ b/waxwingford/batch/_fleet.py
@@ -15,7 +15,7 @@
 from waxwingford.ports import Resources, Vm
 
 #: Daemons of a lower rank leave a server alone.
-LOWEST_RANK = 2
+MAX_ACQUIRE_RANK = 2
 
 
 class _Due(NamedTuple):
@@ -28,7 +28,7 @@
 
     :ivar server_by_id: every server ever listed that still matters.
     :ivar alive: daemons that seem alive, this one among them.
-    :ivar knows_alive: whether anything was heard of the other daemons; until
+    :ivar knows_peers: whether anything was heard of the other daemons; until
         then no lease is acquired, lest a daemon that starts takes them all.
     :ivar is_ready: whether the stream was read to its head; a daemon that does
         not know the claims could only let the tasks of a server lapse.
@@ -46,7 +46,7 @@
         """
         self.server_by_id: dict[str, ServerControl] = {}
         self.alive = frozenset((settings.daemon_id,))
-        self.knows_alive = False
+        self.knows_peers = False
         self.is_ready = False
         self.room_changed = False
         self.released: list[str] = []
@@ -79,7 +79,7 @@
             server.vm = vm
             server.listed = True
             server.view = None
-            self.mark_due(vm.server_id, now_ms)
+            self.schedule_exchange(vm.server_id, now_ms)
 
     def _unlist(self, server_id: str, now_ms: int) -> None:
         server = self.server_by_id[server_id]
@@ -94,15 +94,15 @@
         :param now_ms: monotonic time.
         """
         alive = frozenset(daemon_ids) | {self._settings.daemon_id}
-        if alive == self.alive and self.knows_alive:
+        if alive == self.alive and self.knows_peers:
             return
         self.alive = alive
-        self.knows_alive = True
+        self.knows_peers = True
         self._rank_servers(self.server_by_id)
         for server_id, server in self.server_by_id.items():
             server.preference.update(self.rank(server_id), now_ms)
             if not server.lease.is_valid(now_ms):
-                self.mark_try(server, now_ms)
+                self.schedule_acquisition(server, now_ms)
 
     @property
     def may_acquire(self) -> bool:
@@ -110,9 +110,9 @@
 
         :returns: whether this daemon knows enough and goes on.
         """
-        return self.knows_alive and self.is_ready and not self.draining
+        return self.knows_peers and self.is_ready and not self.draining
 
-    def note_ready(self, now_ms: int) -> None:
+    def mark_ready(self, now_ms: int) -> None:
         """Note that the stream was read to its head.
 
         :param now_ms: monotonic time.
@@ -121,7 +121,7 @@
             return
         self.is_ready = True
         for server in self.server_by_id.values():
-            self.mark_try(server, now_ms)
+            self.schedule_acquisition(server, now_ms)
 
     def rank(self, subject: str) -> int:
         """Rank this daemon for a subject.
@@ -148,7 +148,7 @@
         self.pace = self._settings.pace(len(held))
         return held
 
-    def mark_due(self, server_id: str, due_ms: int) -> None:
+    def schedule_exchange(self, server_id: str, due_ms: int) -> None:
         """Let the next exchange with a server come no later than given.
 
         :param server_id: which server.
@@ -156,9 +156,9 @@
         """
         server = self.server_by_id.get(server_id)
         if server is not None and (due_ms < server.due_ms or not server.due_ms):
-            self.push_due(server, due_ms)
+            self.reschedule(server, due_ms)
 
-    def touch(self, server_id: str) -> None:
+    def invalidate_view(self, server_id: str) -> None:
         """Note that a server's claims or condition changed.
 
         :param server_id: which server; one that is not known is passed over.
@@ -183,9 +183,9 @@
             Preference(settings.times, self.rank(vm.server_id), now_ms),
         )
         self.server_by_id[vm.server_id] = server
-        self.mark_try(server, now_ms)
+        self.schedule_acquisition(server, now_ms)
 
-    def take_due(self, now_ms: int) -> Iterator[ServerControl]:
+    def pop_due(self, now_ms: int) -> Iterator[ServerControl]:
         """Take the servers whose exchange is due.
 
         :param now_ms: monotonic time.
@@ -198,7 +198,7 @@
                 server.due_ms = 0
                 yield server
 
-    def push_due(self, server: ServerControl, due_ms: int) -> None:
+    def reschedule(self, server: ServerControl, due_ms: int) -> None:
         """Set when the next exchange with a server is due.
 
         :param server: which server.
@@ -207,13 +207,13 @@
         server.due_ms = max(1, due_ms)
         heapq.heappush(self._due, _Due(server.due_ms, server.vm.server_id))
 
-    def mark_try(self, server: ServerControl, now_ms: int) -> None:
+    def schedule_acquisition(self, server: ServerControl, now_ms: int) -> None:
         """Let this daemon try for a lease when it is its turn.
 
         :param server: which server.
         :param now_ms: monotonic time.
         """
-        tries = server.preference.rank <= LOWEST_RANK and self.may_acquire
+        tries = server.preference.rank <= MAX_ACQUIRE_RANK and self.may_acquire
         if tries:
             next_try_ms = max(now_ms, server.preference.next_try_ms())
-            self.push_due(server, next_try_ms)
+            self.reschedule(server, next_try_ms)
--- a/waxwingford/batch/_waits.py
+++ b/waxwingford/batch/_pending_reason.py
@@ -8,10 +8,10 @@
 from waxwingford.records import DomainState, TaskStage, TaskState
 
 #: Servers named in one reason.
-_SERVERS_SHOWN = 8
+_MAX_SERVERS_SHOWN = 8
 
 
-def why_waits(
+def pending_reason(
     task: TaskState,
     state: DomainState,
     fleet: Fleet,
@@ -33,14 +33,14 @@
         never_fits(task.job.spec, fleet),
         f'the log is away: {log_away}' if log_away else '',
         Limits(state, placer.bundle).reason(task),
-        _turn_reason(task, placer),
+        _share_reason(task, placer),
         _server_reason(task, placer),
     )
     first = next((reason for reason in reasons if reason), '')
     return first or _room_reason(task, placer)
 
 
-def _turn_reason(task: TaskState, placer: Placer) -> str:
+def _share_reason(task: TaskState, placer: Placer) -> str:
     offers = placer.queue.offers(task.next_key)
     if offers is None or offers:
         return ''
@@ -56,11 +56,13 @@
 
 
 def _server_reason(task: TaskState, placer: Placer) -> str:
-    out = placer.in_quarantine()
-    failed = [name for name in task.failed_on if name not in out]
+    quarantined = placer.quarantined_servers()
+    failed = [name for name in task.failed_on if name not in quarantined]
     failed_on = f'failed on {_names(failed)}: {task.detail}' if failed else ''
-    set_aside = f'quarantine of {_names(sorted(out))}' if out else ''
-    causes = [cause for cause in (failed_on, set_aside) if cause]
+    quarantine_reason = (
+        f'quarantine of {_names(sorted(quarantined))}' if quarantined else ''
+    )
+    causes = [cause for cause in (failed_on, quarantine_reason) if cause]
     if not causes:
         return ''
     return f'no room on the other servers; {"; ".join(causes)}'
@@ -68,9 +70,9 @@
 
 def _room_reason(task: TaskState, placer: Placer) -> str:
     spec = task.job.spec
-    given = placer.trackers.given(spec)
-    size = f'{tuple(given)}'
-    if given != spec.resources:
+    allocation = placer.trackers.allocation(spec)
+    size = f'{tuple(allocation)}'
+    if allocation != spec.resources:
         size = f'{size}, measured; {tuple(spec.resources)} was declared'
     reason = f'no room: waits for a server with enough left ({size})'
     if placer.queue.offers(task.next_key) is None:
@@ -79,6 +81,6 @@
 
 
 def _names(servers: list[str]) -> str:
-    rest = len(servers) - _SERVERS_SHOWN
+    rest = len(servers) - _MAX_SERVERS_SHOWN
     more = f' and {rest} more' if rest > 0 else ''
-    return f'{", ".join(servers[:_SERVERS_SHOWN])}{more}'
+    return f'{", ".join(servers[:_MAX_SERVERS_SHOWN])}{more}'
--- a/waxwingford/batch/_placer.py
+++ b/waxwingford/batch/_placer.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Mapping
 
-from waxwingford.batch._checked import CheckedPlacements
 from waxwingford.batch._effects import Note
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._messages import BundleSettings
@@ -14,12 +13,13 @@
     view_pending,
     view_server,
 )
-from waxwingford.batch._queue import PendingQueue, ViewTask
+from waxwingford.batch._queue import PendingQueue, PendingViewFactory
 from waxwingford.batch._quotas import Limits
-from waxwingford.batch._reactions import take_reaction
+from waxwingford.batch._reactions import apply_reaction
 from waxwingford.batch._server import ServerControl
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.batch._trackers import Trackers
+from waxwingford.batch._validation import PlacementValidator
 from waxwingford.placement import (
     ColocationPolicy,
     PendingTask,
@@ -34,9 +34,9 @@
 )
 
 #: Pending tasks shown to the policy in one round.
-_ROUND_TASKS = 128
+_MAX_ROUND_TASKS = 128
 #: A round that placed nothing is followed by one without a change after this.
-_FRUITLESS_ROUND_MS = 5000
+_IDLE_ROUND_INTERVAL_MS = 5000
 _NOTHING = Resources(0, 0, 0)
 _EMPTY_BUNDLE = BundleSettings({}, {}, {})
 
@@ -76,12 +76,12 @@
         :raises UnknownPlugin: if no policy has the name.
         """
         factory = policies.get(bundle.policy)
-        same = (bundle.policy, bundle.weights_by_service) == (
+        is_same_policy = (bundle.policy, bundle.weights_by_service) == (
             self.bundle.policy,
             self.bundle.weights_by_service,
         )
         # A policy that is kept keeps what it learned.
-        if self._policy is None or not same:
+        if self._policy is None or not is_same_policy:
             self._policy = factory(bundle.weights_by_service, seed)
         self.bundle = bundle
         self._fleet.room_changed = True
@@ -97,10 +97,10 @@
         :param now_ms: monotonic time.
         """
         rank = self._fleet.rank(task.task_id)
-        due_ms = now_ms + rank * self._steal_ms(task)
+        due_ms = now_ms + rank * self._rank_delay_ms(task)
         self.queue.add(task, now_ms, due_ms)
 
-    def _steal_ms(self, task: TaskState) -> int:
+    def _rank_delay_ms(self, task: TaskState) -> int:
         # The daemon ranked first may hold no server, or none with room: urgent
         # work then waited three seconds for the next one.  A lost race costs
         # one claim that is not valid, which few urgent tasks can afford.
@@ -108,7 +108,7 @@
             return self._settings.urgent_steal_ms
         return self._settings.steal_ms
 
-    def round(
+    def place_round(
         self, state: DomainState, now_ms: int, wall_ms: int
     ) -> tuple[list[TasksClaimed], list[Note]]:
         """Choose what to claim now.
@@ -120,30 +120,30 @@
         """
         # Without a change, what found no place before finds none now; rounds
         # over a long queue would cost most of the daemon's processor time.
-        if not self._may_place_more(now_ms):
+        if not self._is_round_due(now_ms):
             return [], []
         limits = Limits(state, self.bundle)
         view = self._view_pending(wall_ms)
-        offers = self.queue.take(_ROUND_TASKS, now_ms, limits, view)
+        offers = self.queue.take(_MAX_ROUND_TASKS, now_ms, limits, view)
         if not offers or self._policy is None:
             return [], []
-        held = self._placeable(state, now_ms)
+        held = self._eligible_servers(state, now_ms)
         views = self.views(state, held, wall_ms)
         pending = [offer.view for offer in offers]
         quarantine = self.trackers.quarantine
-        checked = CheckedPlacements(views, limits, quarantine, now_ms)
-        checked.take_all(self._policy.place(pending, views, now_ms), offers)
-        self.queue.put_back(checked.left, now_ms, view)
-        for placement, _ in checked.placed:
+        validator = PlacementValidator(views, limits, quarantine, now_ms)
+        validator.validate(self._policy.place(pending, views, now_ms), offers)
+        self.queue.record_unplaced(validator.unplaced, now_ms, view)
+        for placement, _ in validator.placed:
             self.queue.drop(placement.key, now_ms, view)
-        if checked.placed:
+        if validator.placed:
             self._next_round_ms = now_ms
-        claims = build_claims(checked.placed, held, self._settings)
+        claims = build_claims(validator.placed, held, self._settings)
         for claim in claims:
             require_held(held[claim.server_id], now_ms)
         reserved = self.bundle.reserved_by_service
         require_capacity(claims, state, held, reserved)
-        return claims, checked.notes
+        return claims, validator.notes
 
     def observe(
         self,
@@ -187,7 +187,7 @@
         return [
             note
             for reaction in reactions
-            for note in take_reaction(
+            for note in apply_reaction(
                 self._fleet, state, held, reaction, now_ms
             )
         ]
@@ -205,16 +205,16 @@
         :param wall_ms: wall time.
         :returns: views in order of ids.
         """
-        quarantined = self.in_quarantine()
+        quarantined = self.quarantined_servers()
         for server_id in quarantined ^ self._quarantined:
-            self._fleet.touch(server_id)
+            self._fleet.invalidate_view(server_id)
         self._quarantined = quarantined
         return [
             self._view(server_id, held[server_id], state, wall_ms)
             for server_id in sorted(held)
         ]
 
-    def in_quarantine(self) -> frozenset[str]:
+    def quarantined_servers(self) -> frozenset[str]:
         """List the servers that get at most probation tasks.
 
         :returns: their names; none where the bundle switches it off.
@@ -257,7 +257,7 @@
             )
         return server.view
 
-    def _placeable(
+    def _eligible_servers(
         self, state: DomainState, now_ms: int
     ) -> dict[str, ServerControl]:
         return {
@@ -271,11 +271,11 @@
 
     def _may_use(self, server_id: str, now_ms: int) -> bool:
         return (
-            server_id not in self.in_quarantine()
+            server_id not in self.quarantined_servers()
             or self.trackers.quarantine.may_probe(server_id, now_ms)
         )
 
-    def _view_pending(self, wall_ms: int) -> ViewTask:
+    def _view_pending(self, wall_ms: int) -> PendingViewFactory:
         servers = len(self._fleet.server_by_id)
 
         def _view(task: TaskState, waiting_ms: int) -> PendingTask:
@@ -285,10 +285,10 @@
 
         return _view
 
-    def _may_place_more(self, now_ms: int) -> bool:
+    def _is_round_due(self, now_ms: int) -> bool:
         has_new = self.queue.has_due(now_ms) or self._fleet.room_changed
         if not has_new and now_ms < self._next_round_ms:
             return False
         self._fleet.room_changed = False
-        self._next_round_ms = now_ms + _FRUITLESS_ROUND_MS
+        self._next_round_ms = now_ms + _IDLE_ROUND_INTERVAL_MS
         return True
--- a/waxwingford/batch/_placing.py
+++ b/waxwingford/batch/_placing.py
@@ -64,7 +64,7 @@
         spec.member,
         spec.team,
         spec.kind,
-        trackers.given(spec),
+        trackers.allocation(spec),
         trackers.run_left_ms(task),
         spec.priority,
         waiting_ms,
@@ -120,7 +120,7 @@
         spec.member,
         spec.team,
         spec.kind,
-        trackers.given(spec),
+        trackers.allocation(spec),
         report.ran_ms if report else 0,
         report.throttled if report else False,
         slack_ms(task, trackers, wall_ms),
@@ -226,8 +226,8 @@
         )
 
 
-_first_of = operator.itemgetter(0)
+_get_placement = operator.itemgetter(0)
 
 
 def _server_of(placed: tuple[Placement, TaskState]) -> str:
-    return _first_of(placed).server_id
+    return _get_placement(placed).server_id
--- a/waxwingford/batch/_plan.py
+++ b/waxwingford/batch/_plan.py
@@ -30,113 +30,119 @@
 )
 
 #: A stop or checkpoint that shows no effect is commanded again after this.
-_COMMAND_AGAIN_MS = 6000
+_COMMAND_RETRY_MS = 6000
 _NOTHING = Resources(0, 0, 0)
 #: Keys of a server's epoch kept before those that are over are dropped.
-_KEYS_KEPT = 64
+_PRUNE_THRESHOLD = 64
 
 
-def plan_exchange(server: ServerControl, given: PlanInput) -> Plan:
+def plan_exchange(server: ServerControl, plan_input: PlanInput) -> Plan:
     """Decide what the next exchange with a held server carries.
 
     :param server: a server whose lease is held; what is commanded is noted.
-    :param given: state, time and settings.
+    :param plan_input: state, time and settings.
     :returns: the plan.
     """
     plan = Plan(server.lease.until_ms)
     for report in server.report_by_key.values():
-        _plan_reported(server, given, plan, report)
-    attempts = given.state.index.attempts_by_server.get(server.vm.server_id, {})
+        _plan_reported(server, plan_input, plan, report)
+    attempts = plan_input.state.index.attempts_by_server.get(
+        server.vm.server_id, {}
+    )
     for task in attempts.values():
         if task.key not in server.report_by_key:
-            _plan_claimed(server, given, plan, task)
+            _plan_claimed(server, plan_input, plan, task)
     plan.commands.extend(
         ThrottleTask(key, percent)
         for key, percent in server.percent_by_key.items()
         if server.is_running(key)
     )
     server.percent_by_key.clear()
-    _prune_started(server, given.state)
+    _prune_started(server, plan_input.state)
     return plan
 
 
 def _prune_started(server: ServerControl, state: DomainState) -> None:
     # An attempt that is over is never claimed again, so it needs no memory.
-    if len(server.started) + len(server.given_up_by_key) < _KEYS_KEPT:
+    if len(server.started) + len(server.abandoned_by_key) < _PRUNE_THRESHOLD:
         return
     server_id = server.vm.server_id
     server.started = {
         key for key in server.started if state.claimed(key, server_id)
     }
-    server.given_up_by_key = {
+    server.abandoned_by_key = {
         key: record
-        for key, record in server.given_up_by_key.items()
+        for key, record in server.abandoned_by_key.items()
         if state.claimed(key, server_id)
     }
 
 
 def _plan_reported(
-    server: ServerControl, given: PlanInput, plan: Plan, report: TaskReport
+    server: ServerControl, plan_input: PlanInput, plan: Plan, report: TaskReport
 ) -> None:
-    task = given.state.claimed(report.key, server.vm.server_id)
+    task = plan_input.state.claimed(report.key, server.vm.server_id)
     if task is None:
-        _plan_unclaimed(server, given, plan, report)
+        _plan_unclaimed(server, plan_input, plan, report)
     elif report.phase == TaskPhase.running:
-        _plan_running(server, given, plan, task)
+        _plan_running(server, plan_input, plan, task)
     else:
         plan.record_by_key[report.key] = _ended(server, report)
 
 
 def _plan_unclaimed(
-    server: ServerControl, given: PlanInput, plan: Plan, report: TaskReport
+    server: ServerControl, plan_input: PlanInput, plan: Plan, report: TaskReport
 ) -> None:
     key = report.key
-    since_ms = server.unclaimed_since_ms.setdefault(key, given.now_ms)
+    since_ms = server.unclaimed_since_ms.setdefault(key, plan_input.now_ms)
     is_running = report.phase == TaskPhase.running
     plan.has_unclaimed = plan.has_unclaimed or is_running
     # A claim that this daemon has not read yet stood in the log before the
     # server could name the attempt: a read to the head that began since would
     # have shown it.
     known = (
-        is_over(given.state, key, server.vm.server_id)
-        or given.head_read_ms > since_ms
+        is_over(plan_input.state, key, server.vm.server_id)
+        or plan_input.head_read_ms > since_ms
     )
     if not known:
         return
     if is_running:
-        _command(server, given, plan, StopTask(key))
+        _command(server, plan_input, plan, StopTask(key))
     else:
         plan.commands.append(ForgetTask(key))
 
 
 def _plan_running(
-    server: ServerControl, given: PlanInput, plan: Plan, task: TaskState
+    server: ServerControl, plan_input: PlanInput, plan: Plan, task: TaskState
 ) -> None:
     plan.running = add_resources(plan.running, task.resources)
     if task.suspected_offset != NOT_SUSPECTED:
-        alive = AttemptAlive((task.key,), given.settings.writer)
+        alive = AttemptAlive((task.key,), plan_input.settings.writer)
         plan.record_by_key['alive', task.key] = alive
-    if _may_renew(given, plan, task):
+    if _may_renew(plan_input, plan, task):
         plan.renew.append(task.key)
     if task.job.cancelled or task.key in server.stopping:
-        _command(server, given, plan, StopTask(task.key))
+        _command(server, plan_input, plan, StopTask(task.key))
     elif server.leaving or task.key in server.evicting:
-        _command(server, given, plan, CheckpointTask(task.key))
+        _command(server, plan_input, plan, CheckpointTask(task.key))
 
 
 def _plan_claimed(
-    server: ServerControl, given: PlanInput, plan: Plan, task: TaskState
+    server: ServerControl, plan_input: PlanInput, plan: Plan, task: TaskState
 ) -> None:
     claimed_under = (task.epoch, task.boot_id, task.holder)
     lease = server.lease
-    if claimed_under == (lease.epoch, lease.boot_id, given.settings.writer):
-        given_up = server.given_up_by_key.get(task.key)
-        if given_up is not None:
-            plan.record_by_key[task.key] = given_up
+    if claimed_under == (
+        lease.epoch,
+        lease.boot_id,
+        plan_input.settings.writer,
+    ):
+        abandoned = server.abandoned_by_key.get(task.key)
+        if abandoned is not None:
+            plan.record_by_key[task.key] = abandoned
         elif task.key not in server.started:
-            _plan_start(server, given, plan, task)
+            _plan_start(server, plan_input, plan, task)
         return
-    if _is_proved_absent(server, task):
+    if _is_proven_absent(server, task):
         plan.record_by_key[task.key] = AttemptEnded(
             task.key,
             server.vm.server_id,
@@ -145,7 +151,7 @@
         )
 
 
-def _is_proved_absent(server: ServerControl, task: TaskState) -> bool:
+def _is_proven_absent(server: ServerControl, task: TaskState) -> bool:
     # The answer must be to an exchange that was decided after the claim was
     # read.  Otherwise a late answer of an earlier boot or epoch would speak
     # of an attempt that a later holder has started since.
@@ -157,43 +163,43 @@
 
 
 def _plan_start(
-    server: ServerControl, given: PlanInput, plan: Plan, task: TaskState
+    server: ServerControl, plan_input: PlanInput, plan: Plan, task: TaskState
 ) -> None:
-    room = subtract_resources(server.vm.resources, given.reserved)
+    room = subtract_resources(server.vm.resources, plan_input.reserved)
     needed = add_resources(plan.running, task.resources)
-    hopeless = (
+    must_abandon = (
         task.job.cancelled
         or server.leaving
         or task.suspected_offset != NOT_SUSPECTED
         or not fits_resources(needed, room)
     )
-    if hopeless:
-        _give_up(server, plan, task)
-    elif not plan.has_unclaimed and _may_renew(given, plan, task):
+    if must_abandon:
+        _abandon(server, plan, task)
+    elif not plan.has_unclaimed and _may_renew(plan_input, plan, task):
         plan.running = needed
-        plan.commands.append(_start(server, given, task, needed))
+        plan.commands.append(_start(server, plan_input, task, needed))
 
 
-def _give_up(server: ServerControl, plan: Plan, task: TaskState) -> None:
+def _abandon(server: ServerControl, plan: Plan, task: TaskState) -> None:
     # Noted first: once its end may stand in the log it must never be started.
-    server.given_up_by_key[task.key] = AttemptEnded(
+    server.abandoned_by_key[task.key] = AttemptEnded(
         task.key,
         server.vm.server_id,
         'stopped' if task.job.cancelled else 'absent',
         'never started',
     )
-    plan.record_by_key[task.key] = server.given_up_by_key[task.key]
+    plan.record_by_key[task.key] = server.abandoned_by_key[task.key]
 
 
 def _start(
     server: ServerControl,
-    given: PlanInput,
+    plan_input: PlanInput,
     task: TaskState,
     running: Resources,
 ) -> StartTask:
-    claimed = given.state.claimed(task.key, server.vm.server_id)
+    claimed = plan_input.state.claimed(task.key, server.vm.server_id)
     require(
-        claimed is task and task.holder == given.settings.writer,
+        claimed is task and task.holder == plan_input.settings.writer,
         Invariant.claim_before_start,
         f'{task.key} at {server.vm.server_id}',
     )
@@ -214,16 +220,16 @@
         task.resources,
         task.job.spec.payload,
         task.checkpoint,
-        given.pace.task_lease_ms,
+        plan_input.pace.task_lease_ms,
     )
 
 
-def _may_renew(given: PlanInput, plan: Plan, task: TaskState) -> bool:
+def _may_renew(plan_input: PlanInput, plan: Plan, task: TaskState) -> bool:
     lost_after_ms = task.job.spec.lost_after_ms
     if not lost_after_ms:
         return True
-    until_ms = given.head_read_ms + lost_after_ms
-    if task.suspected_offset != NOT_SUSPECTED or given.now_ms >= until_ms:
+    until_ms = plan_input.head_read_ms + lost_after_ms
+    if task.suspected_offset != NOT_SUSPECTED or plan_input.now_ms >= until_ms:
         return False
     plan.valid_until_ms = min(plan.valid_until_ms, until_ms)
     return True
@@ -231,13 +237,13 @@
 
 def _command(
     server: ServerControl,
-    given: PlanInput,
+    plan_input: PlanInput,
     plan: Plan,
     command: StopTask | CheckpointTask,
 ) -> None:
-    again_ms = server.commanded_ms.get(command.key, -_COMMAND_AGAIN_MS)
-    if given.now_ms - again_ms >= _COMMAND_AGAIN_MS:
-        server.commanded_ms[command.key] = given.now_ms
+    last_ms = server.commanded_ms_by_key.get(command.key, -_COMMAND_RETRY_MS)
+    if plan_input.now_ms - last_ms >= _COMMAND_RETRY_MS:
+        server.commanded_ms_by_key[command.key] = plan_input.now_ms
         plan.commands.append(command)
 
 
--- a/waxwingford/batch/_queries.py
+++ b/waxwingford/batch/_queries.py
@@ -2,6 +2,7 @@
 
 from waxwingford.batch._controller import DomainController
 from waxwingford.batch._messages import BundleSettings, VmListRead
+from waxwingford.batch._pending_reason import pending_reason
 from waxwingford.batch._status import (
     ServerStatus,
     TaskCounts,
@@ -13,7 +14,6 @@
     find_job,
     list_jobs,
 )
-from waxwingford.batch._waits import why_waits
 from waxwingford.kernel import Clock
 from waxwingford.routing import HeldServer
 
@@ -32,7 +32,7 @@
         self._list_read: VmListRead | None = None
         self._load_problem = 'snapshot not looked for yet'
 
-    def _lack(self, problem: str) -> None:
+    def _record_load_problem(self, problem: str) -> None:
         self._load_problem = problem
 
     def jobs(self, member: str) -> list[JobView]:
@@ -67,7 +67,7 @@
         task = controller.state.task(task_id) if controller else None
         if controller is None or task is None:
             return ''
-        return why_waits(
+        return pending_reason(
             task,
             controller.state,
             controller.fleet,
--- a/waxwingford/batch/_queue.py
+++ b/waxwingford/batch/_queue.py
@@ -13,12 +13,12 @@
 from waxwingford.records import TaskStage, TaskState
 
 #: A task that found no place so often goes behind the others of its team.
-_OFFERS_IN_TURN = 8
+_OFFERS_BEFORE_DEMOTION = 8
 #: Tasks of one team tried in one round, so that a team whose tasks fit
 #: nowhere does not use up the whole round.
-_TEAM_ROUND = 64
+_MAX_TEAM_TASKS_PER_ROUND = 64
 
-ViewTask = Callable[[TaskState, int], PendingTask]
+PendingViewFactory = Callable[[TaskState, int], PendingTask]
 
 
 class Offer(NamedTuple):
@@ -32,7 +32,7 @@
     view: PendingTask
 
 
-class _Later(NamedTuple):
+class _DeferredTask(NamedTuple):
     due_ms: int
     order: int
     task: TaskState
@@ -47,17 +47,17 @@
     :ivar task: the task.
     :ivar since_ms: monotonic time since which it waits.
     :ivar offers: rounds in which it found no place.
-    :ivar is_aside: out of the tracker until its team has nothing else.
+    :ivar is_demoted: out of the tracker until its team has nothing else.
     """
 
     task: TaskState
     since_ms: int
     offers: int = 0
-    is_aside: bool = False
+    is_demoted: bool = False
 
 
 class PendingQueue:
-    """Pending tasks in the quota tracker; a task of another daemon's comes later.
+    """Pending tasks in the quota tracker; a task of another daemon's comes deferred.
 
     The tracker says who deserves most; here is only what is this daemon's own:
     whose turn has come, and which tasks found no place.
@@ -68,11 +68,13 @@
     def __init__(self) -> None:
         """Start empty."""
         self.tracker = QuotaTracker(Resources(1, 1, 1))
-        self._later: list[_Later] = []
+        self._deferred: list[_DeferredTask] = []
         self._order = itertools.count()
         self._entry_by_key: dict[TaskKey, _Entry] = {}
-        self._in_tracker: collections.Counter[TeamName] = collections.Counter()
-        self._aside_by_team: dict[TeamName, list[TaskKey]] = {}
+        self._tracked_by_team: collections.Counter[TeamName] = (
+            collections.Counter()
+        )
+        self._demoted_by_team: dict[TeamName, list[TaskKey]] = {}
 
     def add(self, task: TaskState, now_ms: int, due_ms: int) -> None:
         """Enter a pending task.
@@ -82,8 +84,8 @@
         :param due_ms: monotonic time from which this daemon may claim it.
         """
         order = next(self._order)
-        later = _Later(due_ms, order, task, task.attempt, now_ms)
-        heapq.heappush(self._later, later)
+        deferred = _DeferredTask(due_ms, order, task, task.attempt, now_ms)
+        heapq.heappush(self._deferred, deferred)
 
     def has_due(self, now_ms: int) -> bool:
         """Tell whether a task has come in, or its turn here has come.
@@ -91,7 +93,7 @@
         :param now_ms: monotonic time.
         :returns: whether ``take`` would bring one in.
         """
-        return bool(self._later) and self._later[0].due_ms <= now_ms
+        return bool(self._deferred) and self._deferred[0].due_ms <= now_ms
 
     def offers(self, key: TaskKey) -> int | None:
         """Count the rounds in which a task found no place here.
@@ -103,7 +105,7 @@
         return entry.offers if entry else None
 
     def take(
-        self, limit: int, now_ms: int, limits: Limits, view: ViewTask
+        self, limit: int, now_ms: int, limits: Limits, view: PendingViewFactory
     ) -> list[Offer]:
         """List the most deserving tasks that are still pending.
 
@@ -115,23 +117,30 @@
         :param view: shows a task, given how long it waits.
         :returns: tasks, most deserving first.
         """
-        self._bring_in(now_ms, view)
+        self._admit_due(now_ms, view)
         while True:
-            counted = _Counted(limits.copy(), self._entry_by_key)
-            ordered = self.tracker.order(limit, now_ms, counted.take)
-            over = [one.key for one in ordered if not self._is_open(one.key)]
-            if not over:
+            limit_filter = _LimitFilter(limits.copy(), self._entry_by_key)
+            ordered = self.tracker.order(limit, now_ms, limit_filter.accepts)
+            closed = [
+                ordered_task.key
+                for ordered_task in ordered
+                if not self._is_still_pending(ordered_task.key)
+            ]
+            if not closed:
                 break
             # Each task that was cancelled costs one look, not one a round.
-            for key in over:
+            for key in closed:
                 self.drop(key, now_ms, view)
-        tasks = [self._entry_by_key[one.key].task for one in ordered]
+        tasks = [
+            self._entry_by_key[ordered_task.key].task
+            for ordered_task in ordered
+        ]
         return [
-            Offer(task, view(task, one.waiting_ms))
-            for task, one in zip(tasks, ordered, strict=True)
+            Offer(task, view(task, ordered_task.waiting_ms))
+            for task, ordered_task in zip(tasks, ordered, strict=True)
         ]
 
-    def drop(self, key: TaskKey, now_ms: int, view: ViewTask) -> None:
+    def drop(self, key: TaskKey, now_ms: int, view: PendingViewFactory) -> None:
         """Forget a task that is claimed or over.
 
         :param key: the attempt under which it was pending.
@@ -139,11 +148,11 @@
         :param view: as for ``take``.
         """
         entry = self._entry_by_key.pop(key, None)
-        if entry is not None and not entry.is_aside:
-            self._leave_tracker(key, entry, now_ms, view)
+        if entry is not None and not entry.is_demoted:
+            self._untrack(key, entry, now_ms, view)
 
-    def put_back(
-        self, keys: Iterable[TaskKey], now_ms: int, view: ViewTask
+    def record_unplaced(
+        self, keys: Iterable[TaskKey], now_ms: int, view: PendingViewFactory
     ) -> None:
         """Note tasks that found no place in this round.
 
@@ -154,48 +163,48 @@
         for key in keys:
             entry = self._entry_by_key[key]
             entry.offers += 1
-            if entry.offers % _OFFERS_IN_TURN == 0:
+            if entry.offers % _OFFERS_BEFORE_DEMOTION == 0:
                 # Without this, tasks that fit nowhere at present would hold up
                 # the smaller ones of their team for ever.
-                entry.is_aside = True
+                entry.is_demoted = True
                 team = _team_of(entry.task)
-                self._aside_by_team.setdefault(team, []).append(key)
-                self._leave_tracker(key, entry, now_ms, view)
+                self._demoted_by_team.setdefault(team, []).append(key)
+                self._untrack(key, entry, now_ms, view)
 
-    def _bring_in(self, now_ms: int, view: ViewTask) -> None:
+    def _admit_due(self, now_ms: int, view: PendingViewFactory) -> None:
         while self.has_due(now_ms):
-            later = heapq.heappop(self._later)
-            task = later.task
-            key = TaskKey(task.task_id, later.attempt + 1)
+            deferred = heapq.heappop(self._deferred)
+            task = deferred.task
+            key = TaskKey(task.task_id, deferred.attempt + 1)
             is_open = task.stage == TaskStage.pending and task.next_key == key
             if is_open and key not in self._entry_by_key:
-                entry = _Entry(task, later.since_ms)
+                entry = _Entry(task, deferred.since_ms)
                 self._entry_by_key[key] = entry
-                self._enter_tracker(entry, now_ms, view)
+                self._track(entry, now_ms, view)
 
-    def _enter_tracker(
-        self, entry: _Entry, now_ms: int, view: ViewTask
+    def _track(
+        self, entry: _Entry, now_ms: int, view: PendingViewFactory
     ) -> None:
         self.tracker.add(view(entry.task, now_ms - entry.since_ms), now_ms)
-        self._in_tracker[_team_of(entry.task)] += 1
+        self._tracked_by_team[_team_of(entry.task)] += 1
 
-    def _leave_tracker(
-        self, key: TaskKey, entry: _Entry, now_ms: int, view: ViewTask
+    def _untrack(
+        self, key: TaskKey, entry: _Entry, now_ms: int, view: PendingViewFactory
     ) -> None:
         self.tracker.remove(key)
         team = _team_of(entry.task)
-        self._in_tracker[team] -= 1
-        if self._in_tracker[team]:
+        self._tracked_by_team[team] -= 1
+        if self._tracked_by_team[team]:
             return
-        self._in_tracker.pop(team)
-        for aside in self._aside_by_team.pop(team, ()):
-            if self._is_open(aside):
-                self._entry_by_key[aside].is_aside = False
-                self._enter_tracker(self._entry_by_key[aside], now_ms, view)
+        self._tracked_by_team.pop(team)
+        for demoted in self._demoted_by_team.pop(team, ()):
+            if self._is_still_pending(demoted):
+                self._entry_by_key[demoted].is_demoted = False
+                self._track(self._entry_by_key[demoted], now_ms, view)
             else:
-                self._entry_by_key.pop(aside, None)
+                self._entry_by_key.pop(demoted, None)
 
-    def _is_open(self, key: TaskKey) -> bool:
+    def _is_still_pending(self, key: TaskKey) -> bool:
         entry = self._entry_by_key.get(key)
         return (
             entry is not None
@@ -204,7 +213,7 @@
         )
 
 
-class _Counted:
+class _LimitFilter:
     """Hard limits and tasks of each team, counting what is listed."""
 
     def __init__(
@@ -212,15 +221,19 @@
     ) -> None:
         self._limits = limits
         self._entry_by_key = entry_by_key
-        self._taken: collections.Counter[TeamName] = collections.Counter()
+        self._accepted_by_team: collections.Counter[TeamName] = (
+            collections.Counter()
+        )
 
-    def take(self, view: PendingTask) -> bool:
+    def accepts(self, view: PendingTask) -> bool:
         task = self._entry_by_key[view.key].task
         team = TeamName(view.member, view.team)
-        if self._taken[team] >= _TEAM_ROUND or not self._limits.has_room(task):
+        if self._accepted_by_team[
+            team
+        ] >= _MAX_TEAM_TASKS_PER_ROUND or not self._limits.has_room(task):
             return False
-        self._taken[team] += 1
-        self._limits.note_claimed(task)
+        self._accepted_by_team[team] += 1
+        self._limits.count_claim(task)
         return True
 
 
--- a/waxwingford/batch/_quotas.py
+++ b/waxwingford/batch/_quotas.py
@@ -64,7 +64,7 @@
             return ''
         return f'quota of team {team}: {tuple(used)} of {tuple(quota)} used'
 
-    def note_claimed(self, task: TaskState) -> None:
+    def count_claim(self, task: TaskState) -> None:
         """Count a claim of this round.
 
         :param task: its task.
--- a/waxwingford/batch/_reactions.py
+++ b/waxwingford/batch/_reactions.py
@@ -10,7 +10,7 @@
 from waxwingford.records import DomainState
 
 
-def take_reaction(
+def apply_reaction(
     fleet: Fleet,
     state: DomainState,
     held: Mapping[str, ServerControl],
@@ -37,7 +37,7 @@
             server.evicting.add(key)
         case Stop():
             server.stopping.add(key)
-    fleet.mark_due(server.vm.server_id, now_ms)
+    fleet.schedule_exchange(server.vm.server_id, now_ms)
     kind = f'policy.{type(reaction).__name__.lower()}'
     detail = f'attempt {key.attempt} at {server.vm.server_id}'
     return [Note(kind, f'task:{key.task_id}', detail)]
--- a/waxwingford/batch/_reader.py
+++ b/waxwingford/batch/_reader.py
@@ -15,9 +15,9 @@
 _POLL_MS = 1000
 _READ_ENTRIES = 256
 #: Gathers entries of several daemons into one read.
-_PAUSE_MS = 50
-_AWAY_PAUSE_MS = 250
-_AWAY_LONGEST_MS = 2000
+_BATCHING_PAUSE_MS = 50
+_BASE_BACKOFF_MS = 250
+_MAX_BACKOFF_MS = 2000
 _MAX_DOUBLINGS = 3
 
 
@@ -33,8 +33,8 @@
     :returns: milliseconds.
     """
     doublings = min(failures, _MAX_DOUBLINGS)
-    longest_ms = min(_AWAY_PAUSE_MS << doublings, _AWAY_LONGEST_MS)
-    return rng.randint(longest_ms // 2, longest_ms)
+    ceiling_ms = min(_BASE_BACKOFF_MS << doublings, _MAX_BACKOFF_MS)
+    return rng.randint(ceiling_ms // 2, ceiling_ms)
 
 
 class StreamReader:
@@ -81,7 +81,7 @@
 
         :param message: what the last one gave.
         """
-        pause_ms = _PAUSE_MS
+        pause_ms = _BATCHING_PAUSE_MS
         if isinstance(message, LogAway):
             self._failures += 1
             pause_ms = away_pause_ms(self._failures, self._rng)
--- a/waxwingford/batch/_replies.py
+++ b/waxwingford/batch/_replies.py
@@ -7,7 +7,7 @@
 from waxwingford.batch._effects import JobUnknown, SubmissionOutcome
 
 
-class Reply(NamedTuple):
+class PendingReply(NamedTuple):
     """A caller's wait.
 
     :ivar submission_id: names it.
@@ -18,25 +18,25 @@
     outcome: asyncio.Future[SubmissionOutcome]
 
 
-class Replies:
+class PendingReplies:
     """Waits by submission id; how many is bounded by the outbox."""
 
     def __init__(self) -> None:
         """Start without waits."""
-        self._reply_by_id: dict[int, Reply] = {}
+        self._reply_by_id: dict[int, PendingReply] = {}
         self._ids = itertools.count(1)
 
-    def open(self) -> Reply:
+    def create(self) -> PendingReply:
         """Begin a wait.
 
         :returns: the wait, under a new id.
         """
         outcome = asyncio.get_running_loop().create_future()
-        reply = Reply(next(self._ids), outcome)
+        reply = PendingReply(next(self._ids), outcome)
         self._reply_by_id[reply.submission_id] = reply
         return reply
 
-    async def wait(self, reply: Reply) -> SubmissionOutcome:
+    async def wait(self, reply: PendingReply) -> SubmissionOutcome:
         """Wait for the outcome.
 
         :param reply: the wait.
@@ -47,7 +47,7 @@
         finally:
             self._reply_by_id.pop(reply.submission_id, None)
 
-    def take(self, submission_id: int, outcome: SubmissionOutcome) -> None:
+    def resolve(self, submission_id: int, outcome: SubmissionOutcome) -> None:
         """Give a caller its outcome; one that went away is passed over.
 
         :param submission_id: names the wait.
@@ -57,11 +57,11 @@
         if reply is not None and not reply.outcome.done():
             reply.outcome.set_result(outcome)
 
-    def give_up(self, reason: str, retry_after_ms: int) -> None:
+    def resolve_all_unknown(self, reason: str, retry_after_ms: int) -> None:
         """Answer all callers that what they asked for may still happen.
 
         :param reason: for people.
         :param retry_after_ms: when to come back, in milliseconds.
         """
         for submission_id in list(self._reply_by_id):
-            self.take(submission_id, JobUnknown(reason, retry_after_ms))
+            self.resolve(submission_id, JobUnknown(reason, retry_after_ms))
--- a/waxwingford/batch/_server.py
+++ b/waxwingford/batch/_server.py
@@ -28,25 +28,25 @@
     :ivar lease: the control lease.
     :ivar preference: whether this daemon wants the lease.
     :ivar report_by_key: attempts that the server named in its last answer.
-    :ivar known: version of that answer, 0 if the server does not count.
-    :ivar whole_answers_ago: answers since one that named every attempt.
+    :ivar report_version: version of that answer, 0 if the server does not count.
+    :ivar answers_since_full_report: answers since one that named every attempt.
     :ivar report_offset: records before this offset were applied when the
         exchange of that answer was decided.
     :ivar unclaimed_since_ms: by attempt that runs without a known claim, when
         it was first reported so.
     :ivar started: attempts whose start was sent under the present epoch.
-    :ivar given_up_by_key: ends of claims of the present epoch that were not
+    :ivar abandoned_by_key: ends of claims of the present epoch that were not
         and will not be started.
     :ivar evicting: attempts to checkpoint.
     :ivar stopping: attempts to stop without a checkpoint.
     :ivar percent_by_key: throttles to command.
-    :ivar commanded_ms: when a stop or checkpoint was last commanded.
+    :ivar commanded_ms_by_key: when a stop or checkpoint was last commanded.
     :ivar in_flight: exchange that has no outcome yet.
     :ivar in_flight_offset: next offset of the state when it was decided.
-    :ivar is_dirty: commands came up while an exchange was in flight.
+    :ivar exchange_requested: commands came up while an exchange was in flight.
     :ivar due_ms: when the next exchange is due.
     :ivar listed: whether the platform's list names it.
-    :ivar says_leaving: the server's own word.
+    :ivar reported_leaving: the server's own word.
     :ivar unreachable_since_ms: first exchange without an answer since the last
         answer; None while it answers.
     :ivar routed_share: busy service slots at present, 0 to 1, as this daemon's
@@ -63,14 +63,14 @@
     report_by_key: dict[TaskKey, TaskReport] = dataclasses.field(
         default_factory=dict,
     )
-    known: int = 0
-    whole_answers_ago: int = 0
+    report_version: int = 0
+    answers_since_full_report: int = 0
     report_offset: int = -1
     unclaimed_since_ms: dict[TaskKey, int] = dataclasses.field(
         default_factory=dict,
     )
     started: set[TaskKey] = dataclasses.field(default_factory=set)
-    given_up_by_key: dict[TaskKey, AttemptEnded] = dataclasses.field(
+    abandoned_by_key: dict[TaskKey, AttemptEnded] = dataclasses.field(
         default_factory=dict,
     )
     evicting: set[TaskKey] = dataclasses.field(default_factory=set)
@@ -78,13 +78,15 @@
     percent_by_key: dict[TaskKey, int] = dataclasses.field(
         default_factory=dict,
     )
-    commanded_ms: dict[TaskKey, int] = dataclasses.field(default_factory=dict)
+    commanded_ms_by_key: dict[TaskKey, int] = dataclasses.field(
+        default_factory=dict
+    )
     in_flight: Control | None = None
     in_flight_offset: int = 0
-    is_dirty: bool = False
+    exchange_requested: bool = False
     due_ms: int = 0
     listed: bool = True
-    says_leaving: bool = False
+    reported_leaving: bool = False
     unreachable_since_ms: int | None = None
     routed_share: float | None = None
     sampled_share: float = 0
@@ -97,7 +99,7 @@
 
         :returns: true if it must get no new work.
         """
-        return self.says_leaving or self.vm.state == VmState.leaving
+        return self.reported_leaving or self.vm.state == VmState.leaving
 
     @property
     def busy_share(self) -> float:
@@ -122,29 +124,29 @@
         :param epoch_changed: whether epoch or boot differ from before.
         """
         if answer.is_delta:
-            self._drop_forgotten(request)
+            self._remove_forgotten(request)
         else:
             self.report_by_key.clear()
-            self.whole_answers_ago = 0
+            self.answers_since_full_report = 0
         self.report_by_key.update(
             (report.key, report) for report in answer.tasks
         )
-        self.known = answer.version
-        self.whole_answers_ago += 1
+        self.report_version = answer.version
+        self.answers_since_full_report += 1
         self.report_offset = self.in_flight_offset
-        self.says_leaving = answer.leaving
+        self.reported_leaving = answer.leaving
         self.unreachable_since_ms = None
         self.view = None
         if epoch_changed:
             self.started.clear()
-            self.given_up_by_key.clear()
-            self.commanded_ms.clear()
+            self.abandoned_by_key.clear()
+            self.commanded_ms_by_key.clear()
         self._forget_absent()
         if answer.usage:
             self.predicted_ms = None
             self.sampled_share = answer.usage[-1].service_load
 
-    def _drop_forgotten(self, request: ControlRequest) -> None:
+    def _remove_forgotten(self, request: ControlRequest) -> None:
         # A forget that the server refused was carried out before, and its
         # answer was lost.
         for command in request.commands:
@@ -152,13 +154,13 @@
                 self.report_by_key.pop(command.key, None)
 
     def _forget_absent(self) -> None:
-        for kept in (self.unclaimed_since_ms, self.commanded_ms):
-            for key in kept.keys() - self.report_by_key.keys():
-                kept.pop(key)
+        for by_key in (self.unclaimed_since_ms, self.commanded_ms_by_key):
+            for key in by_key.keys() - self.report_by_key.keys():
+                by_key.pop(key)
         self.evicting &= self.report_by_key.keys()
         self.stopping &= self.report_by_key.keys()
 
-    def not_in(self, renew: Iterable[TaskKey]) -> tuple[TaskKey, ...]:
+    def running_except(self, renew: Iterable[TaskKey]) -> tuple[TaskKey, ...]:
         """List running attempts that are not to be renewed.
 
         :param renew: those that are.
@@ -194,7 +196,7 @@
     ]
 
 
-def note_server(kind: str, server: ServerControl, detail: str) -> Note:
+def server_event(kind: str, server: ServerControl, detail: str) -> Note:
     """Write an event about a server.
 
     :param kind: what happened.
--- a/waxwingford/batch/_settings.py
+++ b/waxwingford/batch/_settings.py
@@ -5,9 +5,9 @@
 from waxwingford.ownership import OwnershipTimes
 
 #: A control lease lasts for so many intervals of renewal.
-_CONTROL_INTERVALS = 3
+_RENEWALS_PER_CONTROL_LEASE = 3
 #: A task lease outlives a control lease, so that a successor can renew it.
-_TASK_LEASES = 2
+_CONTROL_LEASES_PER_TASK_LEASE = 2
 
 
 class Pace(NamedTuple):
@@ -94,7 +94,9 @@
 
     def _pace_at(self, renew_every_ms: int) -> Pace:
         control_ms = max(
-            self.control_lease_ms, _CONTROL_INTERVALS * renew_every_ms
+            self.control_lease_ms, _RENEWALS_PER_CONTROL_LEASE * renew_every_ms
+        )
+        task_ms = max(
+            self.task_lease_ms, _CONTROL_LEASES_PER_TASK_LEASE * control_ms
         )
-        task_ms = max(self.task_lease_ms, _TASK_LEASES * control_ms)
         return Pace(renew_every_ms, control_ms, task_ms)
--- a/waxwingford/batch/_shell.py
+++ b/waxwingford/batch/_shell.py
@@ -29,7 +29,7 @@
     VmListRead,
 )
 from waxwingford.batch._reader import StreamReader, away_pause_ms
-from waxwingford.batch._replies import Replies, Reply
+from waxwingford.batch._replies import PendingReplies, PendingReply
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.batch._snapshots import load_newest
 from waxwingford.kernel import Clock
@@ -119,7 +119,7 @@
         self._executor = EffectExecutor(
             settings, log, servers, clock, self._handle
         )
-        self._replies = Replies()
+        self._replies = PendingReplies()
         self._rng = random.Random()
         self._generation = 0
         self._drained = asyncio.Event()
@@ -150,8 +150,10 @@
         :param job: the job; it is stamped with this daemon's wall time.
         :returns: accepted, refused, unknown or rejected.
         """
-        reply = self._replies.open()
-        return await self._ask(reply, SubmitJob(reply.submission_id, job))
+        reply = self._replies.create()
+        return await self._send_submission(
+            reply, SubmitJob(reply.submission_id, job)
+        )
 
     async def cancel(self, job_id: str, member: str) -> SubmissionOutcome:
         """Give a job up.
@@ -160,9 +162,9 @@
         :param member: who asks; must own the job.
         :returns: cancelled, refused, unknown or rejected.
         """
-        reply = self._replies.open()
+        reply = self._replies.create()
         message = CancelJob(reply.submission_id, job_id, member)
-        return await self._ask(reply, message)
+        return await self._send_submission(reply, message)
 
     def evict(self, task_id: str) -> bool:
         """Checkpoint a task that runs on a server held here.
@@ -191,14 +193,14 @@
             return False
         return True
 
-    async def _ask(
-        self, reply: Reply, message: SubmitJob | CancelJob
+    async def _send_submission(
+        self, reply: PendingReply, message: SubmitJob | CancelJob
     ) -> SubmissionOutcome:
         if self._controller is None:
             refusal = spread_retry(
                 JobRefused(self._load_problem, _NOT_READY_RETRY_MS), self._rng
             )
-            self._replies.take(reply.submission_id, refusal)
+            self._replies.resolve(reply.submission_id, refusal)
         self._handle(message)
         return await self._replies.wait(reply)
 
@@ -209,7 +211,7 @@
             if not isinstance(outcome, LogUnavailable):
                 return outcome or DomainState()
             failures += 1
-            self._lack(f'snapshot not read: {outcome.reason}')
+            self._record_load_problem(f'snapshot not read: {outcome.reason}')
             pause_ms = away_pause_ms(failures, self._rng)
             await asyncio.sleep(pause_ms / _MS_IN_S)
 
@@ -218,8 +220,10 @@
         name = f'{self._settings.incarnation}.{self._generation}'
         settings = self._settings._replace(incarnation=name)
         now_ms = self._clock.monotonic_ms()
-        self._replies.give_up('this daemon starts anew', _NOT_READY_RETRY_MS)
-        self._executor.begin(self._generation)
+        self._replies.resolve_all_unknown(
+            'this daemon starts anew', _NOT_READY_RETRY_MS
+        )
+        self._executor.start_generation(self._generation)
         self._controller = DomainController(settings, state, now_ms)
         self._time_line.note(
             'batch.loaded', 'stream', f'from offset {state.next_offset}'
@@ -264,7 +268,7 @@
         match effect:
             case ReplySubmission(submission_id=submission_id, outcome=outcome):
                 spread = spread_retry(outcome, self._rng)
-                self._replies.take(submission_id, spread)
+                self._replies.resolve(submission_id, spread)
             case Note(kind=kind, subject=subject, detail=detail):
                 self._time_line.note(kind, subject, detail)
             case Control():
--- a/waxwingford/batch/_snapshots.py
+++ b/waxwingford/batch/_snapshots.py
@@ -10,7 +10,7 @@
 )
 
 #: Beyond every offset: reads the head of a stream and nothing else.
-_BEYOND = sys.maxsize
+_PAST_HEAD_OFFSET = sys.maxsize
 #: Entries in the first window that is read back from the head.
 _FIRST_WINDOW = 8
 _WINDOW_GROWTH = 4
@@ -26,7 +26,7 @@
     :param stream: the snapshots' stream.
     :returns: its state; nothing if there is none; or that the log is away.
     """
-    head = await log.read(stream, _BEYOND, 1)
+    head = await log.read(stream, _PAST_HEAD_OFFSET, 1)
     if isinstance(head, LogUnavailable):
         return head
     assembler = SnapshotAssembler()
--- a/waxwingford/batch/_stream.py
+++ b/waxwingford/batch/_stream.py
@@ -13,8 +13,8 @@
 from waxwingford.batch._messages import LogEntries, ReadGroup
 from waxwingford.batch._placer import Placer
 from waxwingford.batch._settings import BatchSettings
-from waxwingford.batch._submissions import RETRY_AFTER_MS, reply_to
-from waxwingford.batch._suspicion import LapseWaits
+from waxwingford.batch._submissions import RETRY_AFTER_MS, reply_for
+from waxwingford.batch._suspicion import LapseTimers
 from waxwingford.ports import TaskKey
 from waxwingford.records import (
     NOT_SUSPECTED,
@@ -28,7 +28,7 @@
 )
 
 #: Daemons of a lower rank do not end attempts that lapsed.
-_LAPSE_RANK = 1
+_MAX_LAPSE_RANK = 1
 
 
 class DomainStream:
@@ -74,10 +74,10 @@
         self._settings = settings
         self._fleet = fleet
         self._placer = placer
-        self._waits = LapseWaits(settings)
-        self._start_waits(now_ms)
+        self._lapse_timers = LapseTimers(settings)
+        self._restore(now_ms)
 
-    def take_entries(self, message: LogEntries, now_ms: int) -> list[Effect]:
+    def handle_entries(self, message: LogEntries, now_ms: int) -> list[Effect]:
         """Take what a read gave.
 
         :param message: the entries.
@@ -100,10 +100,10 @@
         if self.state.next_offset >= message.next_offset:
             before_ms = self.head_read_ms or 0
             self.head_read_ms = max(before_ms, message.read_started_ms)
-            self._fleet.note_ready(now_ms)
+            self._fleet.mark_ready(now_ms)
         return effects
 
-    def take_away(self, reason: str) -> list[Effect]:
+    def handle_read_failure(self, reason: str) -> list[Effect]:
         """Take that the log gave no answer.
 
         :param reason: for people.
@@ -113,7 +113,7 @@
         if not self.log_away:
             effects.append(Note('log.away', 'stream', reason))
         self.log_away = reason
-        effects.extend(self.appender.note_away(RETRY_AFTER_MS))
+        effects.extend(self.appender.fail_pending(RETRY_AFTER_MS))
         return effects
 
     def append(self, now_ms: int, wall_ms: int) -> list[Effect]:
@@ -131,7 +131,9 @@
         claims: list[TasksClaimed] = []
         effects: list[Effect] = []
         if not (self._fleet.draining or self.gap):
-            claims, notes = self._placer.round(self.state, now_ms, wall_ms)
+            claims, notes = self._placer.place_round(
+                self.state, now_ms, wall_ms
+            )
             effects.extend(notes)
         self.claiming = frozenset(claim.server_id for claim in claims)
         appends: list[Append] = self.appender.build(claims, now_ms)
@@ -148,52 +150,52 @@
         is_own = entry.group.writer == self._settings.writer
         for verdict in verdicts:
             if isinstance(verdict, Valid):
-                self._note_valid(verdict, now_ms)
+                self._apply_verdict(verdict, now_ms)
                 if is_own:
-                    effects.extend(task_notes(verdict))
-        waiting = self.appender.note_seen(entry.group)
+                    effects.extend(task_events(verdict))
+        waiting = self.appender.handle_read(entry.group)
         if self.appender.is_idle:
             self.claiming = frozenset()
         effects.extend(
-            ReplySubmission(submission_id, reply_to(verdict, self.state))
+            ReplySubmission(submission_id, reply_for(verdict, self.state))
             for submission_id, verdict in zip(waiting, verdicts, strict=False)
         )
         return effects
 
-    def _note_valid(self, verdict: Valid, now_ms: int) -> None:
+    def _apply_verdict(self, verdict: Valid, now_ms: int) -> None:
         self._placer.trackers.note(verdict, self.state, now_ms)
         match verdict.record:
             case TasksClaimed(server_id=server_id, holder=holder):
-                self._fleet.touch(server_id)
+                self._fleet.invalidate_view(server_id)
                 if holder == self._settings.writer:
-                    self._fleet.mark_due(server_id, now_ms)
+                    self._fleet.schedule_exchange(server_id, now_ms)
             case AttemptEnded(server_id=server_id):
-                self._fleet.touch(server_id)
+                self._fleet.invalidate_view(server_id)
             case JobCancelled(job_id=job_id):
-                self._stop_job(job_id, now_ms)
+                self._schedule_stops(job_id, now_ms)
             case AttemptSuspected(keys=keys):
-                self._wait_out(keys, now_ms)
+                self._start_timers(keys, now_ms)
             case SnapshotTaken():
                 self.snapshot_seen_ms = now_ms
 
-    def _stop_job(self, job_id: str, now_ms: int) -> None:
+    def _schedule_stops(self, job_id: str, now_ms: int) -> None:
         job = self.state.jobs_by_id.get(job_id)
         claimed_at = {task.server_id for task in job.tasks} if job else ()
         for server_id in claimed_at:
-            self._fleet.mark_due(server_id, now_ms)
+            self._fleet.schedule_exchange(server_id, now_ms)
 
-    def _wait_out(self, keys: Iterable[TaskKey], now_ms: int) -> None:
+    def _start_timers(self, keys: Iterable[TaskKey], now_ms: int) -> None:
         for key in keys:
             task = self.state.task(key.task_id)
             if task is not None and task.suspected_offset != NOT_SUSPECTED:
-                self._waits.add(task, now_ms)
-                self._fleet.mark_due(task.server_id, now_ms)
+                self._lapse_timers.add(task, now_ms)
+                self._fleet.schedule_exchange(task.server_id, now_ms)
 
-    def _start_waits(self, now_ms: int) -> None:
+    def _restore(self, now_ms: int) -> None:
         for attempts in self.state.index.attempts_by_server.values():
             for task in attempts.values():
                 if task.suspected_offset != NOT_SUSPECTED:
-                    self._waits.add(task, now_ms)
+                    self._lapse_timers.add(task, now_ms)
         self._placer.trackers.start(self.state, now_ms)
         self._add_pending(now_ms)
 
@@ -202,12 +204,12 @@
             self._placer.add(task, now_ms)
 
     def _offer_lapsed(self, head_read_ms: int) -> None:
-        for record in self._waits.take_lapsed(self.state, head_read_ms):
-            if self._fleet.rank(record.server_id) <= _LAPSE_RANK:
+        for record in self._lapse_timers.pop_lapsed(self.state, head_read_ms):
+            if self._fleet.rank(record.server_id) <= _MAX_LAPSE_RANK:
                 self.appender.offer(record.key, record)
 
 
-def task_notes(verdict: Valid) -> list[Note]:
+def task_events(verdict: Valid) -> list[Note]:
     """Write events of tasks for the time line of the daemon that did it.
 
     :param verdict: a record that took effect.
--- a/waxwingford/batch/_submissions.py
+++ b/waxwingford/batch/_submissions.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToAppend:
+class RecordToAppend:
     """Goes to the log.
 
     :ivar record: what to append.
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToAnswer:
+class ImmediateReply:
     """Is answered at once.
 
     :ivar outcome: the answer.
@@ -66,7 +66,7 @@
 
 def submission(
     admission: Admission, spec: JobSpec, wall_ms: int
-) -> ToAppend | ToAnswer:
+) -> RecordToAppend | ImmediateReply:
     """Check a submission.
 
     :param admission: what decides.
@@ -74,21 +74,21 @@
     :param wall_ms: wall time, which the job is stamped with.
     :returns: the record to append, or the answer.
     """
-    reason = _refuse_spec(spec) or never_fits(spec, admission.fleet)
+    reason = _validate_spec(spec) or never_fits(spec, admission.fleet)
     if reason:
-        return ToAnswer(JobRejected(reason))
+        return ImmediateReply(JobRejected(reason))
     state = admission.state
     if spec.job_id in state.jobs_by_id or spec.job_id in state.finished:
-        return ToAnswer(_answer_duplicate(state, spec))
+        return ImmediateReply(_answer_duplicate(state, spec))
     if admission.refusal:
-        return ToAnswer(JobRefused(admission.refusal, RETRY_AFTER_MS))
+        return ImmediateReply(JobRefused(admission.refusal, RETRY_AFTER_MS))
     stamped = msgspec.structs.replace(spec, submitted_wall_ms=wall_ms)
-    return ToAppend(JobAccepted(stamped))
+    return RecordToAppend(JobAccepted(stamped))
 
 
 def cancellation(
     admission: Admission, job_id: str, member: str
-) -> ToAppend | ToAnswer:
+) -> RecordToAppend | ImmediateReply:
     """Check a cancellation.
 
     :param admission: what decides.
@@ -100,20 +100,20 @@
     # A job of another member is answered like one that does not exist, lest
     # members learn of each other's jobs.
     if job is None or job.spec.member != member:
-        return ToAnswer(JobRejected(f'no open job {job_id!r} of yours'))
+        return ImmediateReply(JobRejected(f'no open job {job_id!r} of yours'))
     if job.cancelled:
-        return ToAnswer(JobCancelledOutcome(job_id))
+        return ImmediateReply(JobCancelledOutcome(job_id))
     if admission.refusal:
-        return ToAnswer(JobRefused(admission.refusal, RETRY_AFTER_MS))
+        return ImmediateReply(JobRefused(admission.refusal, RETRY_AFTER_MS))
     require(
         job.spec.member == member,
         Invariant.member_isolation,
         f'{member} cancels {job_id}',
     )
-    return ToAppend(JobCancelled(job_id, member))
+    return RecordToAppend(JobCancelled(job_id, member))
 
 
-def reply_to(verdict: Verdict, state: DomainState) -> SubmissionOutcome:
+def reply_for(verdict: Verdict, state: DomainState) -> SubmissionOutcome:
     """Answer a submission or cancellation that was read back.
 
     :param verdict: of its record.
@@ -134,7 +134,7 @@
 _CANCELLED = frozenset(('', 'already cancelled'))
 
 
-def _refuse_spec(spec: JobSpec) -> str:
+def _validate_spec(spec: JobSpec) -> str:
     if len(spec.payload) > PAYLOAD_CHARACTERS:
         return f'payload must have at most {PAYLOAD_CHARACTERS} characters'
     return refuse_job(spec)
--- a/waxwingford/batch/_suspicion.py
+++ b/waxwingford/batch/_suspicion.py
@@ -15,17 +15,17 @@
 )
 
 #: Keys in one suspicion at most.
-_SUSPECTED_AT_ONCE = 256
+_MAX_SUSPECTED_KEYS = 256
 
 
-class _Wait(NamedTuple):
+class _LapseTimer(NamedTuple):
     due_ms: int
     key: TaskKey
     suspected_offset: int
     server_id: str
 
 
-def suspicion(
+def suspect_unreachable(
     server: ServerControl,
     state: DomainState,
     settings: BatchSettings,
@@ -42,10 +42,10 @@
     since_ms = server.unreachable_since_ms
     if since_ms is None or now_ms - since_ms < settings.control_lease_ms:
         return None
-    return suspect_at(server.vm.server_id, state, settings)
+    return suspect_attempts(server.vm.server_id, state, settings)
 
 
-def suspect_at(
+def suspect_attempts(
     server_id: str, state: DomainState, settings: BatchSettings
 ) -> AttemptSuspected | None:
     """Suspect the attempts of a server whose jobs declare a time.
@@ -64,10 +64,10 @@
     ]
     if not keys:
         return None
-    return AttemptSuspected(tuple(keys[:_SUSPECTED_AT_ONCE]), settings.writer)
+    return AttemptSuspected(tuple(keys[:_MAX_SUSPECTED_KEYS]), settings.writer)
 
 
-class LapseWaits:
+class LapseTimers:
     """Waits out suspicions, from when this daemon read them."""
 
     def __init__(self, settings: BatchSettings) -> None:
@@ -76,10 +76,10 @@
         :param settings: of the controller.
         """
         self._settings = settings
-        self._waits: list[_Wait] = []
+        self._timers: list[_LapseTimer] = []
 
     def add(self, task: TaskState, now_ms: int) -> None:
-        """Start to wait.
+        """Start the timer of a suspected attempt.
 
         :param task: its attempt is suspected.
         :param now_ms: monotonic time, after the suspicion was read.
@@ -92,39 +92,43 @@
             + settings.control_timeout_ms
             + settings.margin_ms
         )
-        wait = _Wait(due_ms, task.key, task.suspected_offset, task.server_id)
-        heapq.heappush(self._waits, wait)
+        timer = _LapseTimer(
+            due_ms, task.key, task.suspected_offset, task.server_id
+        )
+        heapq.heappush(self._timers, timer)
 
-    def take_lapsed(
+    def pop_lapsed(
         self, state: DomainState, head_read_ms: int
     ) -> list[AttemptEnded]:
-        """End the attempts whose wait is over and to which nobody objected.
+        """End the attempts whose timer expired and to which nobody objected.
 
         :param state: fold of the domain's stream.
         :param head_read_ms: monotonic start of the last read to the head; a
-            wait counts as over only if that read began after it.
-        :returns: records to append; the wait starts anew for each, lest the
+            timer counts as expired only if that read began after it.
+        :returns: records to append; the timer starts anew for each, lest the
             record get lost.
         """
-        over = []
-        while self._waits and self._waits[0].due_ms < head_read_ms:
-            over.append(heapq.heappop(self._waits))
-        standing = [wait for wait in over if _stands(state, wait)]
-        for wait in standing:
+        expired = []
+        while self._timers and self._timers[0].due_ms < head_read_ms:
+            expired.append(heapq.heappop(self._timers))
+        lapsed = [
+            timer for timer in expired if _is_still_suspected(state, timer)
+        ]
+        for timer in lapsed:
             again_ms = head_read_ms + self._settings.longest_task_lease_ms
-            heapq.heappush(self._waits, wait._replace(due_ms=again_ms))
+            heapq.heappush(self._timers, timer._replace(due_ms=again_ms))
         return [
             AttemptEnded(
-                wait.key,
-                wait.server_id,
+                timer.key,
+                timer.server_id,
                 'lapsed',
                 'gave up by itself, out of contact',
-                suspected_offset=wait.suspected_offset,
+                suspected_offset=timer.suspected_offset,
             )
-            for wait in standing
+            for timer in lapsed
         ]
 
 
-def _stands(state: DomainState, wait: _Wait) -> bool:
-    task = state.claimed(wait.key, wait.server_id)
-    return task is not None and task.suspected_offset == wait.suspected_offset
+def _is_still_suspected(state: DomainState, timer: _LapseTimer) -> bool:
+    task = state.claimed(timer.key, timer.server_id)
+    return task is not None and task.suspected_offset == timer.suspected_offset
--- a/waxwingford/batch/_trackers.py
+++ b/waxwingford/batch/_trackers.py
@@ -29,10 +29,10 @@
 )
 
 #: Weight of a quota or share of 0: such a team gets only what is idle.
-_LEAST_WEIGHT = 0.001
+_MIN_WEIGHT = 0.001
 #: A change of capacity below this does not change the weights of quotas.
-_CAPACITY_CHANGE = 0.1
-_NO_LIMITS = QuarantineLimits()
+_MIN_CAPACITY_CHANGE = 0.1
+_DEFAULT_LIMITS = QuarantineLimits()
 _Name = TypeVar('_Name')
 
 
@@ -60,9 +60,9 @@
         self.sizes = SizeTracker()
         self.quarantine = Quarantine()
         self._fleet = fleet
-        self._offers: frozenset[Resources] = frozenset()
-        self._offer = NOTHING
-        self._capacity = NOTHING
+        self._capacities: frozenset[Resources] = frozenset()
+        self._largest_capacity = NOTHING
+        self._total_capacity = NOTHING
         self._weighed_capacity = NOTHING
         self._running_by_id: dict[str, TaskState] = {}
         self._peak_by_key: dict[TaskKey, Resources] = {}
@@ -75,23 +75,23 @@
         """
         for attempts in state.index.attempts_by_server.values():
             for task_id in attempts:
-                self._sync(task_id, state)
+                self._sync_charges(task_id, state)
         # Failures of tasks that are over are not in a snapshot: a daemon that
         # starts knows a bad server by the tasks that still wait.
         for task in state.index.pending_by_id.values():
             for server_id in task.failed_on:
-                self._note_failed(task.task_id, server_id, now_ms)
+                self._record_failure(task.task_id, server_id, now_ms)
 
     def use_bundle(self, bundle: BundleSettings) -> None:
         """Put quotas and limits in force.
 
         :param bundle: settings.
         """
-        self.quarantine.limits = bundle.quarantine or _NO_LIMITS
+        self.quarantine.limits = bundle.quarantine or _DEFAULT_LIMITS
         self._measure_fleet()
-        self._weigh(bundle)
+        self._update_weights(bundle)
 
-    def note_list(self, bundle: BundleSettings) -> None:
+    def update_servers(self, bundle: BundleSettings) -> None:
         """Take that the list of servers was read.
 
         :param bundle: settings in force.
@@ -100,14 +100,14 @@
         self._measure_fleet()
         # Shares compare dimensions, so a server more or less hardly matters;
         # weighing anew costs as much as all pending tasks.
-        is_near = all(
-            abs(now - then) <= _CAPACITY_CHANGE * then
+        is_similar = all(
+            abs(now - then) <= _MIN_CAPACITY_CHANGE * then
             for now, then in zip(
-                self._capacity, self._weighed_capacity, strict=True
+                self._total_capacity, self._weighed_capacity, strict=True
             )
         )
-        if not is_near:
-            self._weigh(bundle)
+        if not is_similar:
+            self._update_weights(bundle)
 
     def note(self, verdict: Valid, state: DomainState, now_ms: int) -> None:
         """Take a record that took effect.
@@ -116,10 +116,10 @@
         :param state: fold after it.
         :param now_ms: monotonic time.
         """
-        tasks = [self._sync(key.task_id, state) for key in verdict.keys]
+        tasks = [self._sync_charges(key.task_id, state) for key in verdict.keys]
         match verdict.record:
             case AttemptEnded() as record:
-                self._note_end(record, tasks[0], now_ms)
+                self._record_end(record, tasks[0], now_ms)
             case JobCancelled(job_id=job_id) if job_id not in state.jobs_by_id:
                 self.quarantine.forget_job(job_id)
         for task in tasks:
@@ -138,7 +138,7 @@
                     before = self._peak_by_key.get(key, NOTHING)
                     self._peak_by_key[key] = largest(before, used)
 
-    def given(self, spec: JobSpec) -> Resources:
+    def allocation(self, spec: JobSpec) -> Resources:
         """Compute what is set aside for a task of a job.
 
         A correction that no server offers in one piece is left out: the task
@@ -148,10 +148,10 @@
         :returns: the declared size, or more.
         """
         size = self.sizes.given(
-            spec.member, spec.kind, spec.resources, self._offer
+            spec.member, spec.kind, spec.resources, self._largest_capacity
         )
         if size == spec.resources or any(
-            fits(size, offer) for offer in self._offers
+            fits(size, offer) for offer in self._capacities
         ):
             return size
         return spec.resources
@@ -166,7 +166,9 @@
         run_ms = self.sizes.run_ms(spec.member, spec.kind, spec.run_ms)
         return max(0, run_ms - task.ran_ms)
 
-    def _sync(self, task_id: str, state: DomainState) -> TaskState | None:
+    def _sync_charges(
+        self, task_id: str, state: DomainState
+    ) -> TaskState | None:
         # By state, not by record, so that nothing is counted twice.  What is
         # charged is the declared size, which is the same for all daemons.
         running = self._running_by_id.get(task_id)
@@ -184,7 +186,7 @@
             self.quotas.release(team, spec.resources)
         return task
 
-    def _note_end(
+    def _record_end(
         self, record: AttemptEnded, task: TaskState | None, now_ms: int
     ) -> None:
         task_id = record.key.task_id
@@ -195,14 +197,16 @@
         if peak is not None:
             self.sizes.observe_use(spec.member, spec.kind, peak)
         if record.how == 'failed':
-            self._note_failed(task_id, record.server_id, now_ms)
+            self._record_failure(task_id, record.server_id, now_ms)
         elif record.how == 'done':
             self.sizes.observe_run(
                 spec.member, spec.kind, spec.run_ms, task.ran_ms
             )
             self.quarantine.succeeded(task_id, record.server_id)
 
-    def _note_failed(self, task_id: str, server_id: str, now_ms: int) -> None:
+    def _record_failure(
+        self, task_id: str, server_id: str, now_ms: int
+    ) -> None:
         count = len(self._fleet.server_by_id)
         self.quarantine.failed(task_id, server_id, now_ms, count)
 
@@ -220,23 +224,25 @@
             )
             for server in self._fleet.server_by_id.values()
         ]
-        self._offers = frozenset(rooms)
-        self._offer = NOTHING
-        for offer in self._offers:
-            self._offer = largest(self._offer, offer)
-        self._capacity = total_of(rooms)
-
-    def _weigh(self, bundle: BundleSettings) -> None:
-        self._weighed_capacity = self._capacity
+        self._capacities = frozenset(rooms)
+        self._largest_capacity = NOTHING
+        for offer in self._capacities:
+            self._largest_capacity = largest(self._largest_capacity, offer)
+        self._total_capacity = total_of(rooms)
+
+    def _update_weights(self, bundle: BundleSettings) -> None:
+        self._weighed_capacity = self._total_capacity
         quota_by_team = {
             TeamName(*name.split('/', 1)): max(
-                amount / max(whole, 1)
-                for amount, whole in zip(quota, self._capacity, strict=True)
+                amount / max(total, 1)
+                for amount, total in zip(
+                    quota, self._total_capacity, strict=True
+                )
             )
             for name, quota in bundle.quota_by_team.items()
         }
         self.quotas.reweigh(
-            self._capacity,
+            self._total_capacity,
             _weights(bundle.share_by_member),
             _weights(quota_by_team),
         )
@@ -249,6 +255,6 @@
         return {}
     mean = total / len(share_by_name)
     return {
-        name: max(share / mean, _LEAST_WEIGHT)
+        name: max(share / mean, _MIN_WEIGHT)
         for name, share in share_by_name.items()
     }
--- a/waxwingford/batch/_missing.py
+++ b/waxwingford/batch/_unlisted.py
@@ -11,11 +11,11 @@
 from typing import NamedTuple
 
 from waxwingford.batch._settings import BatchSettings
-from waxwingford.batch._suspicion import suspect_at
+from waxwingford.batch._suspicion import suspect_attempts
 from waxwingford.records import AttemptSuspected, DomainState
 
 
-class MissingServer(NamedTuple):
+class UnlistedSuspicion(NamedTuple):
     """A suspicion about a server that is not listed.
 
     :ivar server_id: the server.
@@ -26,7 +26,7 @@
     record: AttemptSuspected
 
 
-class MissingServers:
+class UnlistedServers:
     """Since when each server with claims is unknown here."""
 
     def __init__(self, settings: BatchSettings) -> None:
@@ -35,11 +35,11 @@
         :param settings: of the controller.
         """
         self._settings = settings
-        self._since_ms_by_id: dict[str, int] = {}
+        self._unlisted_since_ms: dict[str, int] = {}
 
     def suspicions(
         self, state: DomainState, known: Container[str], now_ms: int
-    ) -> Iterator[MissingServer]:
+    ) -> Iterator[UnlistedSuspicion]:
         """Suspect attempts at servers that were unknown for long.
 
         :param state: fold of the domain's stream.
@@ -47,14 +47,14 @@
         :param now_ms: monotonic time.
         :returns: records to append.
         """
-        self._since_ms_by_id = {
-            server_id: self._since_ms_by_id.get(server_id, now_ms)
+        self._unlisted_since_ms = {
+            server_id: self._unlisted_since_ms.get(server_id, now_ms)
             for server_id in state.index.attempts_by_server
             if server_id not in known
         }
-        for server_id, since_ms in self._since_ms_by_id.items():
+        for server_id, since_ms in self._unlisted_since_ms.items():
             if now_ms - since_ms < self._settings.control_lease_ms:
                 continue
-            record = suspect_at(server_id, state, self._settings)
+            record = suspect_attempts(server_id, state, self._settings)
             if record is not None:
-                yield MissingServer(server_id, record)
+                yield UnlistedSuspicion(server_id, record)
--- a/waxwingford/batch/_checked.py
+++ b/waxwingford/batch/_validation.py
@@ -16,14 +16,14 @@
 from waxwingford.records import TaskState
 
 
-class CheckedPlacements:
+class PlacementValidator:
     """Placements of one round that hold.
 
     The policy is a plug-in: a wrong decision of it must neither over-commit a
     VM nor stop the daemon, so it is left out and noted.
 
     :ivar placed: placements with their tasks.
-    :ivar left: attempts that found no place.
+    :ivar unplaced: attempts that found no place.
     :ivar notes: on placements that were left out.
     """
 
@@ -41,7 +41,7 @@
         :param quarantine: says when a server in quarantine may get a task.
         :param now_ms: monotonic time.
         """
-        self.left: list[TaskKey] = []
+        self.unplaced: list[TaskKey] = []
         self.placed: list[tuple[Placement, TaskState]] = []
         self.notes: list[Note] = []
         self._view_by_id = {view.server_id: view for view in views}
@@ -50,7 +50,7 @@
         self._quarantine = quarantine
         self._now_ms = now_ms
 
-    def take_all(
+    def validate(
         self, placements: Iterable[Placement], offers: Iterable[Offer]
     ) -> None:
         """Check the policy's decisions.
@@ -65,7 +65,7 @@
             if offer is not None and view is not None:
                 if self._take(placement, offer, view):
                     offer_by_key.pop(placement.key)
-        self.left = list(offer_by_key)
+        self.unplaced = list(offer_by_key)
 
     def _take(
         self, placement: Placement, offer: Offer, view: ServerView
@@ -79,7 +79,7 @@
             return False
         if not self._may_place(offer.task, view):
             return False
-        self._limits.note_claimed(offer.task)
+        self._limits.count_claim(offer.task)
         room = subtract_resources(room, offer.view.resources)
         self._room_by_id[view.server_id] = room
         self.placed.append((placement, offer.task))
--- a/waxwingford/batch/_views.py
+++ b/waxwingford/batch/_views.py
@@ -15,7 +15,7 @@
 
 _NOTHING = Resources(0, 0, 0)
 #: Tasks shown of one job.
-_TASKS_SHOWN = 200
+_MAX_TASKS_SHOWN = 200
 _DIMENSIONS = ('processors_milli', 'memory_mb', 'accelerators')
 
 
@@ -140,7 +140,7 @@
             task.detail,
             why(task.task_id),
         )
-        for task in job.tasks[:_TASKS_SHOWN]
+        for task in job.tasks[:_MAX_TASKS_SHOWN]
     )
     return view_job(job, tasks)
 
--- a/waxwingford/batch/tests/mutations.py
+++ b/waxwingford/batch/tests/mutations.py
@@ -117,12 +117,12 @@
 
 def lapse_at_once():
     """End a suspected attempt without waiting."""
-    add = _suspicion.LapseWaits.add
+    add = _suspicion.LapseTimers.add
 
     def _add(self, task, now_ms):
         add(self, task, now_ms - 10_000_000)
 
-    return (mock.patch.object(_suspicion.LapseWaits, 'add', _add),)
+    return (mock.patch.object(_suspicion.LapseTimers, 'add', _add),)
 
 
 def renew_suspected():
@@ -149,7 +149,7 @@
     huge = Resources(10**9, 10**9, 10**6)
     return (
         mock.patch(
-            'waxwingford.batch._checked.room_for_claims', lambda view: huge
+            'waxwingford.batch._validation.room_for_claims', lambda view: huge
         ),
         mock.patch('waxwingford.batch._placer.require_capacity'),
         mock.patch.object(_plan, 'fits_resources', lambda *given: True),
@@ -190,18 +190,18 @@
         lease = server.lease
         return task.boot_id != lease.boot_id or task.epoch < lease.epoch
 
-    return (mock.patch.object(_plan, '_is_proved_absent', _is_absent),)
+    return (mock.patch.object(_plan, '_is_proven_absent', _is_absent),)
 
 
 def forget_given_up():
     """Start a claim although its end was offered to the log."""
-    give_up = _plan._give_up
+    abandon = _plan._abandon
 
-    def _give_up(server, plan, task):
-        give_up(server, plan, task)
-        server.given_up_by_key.clear()
+    def _abandon(server, plan, task):
+        abandon(server, plan, task)
+        server.abandoned_by_key.clear()
 
-    return (mock.patch.object(_plan, '_give_up', _give_up),)
+    return (mock.patch.object(_plan, '_abandon', _abandon),)
 
 
 MUTATIONS = {
--- a/waxwingford/batch/tests/placing_steps.py
+++ b/waxwingford/batch/tests/placing_steps.py
@@ -17,7 +17,7 @@
     VmListRead,
 )
 from waxwingford.batch._first_fit import FirstFit
-from waxwingford.batch._waits import why_waits
+from waxwingford.batch._pending_reason import pending_reason
 from waxwingford.placement import Placement
 from waxwingford.ports import (
     ControlGranted,
@@ -232,7 +232,7 @@
         head = entry.offset + 1
         give(context, LogEntries((entry,), context.now_ms, head))
     task = next(iter(controller.state.index.pending_by_id.values()))
-    why = why_waits(
+    why = pending_reason(
         task, controller.state, controller.fleet,
         controller.placer, '',
     )  # fmt: skip
--- a/waxwingford/batch/tests/protections_steps.py
+++ b/waxwingford/batch/tests/protections_steps.py
@@ -73,7 +73,7 @@
 
 
 @given('the protection "{name}" is taken away')
-def take_away(context, name):
+def disable_protection(context, name):
     context.off = contextlib.ExitStack()
     context.off.enter_context(switched_off(name))
     context.add_cleanup(context.off.close)
--- a/waxwingford/batch/tests/trackers_steps.py
+++ b/waxwingford/batch/tests/trackers_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from waxwingford.batch import AliveDaemons, Append, LogEntries, ReadGroup
-from waxwingford.batch._waits import why_waits
+from waxwingford.batch._pending_reason import pending_reason
 from waxwingford.batch.tests.placing_steps import (
     TASK,
     answer,
@@ -186,7 +186,7 @@
     controller = context.controller
     pending = controller.state.index.pending_by_id.values()
     task = next(one for one in pending if name in one.task_id)
-    why = why_waits(
+    why = pending_reason(
         task, controller.state, controller.fleet, controller.placer, ''
     )
     assert reason in why, why
@@ -194,13 +194,13 @@
 
 @then('server "{server_id}" is in quarantine for the trackers and no other')
 def one_in_quarantine(context, server_id):
-    found = context.controller.placer.in_quarantine()
+    found = context.controller.placer.quarantined_servers()
     assert found == {server_id}, found
 
 
 @then('no server is in quarantine for the trackers')
 def none_in_quarantine(context):
-    assert not context.controller.placer.in_quarantine()
+    assert not context.controller.placer.quarantined_servers()
 
 
 @then('no task of job "{name}" is claimed on "{server_id}"')
