--- a/waxwingford/batch/__init__.py
+++ b/waxwingford/batch/__init__.py
@@ -1,4 +1,4 @@
-"""Batch work: jobs, attempts, and the task that drives them."""
+"""Batch jobs: admission, placement and control of their attempts."""
 
 from waxwingford.batch._controller import DomainController
 from waxwingford.batch._effects import (
--- a/waxwingford/batch/_appender.py
+++ b/waxwingford/batch/_appender.py
@@ -1,10 +1,10 @@
-"""Group commit: one append in flight, the next group gathers meanwhile.
+"""Group commit: one append is in flight while the next group is collected.
 
-An append of unknown outcome is repeated, with the same sequence, only after a
-read that began later reached the head without finding it, and until it is
-found: a copy that lands late is told by writer and sequence (see
-:meth:`waxwingford.records.DomainState.apply`).  So no group is ever both
-given up and valid, and what it claims stays counted.
+An append of unknown outcome is retried with the same sequence number after a
+later read reached the head without finding it, and until it is found.
+Duplicates are recognized by writer and sequence number (see
+:meth:`waxwingford.records.DomainState.apply`), so a group that is retried takes
+effect once and its claims stay counted.
 """
 
 import dataclasses
@@ -21,16 +21,14 @@
 from waxwingford.ports import Appended, AppendOutcome, AppendRefused
 from waxwingford.records import Record, RecordGroup
 
-#: Records in a group at most.
 _MAX_GROUP_RECORDS = 512
-#: Submissions in a group at most; with the bound of a job's payload a group
-#: stays below the log's 1 MiB.
+#: With the limit of a job's payload this keeps a group below the log's 1 MiB.
 _MAX_GROUP_SUBMISSIONS = 8
-#: Longest interval between appends while the log refuses them.
+#: Longest append interval while the log refuses appends.
 _MAX_APPEND_INTERVAL_MS = 8000
 _UNKNOWN_RETRY_MS = 2000
 _BACKOFF_FACTOR = 2
-#: Taken off the interval at each append that succeeds.
+#: Factor of the append interval after each append that succeeds.
 _RECOVERY_FACTOR = 0.8
 
 
@@ -52,11 +50,12 @@
     """Outbox of one daemon for the domain's stream."""
 
     def __init__(self, writer: str, capacity: int, every_ms: int) -> None:
-        """Start empty.
+        """Create an empty outbox.
 
         :param writer: ``<daemon>#<incarnation>``.
-        :param capacity: records that may wait at most.
-        :param every_ms: shortest time between two appends.
+        :param capacity: most records that may be queued.
+        :param every_ms: shortest interval between two appends, in
+            milliseconds.
         """
         self._writer = writer
         self._capacity = capacity
@@ -69,16 +68,16 @@
         self._in_flight: _InFlightGroup | None = None
 
     def __len__(self) -> int:
-        """Count what waits or is in flight.
+        """Return the number of records queued or in flight.
 
-        :returns: records.
+        :returns: number of records.
         """
         in_flight = len(self._in_flight.group.records) if self._in_flight else 0
         return len(self._submissions) + len(self._record_by_key) + in_flight
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is in flight.
+        """Return whether no append is in flight.
 
         :returns: true if the next group may be built.
         """
@@ -87,11 +86,11 @@
     def submit(
         self, submission_id: int, record: Record
     ) -> list[ReplySubmission]:
-        """Take a submission, or refuse it at once.
+        """Queue a submission, or refuse it if the outbox is full.
 
-        :param submission_id: names the reply.
-        :param record: what to append.
-        :returns: the refusal, if there is no room.
+        :param submission_id: id that the reply carries.
+        :param record: record to append.
+        :returns: the refusal, if the outbox is full.
         """
         if len(self) >= self._capacity:
             refusal = JobRefused('outbox full', int(self._interval_ms))
@@ -100,10 +99,10 @@
         return []
 
     def offer(self, key: Hashable, record: Record) -> None:
-        """Take a record that its maker would offer again if it were dropped.
+        """Queue a record that its source offers again if it is dropped.
 
-        :param key: tells repeated offers.
-        :param record: what to append.
+        :param key: key by which repeated offers are recognized.
+        :param record: record to append.
         """
         if self._in_flight is not None and key in self._in_flight.keys:
             return
@@ -111,9 +110,9 @@
             self._record_by_key[key] = record
 
     def is_due(self, now_ms: int) -> bool:
-        """Tell whether a group may be built now.
+        """Return whether a group may be built now.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: true if nothing is in flight and the interval has passed.
         """
         return self._in_flight is None and now_ms >= self._next_append_ms
@@ -121,9 +120,9 @@
     def build(self, claims: Iterable[Record], now_ms: int) -> list[Append]:
         """Put the next group in flight.
 
-        :param claims: decided just now; appended in this group or never.
-        :param now_ms: monotonic time.
-        :returns: the append; nothing if there is nothing to append.
+        :param claims: claims of this round; appended in this group or never.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: the append; empty if there are no records.
         """
         submissions = tuple(self._submissions[:_MAX_GROUP_SUBMISSIONS])
         keys = tuple(itertools.islice(self._record_by_key, _MAX_GROUP_RECORDS))
@@ -147,12 +146,12 @@
     def handle_result(
         self, sequence: int, outcome: AppendOutcome, now_ms: int
     ) -> list[ReplySubmission]:
-        """Take the outcome of the append.
+        """Handle the outcome of an append.
 
-        :param sequence: of the group.
-        :param outcome: from the port.
-        :param now_ms: monotonic time.
-        :returns: replies that are final.
+        :param sequence: sequence number of the group.
+        :param outcome: outcome reported by the port.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: final replies to submissions.
         """
         in_flight = self._in_flight
         if in_flight is None or in_flight.group.sequence != sequence:
@@ -170,11 +169,11 @@
         return self._reply_unknown(in_flight)
 
     def handle_read(self, group: RecordGroup) -> list[int]:
-        """Take a group that was read.
+        """Handle a group that was read from the log.
 
-        :param group: any writer's.
-        :returns: submissions to reply to by the verdicts, in order of records;
-            empty for a group of another writer.
+        :param group: group of any writer.
+        :returns: ids of the submissions to reply to, in order of the records;
+            empty unless it is the group in flight.
         """
         in_flight = self._in_flight
         if in_flight is None or group.writer != self._writer:
@@ -187,10 +186,11 @@
         ]
 
     def repeat(self, head_read_ms: int, now_ms: int) -> list[Append]:
-        """Append a group of unknown outcome once more, if it is not there.
+        """Retry an append of unknown outcome that is not in the log.
 
-        :param head_read_ms: monotonic start of the last read to the head.
-        :param now_ms: monotonic time.
+        :param head_read_ms: monotonic start of the last read that reached the
+            head, in milliseconds.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: the append, if it is due.
         """
         in_flight = self._in_flight
@@ -206,10 +206,10 @@
         return [Append(in_flight.group)]
 
     def fail_pending(self, retry_after_ms: int) -> list[ReplySubmission]:
-        """Answer all that waits for a log that is away.
+        """Answer all queued submissions while the log is unavailable.
 
-        :param retry_after_ms: when members may come back, in milliseconds.
-        :returns: final replies: refused where certainly nothing was appended.
+        :param retry_after_ms: retry delay for members, in milliseconds.
+        :returns: final replies; refused only where nothing was appended.
         """
         refusal = JobRefused('the log is away', retry_after_ms)
         replies = [
--- a/waxwingford/batch/_control_results.py
+++ b/waxwingford/batch/_control_results.py
@@ -26,7 +26,7 @@
     def __init__(self, settings: BatchSettings, fleet: Fleet) -> None:
         """Bind the servers.
 
-        :param settings: of the controller.
+        :param settings: settings of the controller.
         :param fleet: servers.
         """
         self._settings = settings
@@ -39,7 +39,7 @@
         tells of a state of the server that is past.
 
         :param result: the outcome.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: effects.
         """
         server = self._fleet.server_by_id.get(result.server_id)
--- a/waxwingford/batch/_controller.py
+++ b/waxwingford/batch/_controller.py
@@ -1,4 +1,4 @@
-"""The batch controller: messages in, effects out, no input or output."""
+"""The batch controller: maps messages to effects without doing I/O."""
 
 from collections.abc import Iterable, Mapping
 
@@ -45,30 +45,29 @@
 from waxwingford.ports import ControlGranted, VmList
 from waxwingford.records import DomainState, SnapshotTaken
 
-#: Each lower rank waits for half an interval more before it writes a snapshot.
+#: Delay per rank before a snapshot, as a share of the snapshot interval.
 _SNAPSHOT_STAGGER = 0.5
-#: A daemon that hears nothing of others for so long after its start takes
-#: itself for the only one.
+#: Time after start without news of peers after which a daemon acts alone.
 _PEER_DISCOVERY_MS = 3000
 
 
 class DomainController:
-    """Batch work of one failure domain, as one daemon drives it.
+    """Controls the batch work of one failure domain for one daemon.
 
-    :ivar settings: figures.
-    :ivar fleet: backend servers and their leases.
-    :ivar placer: pending tasks and the policy.
-    :ivar stream: fold of the domain's stream, and the outbox.
+    :ivar settings: settings of the controller.
+    :ivar fleet: backend servers and their control leases.
+    :ivar placer: pending tasks and the placement policy.
+    :ivar stream: state replayed from the domain's stream, and the outbox.
     """
 
     def __init__(
         self, settings: BatchSettings, state: DomainState, now_ms: int
     ) -> None:
-        """Start from a snapshot's state, or from an empty one.
+        """Create a controller from a snapshot's state or an empty state.
 
-        :param settings: figures.
-        :param state: where to go on from.
-        :param now_ms: monotonic time.
+        :param settings: settings of the controller.
+        :param state: state to replay the stream on.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.settings = settings
         self.fleet = Fleet(settings)
@@ -87,7 +86,7 @@
 
     @property
     def state(self) -> DomainState:
-        """Show the fold of the domain's stream.
+        """Return the state replayed from the domain's stream.
 
         :returns: the state.
         """
@@ -96,12 +95,12 @@
     def handle(
         self, message: Message, now_ms: int, wall_ms: int
     ) -> list[Effect]:
-        """Take a message and decide what to do.
+        """Handle a message.
 
-        :param message: what happened.
-        :param now_ms: monotonic time.
-        :param wall_ms: wall time.
-        :returns: effects, in the order in which to carry them out.
+        :param message: the message.
+        :param now_ms: monotonic time, in milliseconds.
+        :param wall_ms: Unix time, in milliseconds.
+        :returns: effects, in the order of execution.
         """
         effects = self._dispatch(message, now_ms, wall_ms)
         effects.extend(self._advance(now_ms, wall_ms))
--- a/waxwingford/batch/_effects.py
+++ b/waxwingford/batch/_effects.py
@@ -10,7 +10,7 @@
 class JobAcceptedOutcome:
     """The failure domain answers for the job.
 
-    :ivar job_id: which job.
+    :ivar job_id: id of the job.
     """
 
     job_id: str
@@ -20,7 +20,7 @@
 class JobCancelledOutcome:
     """The cancellation stands in the log.
 
-    :ivar job_id: which job.
+    :ivar job_id: id of the job.
     """
 
     job_id: str
@@ -30,7 +30,7 @@
 class JobRefused:
     """Certainly not accepted; final at once.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable reason.
     :ivar retry_after_ms: when to come back, in milliseconds.
     """
 
@@ -42,7 +42,7 @@
 class JobUnknown:
     """It may be accepted yet; submitting the same job id again is harmless.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable reason.
     :ivar retry_after_ms: when asking again may find more, in milliseconds.
     """
 
@@ -54,7 +54,7 @@
 class JobRejected:
     """The job or the question itself is wrong.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable reason.
     """
 
     reason: str
@@ -118,7 +118,7 @@
 
     :ivar kind: what happened.
     :ivar subject: what it is about.
-    :ivar detail: for people.
+    :ivar detail: human-readable detail.
     """
 
     kind: str
--- a/waxwingford/batch/_exchanges.py
+++ b/waxwingford/batch/_exchanges.py
@@ -22,7 +22,7 @@
     def __init__(self, settings: BatchSettings, fleet: Fleet) -> None:
         """Bind the servers.
 
-        :param settings: of the controller.
+        :param settings: settings of the controller.
         :param fleet: servers.
         """
         self._settings = settings
@@ -38,9 +38,9 @@
     ) -> tuple[list[Effect], dict[object, Record]]:
         """Decide the exchanges that are due.
 
-        :param state: fold of the domain's stream.
+        :param state: state replayed from the domain's stream.
         :param head_read_ms: monotonic start of the last read to the head.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :param claiming: servers with claims in flight to the log, which are not
             given up just now.
         :returns: effects, and records to offer to the appender by key.
--- a/waxwingford/batch/_executor.py
+++ b/waxwingford/batch/_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the controller's effects through the ports."""
+"""Executes the controller's effects through the ports."""
 
 from collections.abc import Callable
 
@@ -24,17 +24,17 @@
 
 
 def is_too_late(effect: Control, now_ms: int) -> bool:
-    """Check an exchange at the last moment before it is sent.
+    """Return whether an exchange is no longer valid at the time of sending.
 
     :param effect: the exchange.
-    :param now_ms: monotonic time.
-    :returns: whether its time is over.
+    :param now_ms: monotonic time, in milliseconds.
+    :returns: true if it must not be sent.
     """
     return now_ms >= effect.valid_until_ms
 
 
 class EffectExecutor:
-    """Sends what was decided, and hands the outcomes back as messages."""
+    """Executes effects and delivers their outcomes as messages."""
 
     def __init__(
         self,
@@ -44,13 +44,13 @@
         clock: Clock,
         handle: Callable[[Message], None],
     ) -> None:
-        """Bind the ports.
+        """Create an executor.
 
-        :param settings: figures.
-        :param log: the log.
-        :param servers: control of backend servers.
+        :param settings: settings of the controller.
+        :param log: port of the platform's log.
+        :param servers: port that controls backend servers.
         :param clock: source of time.
-        :param handle: takes the outcomes.
+        :param handle: callback for the outcomes.
         """
         self._settings = settings
         self._log = log
@@ -60,18 +60,18 @@
         self._generation = 0
 
     def start_generation(self, generation: int) -> None:
-        """Pass over the outcomes of an earlier controller from now on.
+        """Ignore outcomes of earlier controllers from now on.
 
-        :param generation: number of the controller.
+        :param generation: number of the present controller.
         """
         self._generation = generation
 
     async def control(self, effect: Control) -> None:
-        """Carry out an exchange, unless its time is over.
+        """Send an exchange unless its lease has expired.
 
-        The process may have been frozen since the exchange was decided; the
-        lease is checked again at the last moment.  An exchange that is too
-        late is certainly not sent, and its outcome says so.
+        The lease is checked again right before sending, since the process may
+        have been suspended after the exchange was planned.  The outcome of an
+        exchange that expired states that it was not sent.
 
         :param effect: the exchange.
         """
@@ -91,7 +91,7 @@
     async def append(self, effect: Append) -> None:
         """Append a group to the domain's stream.
 
-        :param effect: the group.
+        :param effect: the append.
         """
         generation = self._generation
         outcome = await self._log.append(
@@ -101,9 +101,9 @@
         self._deliver(generation, AppendResult(effect.group.sequence, outcome))
 
     async def snapshot(self, state: DomainState) -> None:
-        """Write a snapshot and report it once it stands.
+        """Write a snapshot and report it when it is complete.
 
-        :param state: the state now.
+        :param state: present state.
         """
         generation = self._generation
         covers_offset = state.next_offset
--- a/waxwingford/batch/_first_fit.py
+++ b/waxwingford/batch/_first_fit.py
@@ -58,7 +58,7 @@
 
         :param pending: tasks, most deserving first.
         :param servers: servers that this daemon holds.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: decisions for some of the tasks.
         """
         room_by_server = {
@@ -80,7 +80,7 @@
         """Leave everything as it is.
 
         :param servers: servers that this daemon holds.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: nothing.
         """
         return []
--- a/waxwingford/batch/_fleet.py
+++ b/waxwingford/batch/_fleet.py
@@ -42,7 +42,7 @@
     def __init__(self, settings: BatchSettings) -> None:
         """Start without servers.
 
-        :param settings: of the controller.
+        :param settings: settings of the controller.
         """
         self.server_by_id: dict[str, ServerControl] = {}
         self.alive = frozenset((settings.daemon_id,))
@@ -61,7 +61,7 @@
         """Take the platform's list, a hint.
 
         :param vms: of this failure domain.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         listed = {vm.server_id: vm for vm in vms}
         if listed.keys() - self.server_by_id.keys():
@@ -91,7 +91,7 @@
         """Take the daemons that seem alive and rank the servers anew.
 
         :param daemon_ids: their names.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         alive = frozenset(daemon_ids) | {self._settings.daemon_id}
         if alive == self.alive and self.knows_peers:
@@ -115,7 +115,7 @@
     def mark_ready(self, now_ms: int) -> None:
         """Note that the stream was read to its head.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         if self.is_ready:
             return
@@ -137,7 +137,7 @@
     def held(self, now_ms: int) -> dict[str, ServerControl]:
         """List the servers that this daemon may rely on now.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: servers by id.
         """
         held = {
@@ -151,8 +151,8 @@
     def schedule_exchange(self, server_id: str, due_ms: int) -> None:
         """Let the next exchange with a server come no later than given.
 
-        :param server_id: which server.
-        :param due_ms: monotonic time.
+        :param server_id: id of the backend server.
+        :param due_ms: monotonic time, in milliseconds.
         """
         server = self.server_by_id.get(server_id)
         if server is not None and (due_ms < server.due_ms or not server.due_ms):
@@ -188,7 +188,7 @@
     def pop_due(self, now_ms: int) -> Iterator[ServerControl]:
         """Take the servers whose exchange is due.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: servers; one is not due again until it is marked so.
         """
         while self._due and self._due[0].due_ms <= now_ms:
@@ -201,8 +201,8 @@
     def reschedule(self, server: ServerControl, due_ms: int) -> None:
         """Set when the next exchange with a server is due.
 
-        :param server: which server.
-        :param due_ms: monotonic time.
+        :param server: the backend server.
+        :param due_ms: monotonic time, in milliseconds.
         """
         server.due_ms = max(1, due_ms)
         heapq.heappush(self._due, _Due(server.due_ms, server.vm.server_id))
@@ -210,8 +210,8 @@
     def schedule_acquisition(self, server: ServerControl, now_ms: int) -> None:
         """Let this daemon try for a lease when it is its turn.
 
-        :param server: which server.
-        :param now_ms: monotonic time.
+        :param server: the backend server.
+        :param now_ms: monotonic time, in milliseconds.
         """
         tries = server.preference.rank <= MAX_ACQUIRE_RANK and self.may_acquire
         if tries:
--- a/waxwingford/batch/_messages.py
+++ b/waxwingford/batch/_messages.py
@@ -52,7 +52,7 @@
 class LogAway:
     """The log gave no answer to a read.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable reason.
     """
 
     reason: str
@@ -67,8 +67,8 @@
 class AppendResult:
     """Outcome of an append.
 
-    :ivar sequence: of the group.
-    :ivar outcome: from the port.
+    :ivar sequence: sequence number of the group.
+    :ivar outcome: outcome reported by the port.
     """
 
     sequence: int
@@ -83,7 +83,7 @@
     :ivar exchange: number of the exchange, as in the effect.
     :ivar sent_ms: monotonic time before the request was sent.
     :ivar request: what was sent.
-    :ivar outcome: from the port.
+    :ivar outcome: outcome reported by the port.
     """
 
     server_id: str
@@ -97,7 +97,7 @@
 class VmListRead:
     """The platform's list was read.
 
-    :ivar outcome: from the port.
+    :ivar outcome: outcome reported by the port.
     """
 
     outcome: VmList | VmListUnavailable
@@ -143,7 +143,7 @@
 class SubmitJob:
     """A member submits a job.
 
-    :ivar submission_id: names the reply.
+    :ivar submission_id: id that the reply carries.
     :ivar job: the job.
     """
 
@@ -155,9 +155,9 @@
 class CancelJob:
     """A member gives a job up.
 
-    :ivar submission_id: names the reply.
-    :ivar job_id: which job.
-    :ivar member: who asks.
+    :ivar submission_id: id that the reply carries.
+    :ivar job_id: id of the job.
+    :ivar member: member that makes the request.
     """
 
     submission_id: int
--- a/waxwingford/batch/_pending_reason.py
+++ b/waxwingford/batch/_pending_reason.py
@@ -21,11 +21,11 @@
     """Say why a task waits; the first cause that alone would hold it back.
 
     :param task: the task.
-    :param state: fold of the domain's stream.
+    :param state: state replayed from the domain's stream.
     :param fleet: all servers.
     :param placer: bundle, trackers and queue.
     :param log_away: why the log is away; empty if it is not.
-    :returns: for people; empty if the task is not pending.
+    :returns: human-readable reason; empty if the task is not pending.
     """
     if task.stage != TaskStage.pending:
         return ''
--- a/waxwingford/batch/_placer.py
+++ b/waxwingford/batch/_placer.py
@@ -48,7 +48,7 @@
 class Placer:
     """Chooses what to claim where, and how to react to interference.
 
-    :ivar bundle: settings in force.
+    :ivar bundle: batch settings in force.
     :ivar trackers: shares, sizes and failures.
     :ivar queue: pending tasks.
     """
@@ -56,7 +56,7 @@
     def __init__(self, settings: BatchSettings, fleet: Fleet) -> None:
         """Start with nothing pending.
 
-        :param settings: of the controller.
+        :param settings: settings of the controller.
         :param fleet: servers.
         """
         self.bundle = _EMPTY_BUNDLE
@@ -94,7 +94,7 @@
         """Enter a task that became pending.
 
         :param task: the task.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         rank = self._fleet.rank(task.task_id)
         due_ms = now_ms + rank * self._rank_delay_ms(task)
@@ -113,9 +113,9 @@
     ) -> tuple[list[TasksClaimed], list[Note]]:
         """Choose what to claim now.
 
-        :param state: fold of the domain's stream.
-        :param now_ms: monotonic time.
-        :param wall_ms: wall time.
+        :param state: state replayed from the domain's stream.
+        :param now_ms: monotonic time, in milliseconds.
+        :param wall_ms: Unix time, in milliseconds.
         :returns: claims, checked against capacity, and notes.
         """
         # Without a change, what found no place before finds none now; rounds
@@ -156,8 +156,8 @@
 
         :param server_id: where they were taken.
         :param samples: the samples.
-        :param state: fold of the domain's stream.
-        :param now_ms: monotonic time.
+        :param state: state replayed from the domain's stream.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.trackers.observe(samples)
         if self._policy is None:
@@ -174,9 +174,9 @@
     ) -> list[Note]:
         """Let the policy relieve services.
 
-        :param state: fold of the domain's stream.
-        :param now_ms: monotonic time.
-        :param wall_ms: wall time.
+        :param state: state replayed from the domain's stream.
+        :param now_ms: monotonic time, in milliseconds.
+        :param wall_ms: Unix time, in milliseconds.
         :returns: notes on what was decided.
         """
         if self._policy is None:
@@ -200,9 +200,9 @@
     ) -> list[ServerView]:
         """View servers, from the cache where nothing changed.
 
-        :param state: fold of the domain's stream.
+        :param state: state replayed from the domain's stream.
         :param held: servers by id.
-        :param wall_ms: wall time.
+        :param wall_ms: Unix time, in milliseconds.
         :returns: views in order of ids.
         """
         quarantined = self.quarantined_servers()
@@ -229,8 +229,8 @@
         """Ask the policy for a service's latency.
 
         :param server: a held server.
-        :param state: fold of the domain's stream.
-        :param wall_ms: wall time.
+        :param state: state replayed from the domain's stream.
+        :param wall_ms: Unix time, in milliseconds.
         :returns: milliseconds, 0 without a policy.
         """
         if self._policy is None:
--- a/waxwingford/batch/_placing.py
+++ b/waxwingford/batch/_placing.py
@@ -31,7 +31,7 @@
 
     :param task: the task.
     :param trackers: correct its run time.
-    :param wall_ms: wall time.
+    :param wall_ms: Unix time, in milliseconds.
     :returns: milliseconds, negative if it will be late; None if it has no
         deadline.
     """
@@ -55,7 +55,7 @@
     :param servers: servers of the failure domain; a task that failed on as
         many may be tried on the same ones again.
     :param waiting_ms: how long it waits.
-    :param wall_ms: wall time.
+    :param wall_ms: Unix time, in milliseconds.
     :returns: the view.
     """
     spec = task.job.spec
@@ -86,11 +86,11 @@
     """Show a held server to a policy.
 
     :param server: the server.
-    :param state: fold of the domain's stream.
+    :param state: state replayed from the domain's stream.
     :param trackers: correct sizes.
     :param reserved: set aside for the service there.
     :param is_quarantined: whether it gets only probation work.
-    :param wall_ms: wall time.
+    :param wall_ms: Unix time, in milliseconds.
     :returns: the view; every claim that is not proved over counts.
     """
     attempts = state.index.attempts_by_server.get(server.vm.server_id, {})
@@ -143,7 +143,7 @@
     """Tell whether something runs there whose size is not known.
 
     :param server: a held server.
-    :param state: fold of the domain's stream.
+    :param state: state replayed from the domain's stream.
     :returns: true if a running attempt has no claim there.
     """
     return any(
@@ -162,7 +162,7 @@
 
     :param placements: decisions that were checked, with their tasks.
     :param server_by_id: held servers.
-    :param settings: of the controller.
+    :param settings: settings of the controller.
     :returns: claims under the present epochs.
     """
     in_order = sorted(placements, key=_server_of)
@@ -184,8 +184,8 @@
 def require_held(server: ServerControl, now_ms: int) -> None:
     """Check that a server may be claimed on.
 
-    :param server: which server.
-    :param now_ms: monotonic time.
+    :param server: the backend server.
+    :param now_ms: monotonic time, in milliseconds.
     :raises BrokenInvariant: if its lease is not held, or it leaves.
     """
     require(
@@ -205,7 +205,7 @@
     """Check claims against everything not proved over, from the fold itself.
 
     :param claims: about to be appended.
-    :param state: fold of the domain's stream.
+    :param state: state replayed from the domain's stream.
     :param server_by_id: held servers.
     :param reserved_by_service: set aside on each VM for its service.
     :raises BrokenInvariant: if a VM would be over-committed.
--- a/waxwingford/batch/_plan.py
+++ b/waxwingford/batch/_plan.py
@@ -1,8 +1,8 @@
-"""What the next exchange with a held server renews and commands.
+"""Plans the renewals and commands of the next exchange with a held server.
 
-A claim is started only under the epoch that it names, once, and only by the
-daemon that made it.  So an attempt that is not at the server under a later
-epoch can never appear there: that is the proof that it is over.
+A claim is started at most once, under the epoch that it names and by the daemon
+that made it.  An attempt that the server does not report under a later epoch can
+therefore never start there and is over.
 """
 
 from waxwingford.batch._plan_types import Plan, PlanInput, is_over
@@ -29,17 +29,17 @@
     TaskState,
 )
 
-#: A stop or checkpoint that shows no effect is commanded again after this.
+#: Time after which a stop or checkpoint without effect is sent again.
 _COMMAND_RETRY_MS = 6000
 _NOTHING = Resources(0, 0, 0)
-#: Keys of a server's epoch kept before those that are over are dropped.
+#: Number of started or abandoned attempts from which ended ones are pruned.
 _PRUNE_THRESHOLD = 64
 
 
 def plan_exchange(server: ServerControl, plan_input: PlanInput) -> Plan:
-    """Decide what the next exchange with a held server carries.
+    """Plan the next exchange with a held server.
 
-    :param server: a server whose lease is held; what is commanded is noted.
+    :param server: a server whose lease is held; commands are recorded in it.
     :param plan_input: state, time and settings.
     :returns: the plan.
     """
@@ -63,7 +63,7 @@
 
 
 def _prune_started(server: ServerControl, state: DomainState) -> None:
-    # An attempt that is over is never claimed again, so it needs no memory.
+    # An attempt that is over is never claimed again.
     if len(server.started) + len(server.abandoned_by_key) < _PRUNE_THRESHOLD:
         return
     server_id = server.vm.server_id
@@ -96,9 +96,8 @@
     since_ms = server.unclaimed_since_ms.setdefault(key, plan_input.now_ms)
     is_running = report.phase == TaskPhase.running
     plan.has_unclaimed = plan.has_unclaimed or is_running
-    # A claim that this daemon has not read yet stood in the log before the
-    # server could name the attempt: a read to the head that began since would
-    # have shown it.
+    # A claim precedes its start in the log, so a read to the head that began
+    # after the report would have returned it.
     known = (
         is_over(plan_input.state, key, server.vm.server_id)
         or plan_input.head_read_ms > since_ms
@@ -152,9 +151,9 @@
 
 
 def _is_proven_absent(server: ServerControl, task: TaskState) -> bool:
-    # The answer must be to an exchange that was decided after the claim was
-    # read.  Otherwise a late answer of an earlier boot or epoch would speak
-    # of an attempt that a later holder has started since.
+    # Only the answer to an exchange planned after the claim was read counts.
+    # A late answer of an earlier boot or epoch says nothing of an attempt
+    # that a later holder has started since.
     if task.claim_offset >= server.report_offset:
         return False
     return (
@@ -181,7 +180,8 @@
 
 
 def _abandon(server: ServerControl, plan: Plan, task: TaskState) -> None:
-    # Noted first: once its end may stand in the log it must never be started.
+    # Recorded before the end is offered: an attempt whose end may be in the
+    # log must never be started.
     server.abandoned_by_key[task.key] = AttemptEnded(
         task.key,
         server.vm.server_id,
@@ -248,8 +248,8 @@
 
 
 def _ended(server: ServerControl, report: TaskReport) -> AttemptEnded:
-    # ``lapsed`` in the stream stands for the suspicion protocol; here the
-    # server itself says that it stopped the attempt.
+    # ``lapsed`` in the stream is reserved for ends by the suspicion protocol;
+    # here the server itself reports that it stopped the attempt.
     how = 'stopped' if report.phase == TaskPhase.lapsed else report.phase.value
     return AttemptEnded(
         report.key,
--- a/waxwingford/batch/_plan_types.py
+++ b/waxwingford/batch/_plan_types.py
@@ -1,4 +1,4 @@
-"""What planning an exchange depends on, and what a plan holds."""
+"""Input and result of planning a control exchange."""
 
 import dataclasses
 from typing import NamedTuple
@@ -11,14 +11,15 @@
 
 
 class PlanInput(NamedTuple):
-    """What planning depends on besides the server.
+    """Input of planning besides the server itself.
 
-    :ivar state: fold of the domain's stream.
-    :ivar settings: of the controller.
-    :ivar pace: lengths of leases now.
-    :ivar head_read_ms: monotonic start of the last read to the head.
-    :ivar now_ms: monotonic time.
-    :ivar reserved: set aside for the service there.
+    :ivar state: state replayed from the domain's stream.
+    :ivar settings: settings of the controller.
+    :ivar pace: present interval of exchanges and durations of leases.
+    :ivar head_read_ms: monotonic start of the last read that reached the
+        head of the log, in milliseconds.
+    :ivar now_ms: monotonic time, in milliseconds.
+    :ivar reserved: resources reserved for the service on the VM.
     """
 
     state: DomainState
@@ -31,14 +32,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Plan:
-    """What an exchange carries, and what goes to the log.
+    """Content of a control exchange, and records for the log.
 
     :ivar renew: attempts whose task leases are renewed.
-    :ivar commands: for the server.
-    :ivar record_by_key: records to offer to the appender.
-    :ivar valid_until_ms: it must not be sent later.
-    :ivar running: resources of what runs there or is being started.
-    :ivar has_unclaimed: something runs there whose size is not known.
+    :ivar commands: commands for the server.
+    :ivar record_by_key: records to offer to the appender, by key.
+    :ivar valid_until_ms: monotonic time after which it must not be sent, in
+        milliseconds.
+    :ivar running: resources of attempts that run or are being started.
+    :ivar has_unclaimed: whether an attempt without a known claim, and so of
+        unknown size, runs there.
     """
 
     valid_until_ms: int
@@ -52,15 +55,15 @@
 
 
 def is_over(state: DomainState, key: TaskKey, server_id: str) -> bool:
-    """Tell whether the stream says that an attempt is over.
+    """Return whether the stream shows that an attempt is over.
 
-    An attempt that the stream does not know yet is not over: this daemon may
-    be behind.
+    An attempt that is not in the stream does not count as over: this daemon
+    may lag behind the log.
 
-    :param state: fold of the domain's stream.
-    :param key: which attempt.
-    :param server_id: where it was reported.
-    :returns: true if it ended, and for good.
+    :param state: state replayed from the domain's stream.
+    :param key: key of the attempt.
+    :param server_id: id of the server that reported it.
+    :returns: true if it ended and cannot run again.
     """
     task = state.task(key.task_id)
     if task is None:
--- a/waxwingford/batch/_queries.py
+++ b/waxwingford/batch/_queries.py
@@ -38,7 +38,7 @@
     def jobs(self, member: str) -> list[JobView]:
         """List a member's jobs.
 
-        :param member: whose.
+        :param member: member that owns the jobs.
         :returns: views without single tasks; finished jobs last.
         """
         if self._controller is None:
@@ -48,8 +48,8 @@
     def job(self, job_id: str, member: str) -> JobView | None:
         """Show one job with its tasks and why they wait.
 
-        :param job_id: which job.
-        :param member: who asks.
+        :param job_id: id of the job.
+        :param member: member that makes the request.
         :returns: the view; nothing if the member has no such job.
         """
         controller = self._controller
@@ -60,8 +60,8 @@
     def why(self, task_id: str) -> str:
         """Say why a task waits.
 
-        :param task_id: which task.
-        :returns: for people; empty if it does not wait.
+        :param task_id: id of the task.
+        :returns: human-readable reason; empty if it does not wait.
         """
         controller = self._controller
         task = controller.state.task(task_id) if controller else None
@@ -107,7 +107,7 @@
     def readiness(self) -> list[str]:
         """Say what is missing before this daemon can do its batch work.
 
-        :returns: for people; empty when it is ready.
+        :returns: human-readable reason; empty when it is ready.
         """
         controller = self._controller
         if controller is None:
--- a/waxwingford/batch/_queue.py
+++ b/waxwingford/batch/_queue.py
@@ -80,7 +80,7 @@
         """Enter a pending task.
 
         :param task: the task.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :param due_ms: monotonic time from which this daemon may claim it.
         """
         order = next(self._order)
@@ -90,7 +90,7 @@
     def has_due(self, now_ms: int) -> bool:
         """Tell whether a task has come in, or its turn here has come.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: whether ``take`` would bring one in.
         """
         return bool(self._deferred) and self._deferred[0].due_ms <= now_ms
@@ -112,7 +112,7 @@
         They stay in the tracker until they are dropped or put back.
 
         :param limit: tasks at most.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :param limits: hard limits of teams.
         :param view: shows a task, given how long it waits.
         :returns: tasks, most deserving first.
@@ -144,7 +144,7 @@
         """Forget a task that is claimed or over.
 
         :param key: the attempt under which it was pending.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :param view: as for ``take``.
         """
         entry = self._entry_by_key.pop(key, None)
@@ -157,7 +157,7 @@
         """Note tasks that found no place in this round.
 
         :param keys: as taken.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :param view: as for ``take``.
         """
         for key in keys:
--- a/waxwingford/batch/_quotas.py
+++ b/waxwingford/batch/_quotas.py
@@ -22,8 +22,8 @@
     def __init__(self, state: DomainState, bundle: BundleSettings) -> None:
         """Start a round.
 
-        :param state: fold of the domain's stream.
-        :param bundle: settings in force.
+        :param state: state replayed from the domain's stream.
+        :param bundle: batch settings in force.
         """
         self._bundle = bundle
         self._used_by_team: Mapping[str, Resources] = state.index.used_by_team
@@ -50,7 +50,7 @@
         """Say which limit is used up.
 
         :param task: the task.
-        :returns: for people; empty if there is room.
+        :returns: human-readable reason; empty if there is room.
         """
         team = team_key(task.job.spec)
         quota = self._bundle.quota_by_team.get(team)
--- a/waxwingford/batch/_reactions.py
+++ b/waxwingford/batch/_reactions.py
@@ -20,10 +20,10 @@
     """Let the next exchange carry a reaction.
 
     :param fleet: servers.
-    :param state: fold of the domain's stream.
+    :param state: state replayed from the domain's stream.
     :param held: held servers by id.
     :param reaction: the policy's decision.
-    :param now_ms: monotonic time.
+    :param now_ms: monotonic time, in milliseconds.
     :returns: a note; nothing if the attempt is over or not held here.
     """
     key = reaction.key
--- a/waxwingford/batch/_reader.py
+++ b/waxwingford/batch/_reader.py
@@ -1,4 +1,4 @@
-"""Long polls of the failure domain's stream."""
+"""Reads the failure domain's stream by long polling."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 _MS_IN_S = 1000
 _POLL_MS = 1000
 _READ_ENTRIES = 256
-#: Gathers entries of several daemons into one read.
+#: Pause after a read, so that the next one returns several entries.
 _BATCHING_PAUSE_MS = 50
 _BASE_BACKOFF_MS = 250
 _MAX_BACKOFF_MS = 2000
@@ -22,15 +22,14 @@
 
 
 def away_pause_ms(failures: int, rng: random.Random) -> int:
-    """Choose the pause before asking a platform that is away once more.
+    """Choose the pause before the next call after failed platform calls.
 
-    An outage fails the calls of all daemons in one moment.  With a fixed pause
-    they would all call again in step until it ends; one would notice spikes in
-    the platform's own load.  Doubled pauses with a random half part them.
+    Exponential backoff with jitter, so that daemons whose calls fail together
+    do not retry in step.
 
-    :param failures: calls in a row that failed, from 1.
-    :param rng: source of the random half.
-    :returns: milliseconds.
+    :param failures: number of consecutive failed calls, from 1.
+    :param rng: source of the jitter.
+    :returns: pause, in milliseconds.
     """
     doublings = min(failures, _MAX_DOUBLINGS)
     ceiling_ms = min(_BASE_BACKOFF_MS << doublings, _MAX_BACKOFF_MS)
@@ -38,15 +37,15 @@
 
 
 class StreamReader:
-    """Reads the stream forward and types what it reads."""
+    """Reads the stream forward and decodes its entries."""
 
     def __init__(
         self, settings: BatchSettings, log: LogPort, clock: Clock
     ) -> None:
-        """Bind the log.
+        """Create a reader.
 
-        :param settings: names the failure domain.
-        :param log: the log.
+        :param settings: settings that name the failure domain.
+        :param log: port of the platform's log.
         :param clock: source of time.
         """
         self._stream = f'domain/{settings.failure_domain}'
@@ -56,10 +55,10 @@
         self._failures = 0
 
     async def read(self, from_offset: int) -> LogEntries | LogAway:
-        """Read once, waiting for something new.
+        """Read once, waiting for new entries.
 
-        :param from_offset: first offset wanted.
-        :returns: what the controller handles.
+        :param from_offset: first offset to read.
+        :returns: message for the controller.
         """
         started_ms = self._clock.monotonic_ms()
         outcome = await self._log.read(
@@ -79,7 +78,7 @@
     async def pause(self, message: LogEntries | LogAway) -> None:
         """Wait before the next read.
 
-        :param message: what the last one gave.
+        :param message: result of the last read.
         """
         pause_ms = _BATCHING_PAUSE_MS
         if isinstance(message, LogAway):
@@ -91,10 +90,10 @@
 
 
 def read_group(entry: LogEntry) -> ReadGroup:
-    """Decode an entry.
+    """Decode an entry of the log.
 
-    :param entry: as read.
-    :returns: its group, or none where the payload is not one.
+    :param entry: entry as read.
+    :returns: the entry with its group; None if the payload is no group.
     """
     try:
         return ReadGroup(entry.offset, decode_group(entry.payload))
--- a/waxwingford/batch/_replies.py
+++ b/waxwingford/batch/_replies.py
@@ -60,7 +60,7 @@
     def resolve_all_unknown(self, reason: str, retry_after_ms: int) -> None:
         """Answer all callers that what they asked for may still happen.
 
-        :param reason: for people.
+        :param reason: human-readable reason.
         :param retry_after_ms: when to come back, in milliseconds.
         """
         for submission_id in list(self._reply_by_id):
--- a/waxwingford/batch/_server.py
+++ b/waxwingford/batch/_server.py
@@ -176,7 +176,7 @@
     def is_running(self, key: TaskKey) -> bool:
         """Tell whether the server named an attempt as running.
 
-        :param key: which attempt.
+        :param key: key of the attempt.
         :returns: true if it ran at the last answer.
         """
         report = self.report_by_key.get(key)
@@ -200,8 +200,8 @@
     """Write an event about a server.
 
     :param kind: what happened.
-    :param server: which server.
-    :param detail: for people.
+    :param server: the backend server.
+    :param detail: human-readable detail.
     :returns: the effect.
     """
     return Note(kind, f'server:{server.vm.server_id}', detail)
--- a/waxwingford/batch/_settings.py
+++ b/waxwingford/batch/_settings.py
@@ -1,21 +1,23 @@
-"""Figures that steer the batch controller; times in milliseconds."""
+"""Settings of the batch controller."""
 
 from typing import NamedTuple
 
 from waxwingford.ownership import OwnershipTimes
 
-#: A control lease lasts for so many intervals of renewal.
+#: Renewal intervals in one control lease.
 _RENEWALS_PER_CONTROL_LEASE = 3
-#: A task lease outlives a control lease, so that a successor can renew it.
+#: Ratio of task lease to control lease; a task lease outlives the control
+#: lease, so that a new holder can renew it.
 _CONTROL_LEASES_PER_TASK_LEASE = 2
 
 
 class Pace(NamedTuple):
-    """Interval of exchanges and lengths of leases, in milliseconds.
+    """Interval of control exchanges and durations of leases.
 
-    :ivar renew_every_ms: interval of exchanges with a held server.
-    :ivar control_lease_ms: control lease asked for.
-    :ivar task_lease_ms: task leases asked for.
+    :ivar renew_every_ms: interval of exchanges with a held server, in
+        milliseconds.
+    :ivar control_lease_ms: requested control lease, in milliseconds.
+    :ivar task_lease_ms: requested task lease, in milliseconds.
     """
 
     renew_every_ms: int
@@ -24,28 +26,31 @@
 
 
 class BatchSettings(NamedTuple):
-    """Who the controller is and how long things take.
+    """Identity, intervals and limits of a controller.
 
-    :ivar daemon_id: this daemon.
-    :ivar incarnation: random at each start of the process.
-    :ivar failure_domain: whose stream it reads.
-    :ivar control_lease_ms: shortest control lease asked for.
+    Times are in milliseconds.
+
+    :ivar daemon_id: id of this daemon.
+    :ivar incarnation: random id of this run of the process.
+    :ivar failure_domain: failure domain that the controller manages.
+    :ivar control_lease_ms: shortest control lease that is requested.
     :ivar renew_every_ms: shortest interval of exchanges with a held server.
-    :ivar task_lease_ms: shortest task lease asked for.
-    :ivar margin_ms: for the rate of clocks; also the longest time that a
-        control request may take to arrive after its sender gave it up.
+    :ivar task_lease_ms: shortest task lease that is requested.
+    :ivar margin_ms: safety margin for clock drift; also the longest time
+        that a control request may take to arrive after its sender timed out.
     :ivar exchange_every_ms: shortest mean time between two exchanges; with
         many servers each is renewed less often, under longer leases.
     :ivar longest_renew_ms: longest interval of exchanges with a held server.
-    :ivar control_timeout_ms: an exchange is given up after so long.
-    :ivar outbox_records: records that may wait for the log at most.
-    :ivar append_every_ms: shortest time between two appends.
-    :ivar react_every_ms: interval of the policy's reactions.
-    :ivar steal_ms: each lower rank waits so long more before it claims a task.
-    :ivar urgent_steal_ms: the same for urgent tasks.
-    :ivar snapshot_entries: entries after which a snapshot is due.
+    :ivar control_timeout_ms: timeout of a control exchange.
+    :ivar outbox_records: most records that may be queued for the log.
+    :ivar append_every_ms: shortest interval between two appends.
+    :ivar react_every_ms: interval at which the policy is asked for
+        reactions.
+    :ivar steal_ms: delay per rank before a daemon claims a task.
+    :ivar urgent_steal_ms: delay per rank for urgent tasks.
+    :ivar snapshot_entries: log entries after which a snapshot is due.
     :ivar snapshot_ms: time after which a snapshot is due.
-    :ivar times: delays of ownership.
+    :ivar times: delays of the ownership protocol.
     """
 
     daemon_id: str
@@ -69,7 +74,7 @@
 
     @property
     def writer(self) -> str:
-        """Name this incarnation as holder and writer.
+        """Identify this incarnation as lease holder and log writer.
 
         :returns: ``<daemon>#<incarnation>``.
         """
@@ -77,17 +82,17 @@
 
     @property
     def longest_task_lease_ms(self) -> int:
-        """Bound every daemon's task leases, however many servers it holds.
+        """Return the longest task lease that any daemon requests.
 
-        :returns: milliseconds.
+        :returns: duration, in milliseconds.
         """
         return self._pace_at(self.longest_renew_ms).task_lease_ms
 
     def pace(self, held: int) -> Pace:
-        """Spread exchanges over the servers that are held.
+        """Choose interval and leases for a number of held servers.
 
-        :param held: servers held.
-        :returns: interval and leases.
+        :param held: number of servers held.
+        :returns: interval of exchanges and durations of leases.
         """
         spread_ms = min(held * self.exchange_every_ms, self.longest_renew_ms)
         return self._pace_at(max(self.renew_every_ms, spread_ms))
--- a/waxwingford/batch/_shell.py
+++ b/waxwingford/batch/_shell.py
@@ -104,7 +104,7 @@
     ) -> None:
         """Bind the ports; nothing runs yet.
 
-        :param settings: figures.
+        :param settings: settings of the controller.
         :param log: the platform's log.
         :param servers: control of backend servers.
         :param directory: the platform's list.
@@ -158,7 +158,7 @@
     async def cancel(self, job_id: str, member: str) -> SubmissionOutcome:
         """Give a job up.
 
-        :param job_id: which job.
+        :param job_id: id of the job.
         :param member: who asks; must own the job.
         :returns: cancelled, refused, unknown or rejected.
         """
@@ -169,7 +169,7 @@
     def evict(self, task_id: str) -> bool:
         """Checkpoint a task that runs on a server held here.
 
-        :param task_id: which task.
+        :param task_id: id of the task.
         :returns: whether it does, and so was asked.
         """
         controller = self._controller
--- a/waxwingford/batch/_snapshots.py
+++ b/waxwingford/batch/_snapshots.py
@@ -22,7 +22,7 @@
 ) -> DomainState | LogUnavailable | None:
     """Find the newest complete snapshot, reading back from the head.
 
-    :param log: the log.
+    :param log: port of the platform's log.
     :param stream: the snapshots' stream.
     :returns: its state; nothing if there is none; or that the log is away.
     """
@@ -67,7 +67,7 @@
 async def write_snapshot(log: LogPort, stream: str, state: DomainState) -> str:
     """Write a snapshot of a state.
 
-    :param log: the log.
+    :param log: port of the platform's log.
     :param stream: the snapshots' stream.
     :param state: the state; it may go on while the chunks are appended.
     :returns: why it is not written; empty if all chunks stand.
--- a/waxwingford/batch/_status.py
+++ b/waxwingford/batch/_status.py
@@ -1,4 +1,4 @@
-"""Figures of a batch controller for the status of the daemon."""
+"""Status of a batch controller, for the status page of the daemon."""
 
 from typing import NamedTuple
 
@@ -6,13 +6,14 @@
 
 
 class ServerStatus(NamedTuple):
-    """A held backend server.
-
-    :ivar server_id: its name.
-    :ivar epoch: of the control lease.
-    :ivar lease_left_ms: rest of the lease, in milliseconds.
-    :ivar running: attempts that it named in its last answer.
-    :ivar leaving: gets no new work.
+    """Status of a held backend server.
+
+    :ivar server_id: id of the server.
+    :ivar epoch: epoch of the control lease.
+    :ivar lease_left_ms: remaining time of the control lease, in
+        milliseconds.
+    :ivar running: number of attempts in its last report.
+    :ivar leaving: whether it is leaving and gets no new work.
     """
 
     server_id: str
@@ -23,10 +24,10 @@
 
 
 class TaskCounts(NamedTuple):
-    """Tasks of the failure domain.
+    """Numbers of tasks of the failure domain.
 
-    :ivar pending: waiting for a claim.
-    :ivar running: claimed.
+    :ivar pending: tasks that are not claimed.
+    :ivar running: tasks that are claimed.
     """
 
     pending: int
@@ -39,8 +40,8 @@
     """Describe the held servers.
 
     :param controller: the controller.
-    :param now_ms: monotonic time.
-    :returns: one line for each.
+    :param now_ms: monotonic time, in milliseconds.
+    :returns: one entry for each held server.
     """
     return [
         ServerStatus(
@@ -58,7 +59,7 @@
     """Count tasks.
 
     :param controller: the controller.
-    :returns: pending and claimed ones.
+    :returns: numbers of pending and claimed tasks.
     """
     index = controller.state.index
     claimed = sum(map(len, index.attempts_by_server.values()))
--- a/waxwingford/batch/_stream.py
+++ b/waxwingford/batch/_stream.py
@@ -54,11 +54,11 @@
     ) -> None:
         """Start from a state.
 
-        :param settings: of the controller.
+        :param settings: settings of the controller.
         :param state: where to go on from.
         :param fleet: servers, told of changes to their attempts.
         :param placer: told of tasks that became pending.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.state = state
         self.appender = Appender(
@@ -81,7 +81,7 @@
         """Take what a read gave.
 
         :param message: the entries.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: replies and notes.
         """
         effects: list[Effect] = []
@@ -106,7 +106,7 @@
     def handle_read_failure(self, reason: str) -> list[Effect]:
         """Take that the log gave no answer.
 
-        :param reason: for people.
+        :param reason: human-readable reason.
         :returns: final replies to all that wait for the log, and a note.
         """
         effects: list[Effect] = []
@@ -119,8 +119,8 @@
     def append(self, now_ms: int, wall_ms: int) -> list[Effect]:
         """Build the next group with new claims, or repeat the last one.
 
-        :param now_ms: monotonic time.
-        :param wall_ms: wall time.
+        :param now_ms: monotonic time, in milliseconds.
+        :param wall_ms: Unix time, in milliseconds.
         :returns: the append, if one is due, and notes.
         """
         if self.log_away or self.head_read_ms is None:
--- a/waxwingford/batch/_submissions.py
+++ b/waxwingford/batch/_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions and cancellations: which go to the log, what is answered."""
+"""Admission of submissions and cancellations, and replies to them."""
 
 import dataclasses
 
@@ -24,17 +24,17 @@
     refuse_job,
 )
 
-#: When members may come back after a refusal, in milliseconds.
+#: Retry delay for members after a refusal.
 RETRY_AFTER_MS = 2000
-#: Longest payload of a job; keeps a group below the log's 1 MiB.
+#: Longest payload of a job; keeps a record group below the log's 1 MiB.
 PAYLOAD_CHARACTERS = 16_384
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordToAppend:
-    """Goes to the log.
+    """A submission or cancellation to append to the log.
 
-    :ivar record: what to append.
+    :ivar record: record to append.
     """
 
     record: JobAccepted | JobCancelled
@@ -42,9 +42,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ImmediateReply:
-    """Is answered at once.
+    """A submission or cancellation that is answered without the log.
 
-    :ivar outcome: the answer.
+    :ivar outcome: outcome for the member.
     """
 
     outcome: SubmissionOutcome
@@ -52,11 +52,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admission:
-    """What decides on a submission.
+    """State that admission depends on.
 
-    :ivar state: fold of the domain's stream.
+    :ivar state: state replayed from the domain's stream.
     :ivar fleet: servers of the failure domain.
-    :ivar refusal: why nothing can be appended now; empty if it can.
+    :ivar refusal: reason why nothing can be appended now; empty if it can.
     """
 
     state: DomainState
@@ -69,9 +69,9 @@
 ) -> RecordToAppend | ImmediateReply:
     """Check a submission.
 
-    :param admission: what decides.
+    :param admission: state that admission depends on.
     :param spec: the job.
-    :param wall_ms: wall time, which the job is stamped with.
+    :param wall_ms: Unix time of the submission, in milliseconds.
     :returns: the record to append, or the answer.
     """
     reason = _validate_spec(spec) or never_fits(spec, admission.fleet)
@@ -91,14 +91,14 @@
 ) -> RecordToAppend | ImmediateReply:
     """Check a cancellation.
 
-    :param admission: what decides.
-    :param job_id: which job.
-    :param member: who asks.
+    :param admission: state that admission depends on.
+    :param job_id: id of the job.
+    :param member: member that makes the request.
     :returns: the record to append, or the answer.
     """
     job = admission.state.jobs_by_id.get(job_id)
-    # A job of another member is answered like one that does not exist, lest
-    # members learn of each other's jobs.
+    # A job of another member is answered like one that does not exist, so that
+    # members do not learn of each other's jobs.
     if job is None or job.spec.member != member:
         return ImmediateReply(JobRejected(f'no open job {job_id!r} of yours'))
     if job.cancelled:
@@ -114,11 +114,11 @@
 
 
 def reply_for(verdict: Verdict, state: DomainState) -> SubmissionOutcome:
-    """Answer a submission or cancellation that was read back.
+    """Build the reply to a submission or cancellation read from the log.
 
-    :param verdict: of its record.
-    :param state: fold of the domain's stream.
-    :returns: the answer.
+    :param verdict: verdict on its record.
+    :param state: state replayed from the domain's stream.
+    :returns: outcome for the member.
     """
     reason = '' if isinstance(verdict, Valid) else verdict.reason
     match verdict.record:
--- a/waxwingford/batch/_suspicion.py
+++ b/waxwingford/batch/_suspicion.py
@@ -1,4 +1,4 @@
-"""Attempts whose server is out of contact, of jobs that declare lost_after."""
+"""Suspicion of attempts on unreachable servers, for jobs with lost_after."""
 
 import heapq
 from typing import NamedTuple
@@ -14,7 +14,6 @@
     TaskState,
 )
 
-#: Keys in one suspicion at most.
 _MAX_SUSPECTED_KEYS = 256
 
 
@@ -31,13 +30,13 @@
     settings: BatchSettings,
     now_ms: int,
 ) -> AttemptSuspected | None:
-    """Suspect the attempts of a server that gave no answer for long.
+    """Suspect the attempts of a server that has been unreachable too long.
 
-    :param server: a server that this daemon tried and does not hold.
-    :param state: fold of the domain's stream.
-    :param settings: of the controller.
-    :param now_ms: monotonic time.
-    :returns: the record, if there is anything to suspect.
+    :param server: a server whose lease this daemon does not hold.
+    :param state: state replayed from the domain's stream.
+    :param settings: settings of the controller.
+    :param now_ms: monotonic time, in milliseconds.
+    :returns: the record; None if there is no attempt to suspect.
     """
     since_ms = server.unreachable_since_ms
     if since_ms is None or now_ms - since_ms < settings.control_lease_ms:
@@ -48,12 +47,12 @@
 def suspect_attempts(
     server_id: str, state: DomainState, settings: BatchSettings
 ) -> AttemptSuspected | None:
-    """Suspect the attempts of a server whose jobs declare a time.
+    """Suspect the attempts on a server whose jobs declare ``lost_after_ms``.
 
-    :param server_id: where they are claimed.
-    :param state: fold of the domain's stream.
-    :param settings: of the controller.
-    :returns: the record, if there is anything to suspect.
+    :param server_id: id of the server.
+    :param state: state replayed from the domain's stream.
+    :param settings: settings of the controller.
+    :returns: the record; None if there is no attempt to suspect.
     """
     attempts = state.index.attempts_by_server.get(server_id, {})
     keys = [
@@ -68,12 +67,12 @@
 
 
 class LapseTimers:
-    """Waits out suspicions, from when this daemon read them."""
+    """Timers of suspected attempts, started when the suspicion is read."""
 
     def __init__(self, settings: BatchSettings) -> None:
-        """Start empty.
+        """Create timers for no attempts.
 
-        :param settings: of the controller.
+        :param settings: settings of the controller.
         """
         self._settings = settings
         self._timers: list[_LapseTimer] = []
@@ -81,8 +80,9 @@
     def add(self, task: TaskState, now_ms: int) -> None:
         """Start the timer of a suspected attempt.
 
-        :param task: its attempt is suspected.
-        :param now_ms: monotonic time, after the suspicion was read.
+        :param task: task whose attempt is suspected.
+        :param now_ms: monotonic time after the suspicion was read, in
+            milliseconds.
         """
         settings = self._settings
         due_ms = (
@@ -100,13 +100,13 @@
     def pop_lapsed(
         self, state: DomainState, head_read_ms: int
     ) -> list[AttemptEnded]:
-        """End the attempts whose timer expired and to which nobody objected.
+        """End the attempts whose timer expired and that are still suspected.
 
-        :param state: fold of the domain's stream.
-        :param head_read_ms: monotonic start of the last read to the head; a
-            timer counts as expired only if that read began after it.
-        :returns: records to append; the timer starts anew for each, lest the
-            record get lost.
+        :param state: state replayed from the domain's stream.
+        :param head_read_ms: monotonic start of the last read that reached the
+            head, in milliseconds; only timers due before it expire.
+        :returns: records to append; each timer is restarted in case the
+            record is lost.
         """
         expired = []
         while self._timers and self._timers[0].due_ms < head_read_ms:
--- a/waxwingford/batch/_trackers.py
+++ b/waxwingford/batch/_trackers.py
@@ -1,4 +1,4 @@
-"""What the stream and usage samples tell the placement trackers."""
+"""Feeds the placement trackers from the stream and from usage samples."""
 
 from collections.abc import Iterable, Mapping
 from typing import TypeVar
@@ -28,33 +28,32 @@
     Valid,
 )
 
-#: Weight of a quota or share of 0: such a team gets only what is idle.
+#: Weight of a quota or share of 0; such a team gets only idle capacity.
 _MIN_WEIGHT = 0.001
-#: A change of capacity below this does not change the weights of quotas.
+#: Relative change of capacity from which the weights of quotas are updated.
 _MIN_CAPACITY_CHANGE = 0.1
 _DEFAULT_LIMITS = QuarantineLimits()
 _Name = TypeVar('_Name')
 
 
 class Trackers:
-    """Shares, sizes and failures, kept up with each record that is read.
+    """Shares, sizes and failures, updated with each record that is read.
 
-    The fold decides alone what every daemon must decide alike: which claim
-    wins, and that a task which failed on too many servers is over.  The trackers
-    steer only what this daemon proposes; daemons that differ in them for a
-    moment differ in taste, never in state.  So a verdict of the quarantine
-    tracker on a task is not used: the fold's limit ends it, for all at once.
+    Decisions that all daemons must share, such as which claim wins and when a
+    task has failed for good, are made when the stream is replayed.  The
+    trackers only affect what this daemon proposes and may differ between
+    daemons; the quarantine tracker's verdict on a task is therefore not used.
 
-    :ivar quotas: order of pending tasks.
-    :ivar sizes: corrections of declarations.
-    :ivar quarantine: failures.
+    :ivar quotas: shares of teams, which order the pending tasks.
+    :ivar sizes: measured corrections of declared sizes and run times.
+    :ivar quarantine: failures by server and task.
     """
 
     def __init__(self, fleet: Fleet, quotas: QuotaTracker) -> None:
-        """Start with nothing known.
+        """Create trackers without observations.
 
-        :param fleet: servers.
-        :param quotas: order of pending tasks.
+        :param fleet: servers of the failure domain.
+        :param quotas: shares of teams, which order the pending tasks.
         """
         self.quotas = quotas
         self.sizes = SizeTracker()
@@ -68,38 +67,38 @@
         self._peak_by_key: dict[TaskKey, Resources] = {}
 
     def start(self, state: DomainState, now_ms: int) -> None:
-        """Take what a snapshot's state says; costs O(state), once.
+        """Initialize from a snapshot's state, in time linear in its size.
 
-        :param state: fold of the domain's stream.
-        :param now_ms: monotonic time.
+        :param state: state replayed from the domain's stream.
+        :param now_ms: monotonic time, in milliseconds.
         """
         for attempts in state.index.attempts_by_server.values():
             for task_id in attempts:
                 self._sync_charges(task_id, state)
-        # Failures of tasks that are over are not in a snapshot: a daemon that
-        # starts knows a bad server by the tasks that still wait.
+        # A snapshot holds no failures of tasks that are over; failed servers
+        # are known from the tasks that are still pending.
         for task in state.index.pending_by_id.values():
             for server_id in task.failed_on:
                 self._record_failure(task.task_id, server_id, now_ms)
 
     def use_bundle(self, bundle: BundleSettings) -> None:
-        """Put quotas and limits in force.
+        """Apply the quotas and limits of a bundle.
 
-        :param bundle: settings.
+        :param bundle: batch settings of the bundle.
         """
         self.quarantine.limits = bundle.quarantine or _DEFAULT_LIMITS
         self._measure_fleet()
         self._update_weights(bundle)
 
     def update_servers(self, bundle: BundleSettings) -> None:
-        """Take that the list of servers was read.
+        """Update for a new list of servers.
 
-        :param bundle: settings in force.
+        :param bundle: batch settings in force.
         """
         self.quarantine.keep_servers(self._fleet.server_by_id)
         self._measure_fleet()
-        # Shares compare dimensions, so a server more or less hardly matters;
-        # weighing anew costs as much as all pending tasks.
+        # Small changes of capacity hardly affect the shares, and an update
+        # costs time linear in the number of pending tasks.
         is_similar = all(
             abs(now - then) <= _MIN_CAPACITY_CHANGE * then
             for now, then in zip(
@@ -110,11 +109,11 @@
             self._update_weights(bundle)
 
     def note(self, verdict: Valid, state: DomainState, now_ms: int) -> None:
-        """Take a record that took effect.
+        """Update for a record that took effect.
 
         :param verdict: the record and the attempts that it changed.
-        :param state: fold after it.
-        :param now_ms: monotonic time.
+        :param state: state after the record.
+        :param now_ms: monotonic time, in milliseconds.
         """
         tasks = [self._sync_charges(key.task_id, state) for key in verdict.keys]
         match verdict.record:
@@ -127,9 +126,9 @@
                 self._forget(task)
 
     def observe(self, samples: Iterable[UsageSample]) -> None:
-        """Take measured sizes of running tasks.
+        """Record the measured sizes of running tasks.
 
-        :param samples: of one server.
+        :param samples: usage samples of one server.
         """
         for sample in samples:
             for key in sample.running:
@@ -139,13 +138,13 @@
                     self._peak_by_key[key] = largest(before, used)
 
     def allocation(self, spec: JobSpec) -> Resources:
-        """Compute what is set aside for a task of a job.
+        """Compute the resources to allocate to a task of a job.
 
-        A correction that no server offers in one piece is left out: the task
-        would wait for ever.
+        A corrected size that exceeds every server is not used, since the task
+        could never be placed.
 
         :param spec: the job.
-        :returns: the declared size, or more.
+        :returns: the declared or the corrected size.
         """
         size = self.sizes.given(
             spec.member, spec.kind, spec.resources, self._largest_capacity
@@ -157,10 +156,10 @@
         return spec.resources
 
     def run_left_ms(self, task: TaskState) -> int:
-        """Estimate what a task still has to run.
+        """Estimate the remaining run time of a task.
 
         :param task: the task.
-        :returns: corrected run time less what it ran, in milliseconds.
+        :returns: corrected run time less the time it ran, in milliseconds.
         """
         spec = task.job.spec
         run_ms = self.sizes.run_ms(spec.member, spec.kind, spec.run_ms)
@@ -169,8 +168,8 @@
     def _sync_charges(
         self, task_id: str, state: DomainState
     ) -> TaskState | None:
-        # By state, not by record, so that nothing is counted twice.  What is
-        # charged is the declared size, which is the same for all daemons.
+        # Derived from the state, so that no record is counted twice.  The
+        # declared size is charged, since it is the same for all daemons.
         running = self._running_by_id.get(task_id)
         task = running or state.task(task_id)
         if task is None:
@@ -249,7 +248,7 @@
 
 
 def _weights(share_by_name: Mapping[_Name, float]) -> dict[_Name, float]:
-    # The mean weighs 1, as does a name without a share.
+    # Normalized to a mean of 1, the weight of a name without a share.
     total = sum(share_by_name.values())
     if not total:
         return {}
--- a/waxwingford/batch/_unlisted.py
+++ b/waxwingford/batch/_unlisted.py
@@ -32,7 +32,7 @@
     def __init__(self, settings: BatchSettings) -> None:
         """Start empty.
 
-        :param settings: of the controller.
+        :param settings: settings of the controller.
         """
         self._settings = settings
         self._unlisted_since_ms: dict[str, int] = {}
@@ -42,9 +42,9 @@
     ) -> Iterator[UnlistedSuspicion]:
         """Suspect attempts at servers that were unknown for long.
 
-        :param state: fold of the domain's stream.
+        :param state: state replayed from the domain's stream.
         :param known: servers that this daemon asks by itself.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: records to append.
         """
         self._unlisted_since_ms = {
--- a/waxwingford/batch/_validation.py
+++ b/waxwingford/batch/_validation.py
@@ -39,7 +39,7 @@
         :param views: servers as the policy sees them.
         :param limits: hard limits of teams.
         :param quarantine: says when a server in quarantine may get a task.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.unplaced: list[TaskKey] = []
         self.placed: list[tuple[Placement, TaskState]] = []
--- a/waxwingford/batch/_views.py
+++ b/waxwingford/batch/_views.py
@@ -22,7 +22,7 @@
 class TaskView(NamedTuple):
     """One task as its member sees it.
 
-    :ivar task_id: which task.
+    :ivar task_id: id of the task.
     :ivar stage: its stage.
     :ivar attempt: number of its newest attempt.
     :ivar server_id: where that was claimed, empty before the first.
@@ -41,7 +41,7 @@
 class JobView(NamedTuple):
     """One job as its member sees it.
 
-    :ivar job_id: which job.
+    :ivar job_id: id of the job.
     :ivar member: its owner.
     :ivar state: ``open``, ``cancelling`` or ``finished``.
     :ivar count_by_stage: tasks by the name of their stage.
@@ -90,8 +90,8 @@
 def list_jobs(state: DomainState, member: str) -> list[JobView]:
     """List a member's jobs.
 
-    :param state: fold of the domain's stream.
-    :param member: whose.
+    :param state: state replayed from the domain's stream.
+    :param member: member that owns the jobs.
     :returns: views without single tasks; finished jobs last.
     """
     return [
@@ -116,9 +116,9 @@
 ) -> JobView | None:
     """Show one job.
 
-    :param state: fold of the domain's stream.
-    :param job_id: which job.
-    :param member: who asks.
+    :param state: state replayed from the domain's stream.
+    :param job_id: id of the job.
+    :param member: member that makes the request.
     :param why: says why a task waits, by its id.
     :returns: the view with its first tasks; nothing if the member has no
         such job.
