--- a/waxwingford/batch/_appender.py
+++ b/waxwingford/batch/_appender.py
@@ -3,8 +3,8 @@
 An append of unknown outcome is retried with the same sequence number after a
 later read reached the head without finding it, and until it is found.
 Duplicates are recognized by writer and sequence number (see
-:meth:`waxwingford.records.DomainState.apply`), so a group that is retried takes
-effect once and its claims stay counted.
+:meth:`waxwingford.records.DomainState.apply`), so a group that is
+retried takes effect once and its claims stay counted.
 """
 
 import dataclasses
@@ -93,7 +93,7 @@
         :returns: the refusal, if the outbox is full.
         """
         if len(self) >= self._capacity:
-            refusal = JobRefused('outbox full', int(self._interval_ms))
+            refusal = JobRefused('outbox is full', int(self._interval_ms))
             return [ReplySubmission(submission_id, refusal)]
         self._submissions.append(_PendingSubmission(submission_id, record))
         return []
@@ -211,7 +211,7 @@
         :param retry_after_ms: retry delay for members, in milliseconds.
         :returns: final replies; refused only where nothing was appended.
         """
-        refusal = JobRefused('the log is away', retry_after_ms)
+        refusal = JobRefused('the platform log is unavailable', retry_after_ms)
         replies = [
             ReplySubmission(submission.submission_id, refusal)
             for submission in self._submissions
@@ -234,7 +234,7 @@
             return []
         self._in_flight = None
         refusal = JobRefused(
-            'the log refused it', self._next_append_ms - now_ms
+            'the platform log refused the append', self._next_append_ms - now_ms
         )
         return [
             ReplySubmission(submission.submission_id, refusal)
@@ -245,7 +245,7 @@
         self, in_flight: _InFlightGroup
     ) -> list[ReplySubmission]:
         unknown = JobUnknown(
-            'the log did not answer; it may still be accepted',
+            'the platform log did not answer; the request may still take effect',
             _UNKNOWN_RETRY_MS,
         )
         replies = [
--- a/waxwingford/batch/_control_results.py
+++ b/waxwingford/batch/_control_results.py
@@ -1,4 +1,4 @@
-"""What the outcome of a control exchange changes."""
+"""Handles the results of control exchanges."""
 
 from waxwingford.batch._effects import Control, Effect, Note
 from waxwingford.batch._fleet import Fleet
@@ -16,31 +16,31 @@
 )
 from waxwingford.records import AttemptEnded
 
-#: An exchange without an answer is tried again after this, in milliseconds.
+#: Delay before an unanswered exchange is retried.
 _RETRY_MS = 250
 
 
 class ControlResultHandler:
-    """Takes outcomes of exchanges into the servers' states."""
+    """Updates the state of servers by the results of their exchanges."""
 
     def __init__(self, settings: BatchSettings, fleet: Fleet) -> None:
-        """Bind the servers.
+        """Create a handler.
 
         :param settings: settings of the controller.
-        :param fleet: servers.
+        :param fleet: servers of the failure domain.
         """
         self._settings = settings
         self._fleet = fleet
 
     def handle_result(self, result: ControlResult, now_ms: int) -> list[Effect]:
-        """Take the outcome of an exchange.
+        """Handle the result of an exchange.
 
-        An outcome of an earlier exchange, late or doubled, is passed over: it
-        tells of a state of the server that is past.
+        A late or duplicate result of an earlier exchange is ignored, since it
+        describes an outdated state of the server.
 
-        :param result: the outcome.
+        :param result: result of the exchange.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: effects.
+        :returns: events for the time line.
         """
         server = self._fleet.server_by_id.get(result.server_id)
         if server is None or server.in_flight is None:
@@ -80,9 +80,9 @@
             self._fleet.released.append(server.vm.server_id)
             detail = f'epoch {answer.epoch}'
             return [*effects, server_event('lease.given_up', server, detail)]
-        next_ms = result.sent_ms + self._fleet.pace.renew_every_ms
-        # An acquisition is followed at once by an exchange that renews the
-        # task leases, whose last renewal was another holder's.
+        next_ms = result.sent_ms + self._fleet.lease_timing.renew_every_ms
+        # After an acquisition the task leases, last renewed by another holder,
+        # are renewed at once.
         at_once = changed or server.exchange_requested or lease.needs_new_epoch
         server.exchange_requested = False
         self._fleet.reschedule(
@@ -147,8 +147,8 @@
 def _require_epoch_for_lost_starts(
     server: ServerControl, result: ControlResult
 ) -> None:
-    # A start that the server took without naming the attempt: it may still
-    # come up.  Only a new epoch tells.
+    # An attempt that was neither refused nor reported may still start; only
+    # the server's report under a new epoch is conclusive.
     refused = {key for key, _ in result.outcome.refused}
     known = refused | server.report_by_key.keys()
     if any(key not in known for key in started_keys(result.request)):
--- a/waxwingford/batch/_controller.py
+++ b/waxwingford/batch/_controller.py
@@ -178,7 +178,9 @@
         stream = self.stream
         stopping = 'this daemon is stopping' if self.fleet.draining else ''
         log_unavailable = (
-            f'the log is away: {stream.log_away}' if stream.log_away else ''
+            f'the platform log is unavailable: {stream.log_away}'
+            if stream.log_away
+            else ''
         )
         admission = Admission(
             stream.state, self.fleet, log_unavailable or stream.gap or stopping
--- a/waxwingford/batch/_effects.py
+++ b/waxwingford/batch/_effects.py
@@ -1,4 +1,4 @@
-"""Effects that the batch controller asks for, and replies to members."""
+"""Effects that the batch controller requests, and replies to members."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobAcceptedOutcome:
-    """The failure domain answers for the job.
+    """The job is accepted and recorded in the log.
 
     :ivar job_id: id of the job.
     """
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobCancelledOutcome:
-    """The cancellation stands in the log.
+    """The cancellation is recorded in the log.
 
     :ivar job_id: id of the job.
     """
@@ -28,10 +28,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobRefused:
-    """Certainly not accepted; final at once.
+    """The request was not accepted; it may be retried.
 
     :ivar reason: human-readable reason.
-    :ivar retry_after_ms: when to come back, in milliseconds.
+    :ivar retry_after_ms: time before a retry, in milliseconds.
     """
 
     reason: str
@@ -40,10 +40,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobUnknown:
-    """It may be accepted yet; submitting the same job id again is harmless.
+    """The outcome is unknown; a retry with the same job id is idempotent.
 
     :ivar reason: human-readable reason.
-    :ivar retry_after_ms: when asking again may find more, in milliseconds.
+    :ivar retry_after_ms: time before a retry, in milliseconds.
     """
 
     reason: str
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobRejected:
-    """The job or the question itself is wrong.
+    """The request is invalid.
 
     :ivar reason: human-readable reason.
     """
@@ -73,7 +73,7 @@
 class Append:
     """Append a group to the domain's stream.
 
-    :ivar group: the group; its sequence comes back in the result.
+    :ivar group: the group; the result names its sequence number.
     """
 
     group: RecordGroup
@@ -81,15 +81,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Control:
-    """Carry out a control exchange.
-
-    :ivar server_id: with whom.
-    :ivar host: IP number.
-    :ivar port: TCP port.
-    :ivar request: the exchange.
-    :ivar exchange: number that comes back in the result.
-    :ivar valid_until_ms: monotonic time from which it must not be sent: the
-        process may have been frozen since it was decided.
+    """Send a control request to a backend server.
+
+    :ivar server_id: id of the server.
+    :ivar host: IP address of the server.
+    :ivar port: TCP port of the server.
+    :ivar request: the request.
+    :ivar exchange: number of the exchange, which the result names.
+    :ivar valid_until_ms: monotonic time from which it must not be sent, in
+        milliseconds; the process may be suspended before it is sent.
     """
 
     server_id: str
@@ -104,8 +104,8 @@
 class ReplySubmission:
     """Answer a submission or a cancellation.
 
-    :ivar submission_id: which one.
-    :ivar outcome: the answer.
+    :ivar submission_id: id of the submission or cancellation.
+    :ivar outcome: outcome for the member.
     """
 
     submission_id: int
@@ -116,8 +116,8 @@
 class Note:
     """Add an event to the time line.
 
-    :ivar kind: what happened.
-    :ivar subject: what it is about.
+    :ivar kind: kind of the event.
+    :ivar subject: what the event concerns, such as ``server:<id>``.
     :ivar detail: human-readable detail.
     """
 
@@ -138,7 +138,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drained:
-    """All leases are given up and nothing waits for the log."""
+    """All leases are released and the outbox is empty."""
 
 
 Effect = Append | Control | ReplySubmission | Note | WriteSnapshot | Drained
--- a/waxwingford/batch/_exchanges.py
+++ b/waxwingford/batch/_exchanges.py
@@ -1,4 +1,4 @@
-"""Decides the exchanges with backend servers that are due."""
+"""Control exchanges with backend servers."""
 
 import itertools
 
@@ -11,19 +11,19 @@
 from waxwingford.records import DomainState, Record
 
 _NOTHING = Resources(0, 0, 0)
-#: Every so many answers one names all attempts, with their present run times;
-#: the others only those that changed.
+#: Answers from one full report of all attempts and run times to the next; the
+#: others report only changed attempts.
 _ANSWERS_PER_FULL_REPORT = 6
 
 
 class Exchanges:
-    """Acquires, renews and gives up control leases."""
+    """Acquires, renews and releases control leases."""
 
     def __init__(self, settings: BatchSettings, fleet: Fleet) -> None:
-        """Bind the servers.
+        """Create without exchanges.
 
         :param settings: settings of the controller.
-        :param fleet: servers.
+        :param fleet: servers of the failure domain.
         """
         self._settings = settings
         self._fleet = fleet
@@ -36,10 +36,11 @@
         now_ms: int,
         claiming: frozenset[str],
     ) -> tuple[list[Effect], dict[object, Record]]:
-        """Decide the exchanges that are due.
+        """Plan the exchanges that are due.
 
         :param state: state replayed from the domain's stream.
-        :param head_read_ms: monotonic start of the last read to the head.
+        :param head_read_ms: monotonic start of the last read that reached the
+            head, in milliseconds.
         :param now_ms: monotonic time, in milliseconds.
         :param claiming: servers with claims in flight to the log, which are not
             given up just now.
@@ -74,7 +75,7 @@
         return PlanInput(
             state,
             self._settings,
-            self._fleet.pace,
+            self._fleet.lease_timing,
             head_read_ms,
             now_ms,
             reserved,
@@ -90,7 +91,7 @@
         now_ms = plan_input.now_ms
         effects: list[Effect] = []
         if server.lease.note_time(now_ms):
-            effects.append(server_event('lease.lost', server, 'ran out'))
+            effects.append(server_event('lease.lost', server, 'expired'))
         if server.lease.may_command(now_ms):
             control = self._plan_held(
                 server, plan_input, claiming, record_by_key
@@ -115,11 +116,11 @@
         return is_turn and may_try
 
     def _acquire(self, server: ServerControl, now_ms: int) -> Control:
-        # No command goes with it: one that arrived late under an epoch that
-        # this daemon does not know yet could not be told from a new one.
+        # Sent without commands: a late one under an epoch that this daemon does
+        # not know yet could not be told from a new one.
         server.lease.note_asked()
         server.preference.note_asked()
-        lease_ms = self._fleet.pace.control_lease_ms
+        lease_ms = self._fleet.lease_timing.control_lease_ms
         request = ControlRequest(self._settings.writer, 0, lease_ms)
         return self._control(server, request, now_ms + lease_ms)
 
@@ -144,9 +145,9 @@
         request = ControlRequest(
             self._settings.writer,
             server.lease.epoch,
-            0 if should_release else plan_input.pace.control_lease_ms,
+            0 if should_release else plan_input.lease_timing.control_lease_ms,
             () if report_version else tuple(plan.renew),
-            plan_input.pace.task_lease_ms,
+            plan_input.lease_timing.task_lease_ms,
             tuple(plan.commands),
             stamp_ms,
             good_for_ms,
--- a/waxwingford/batch/_executor.py
+++ b/waxwingford/batch/_executor.py
@@ -20,7 +20,7 @@
 )
 from waxwingford.records import DomainState, encode_group
 
-_LEASE_EXPIRED = 'the lease ended before the request was sent'
+_LEASE_EXPIRED = 'lease expired before the request was sent'
 
 
 def is_too_late(effect: Control, now_ms: int) -> bool:
@@ -116,7 +116,7 @@
         require(
             sent_ms < effect.valid_until_ms,
             Invariant.lease_before_effect,
-            f'{effect.server_id} at {sent_ms} of {effect.valid_until_ms}',
+            f'{effect.server_id}: sent at {sent_ms}, valid until {effect.valid_until_ms}',
         )
         return await self._servers.control(
             effect.host,
--- a/waxwingford/batch/_first_fit.py
+++ b/waxwingford/batch/_first_fit.py
@@ -1,4 +1,4 @@
-"""The plainest colocation policy: the first server with room."""
+"""First-fit colocation policy: the first server with room."""
 
 from collections.abc import Mapping
 
@@ -19,10 +19,10 @@
 
 
 def room_of(server: ServerView) -> Resources:
-    """Count what a server has left.
+    """Compute the free resources of a server.
 
-    :param server: its view.
-    :returns: size less what is reserved and claimed.
+    :param server: view of the server.
+    :returns: total less reserved and claimed resources.
     """
     room = subtract_resources(server.total, server.reserved)
     for task in server.running:
@@ -31,7 +31,7 @@
 
 
 class FirstFit:
-    """Places tasks without looking at interference; never reacts."""
+    """Places tasks without regard to interference; never reacts."""
 
     def observe(
         self,
@@ -40,12 +40,12 @@
         received_ms: int,
         kind_by_task_id: dict[str, str],
     ) -> None:
-        """Learn nothing.
+        """Ignore a usage sample.
 
-        :param server_id: where the sample was taken.
+        :param server_id: id of the server that it was taken on.
         :param sample: the sample.
-        :param received_ms: when it arrived.
-        :param kind_by_task_id: batch kind of the tasks in it.
+        :param received_ms: monotonic time of receipt, in milliseconds.
+        :param kind_by_task_id: batch kinds of the tasks in the sample.
         """
 
     def place(
@@ -54,12 +54,12 @@
         servers: list[ServerView],
         now_ms: int,
     ) -> list[Placement]:
-        """Give each task the first server with room.
+        """Place each task on the first server with room.
 
-        :param pending: tasks, most deserving first.
+        :param pending: tasks in order of preference.
         :param servers: servers that this daemon holds.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: decisions for some of the tasks.
+        :returns: placements of the tasks that fit.
         """
         room_by_server = {
             server.server_id: room_of(server)
@@ -77,18 +77,18 @@
         return placements
 
     def react(self, servers: list[ServerView], now_ms: int) -> list[Reaction]:
-        """Leave everything as it is.
+        """Return no reactions.
 
         :param servers: servers that this daemon holds.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: nothing.
+        :returns: an empty list.
         """
         return []
 
     def predicted_ms(self, server: ServerView) -> float:
-        """Predict the same for all servers.
+        """Predict the same latency for all servers.
 
-        :param server: its view.
+        :param server: view of the server.
         :returns: 1 ms.
         """
         return 1
--- a/waxwingford/batch/_fleet.py
+++ b/waxwingford/batch/_fleet.py
@@ -1,4 +1,4 @@
-"""The backend servers of a failure domain, and which of them are due."""
+"""The backend servers of a failure domain, and when to contact them."""
 
 import heapq
 from collections.abc import Iterable, Iterator, Mapping
@@ -14,7 +14,7 @@
 )
 from waxwingford.ports import Resources, Vm
 
-#: Daemons of a lower rank leave a server alone.
+#: Highest rank at which a daemon acquires the lease of a server.
 MAX_ACQUIRE_RANK = 2
 
 
@@ -24,23 +24,27 @@
 
 
 class Fleet:
-    """Backend servers, this daemon's rank for each, and when each is due.
-
-    :ivar server_by_id: every server ever listed that still matters.
-    :ivar alive: daemons that seem alive, this one among them.
-    :ivar knows_peers: whether anything was heard of the other daemons; until
-        then no lease is acquired, lest a daemon that starts takes them all.
-    :ivar is_ready: whether the stream was read to its head; a daemon that does
-        not know the claims could only let the tasks of a server lapse.
-    :ivar room_changed: whether a server may have more room than before.
-    :ivar pace: interval of exchanges and leases, by what was held lately.
-    :ivar released: servers given up, until somebody takes the names.
-    :ivar draining: gives up what it holds.
-    :ivar reserved_by_service: set aside on each VM for its service.
+    """Backend servers, this daemon's rank for each, and their due times.
+
+    :ivar server_by_id: listed servers, and unlisted ones that are still held or
+        contacted.
+    :ivar alive: daemons that appear to be alive, including this one.
+    :ivar knows_peers: whether the live daemons are known; until then no lease
+        is acquired, so that a daemon that starts does not acquire them all.
+    :ivar is_ready: whether the stream was read to its head; without the claims
+        this daemon could not renew the task leases of a server.
+    :ivar room_changed: whether a server may have more free resources.
+    :ivar lease_timing: interval of exchanges and durations of leases for the servers
+        held at present.
+    :ivar released: servers whose leases were released since the last call of
+        ``BatchQueries.take_released``.
+    :ivar draining: whether this daemon releases its leases to stop.
+    :ivar reserved_by_service: resources reserved on each VM for its service,
+        by service.
     """
 
     def __init__(self, settings: BatchSettings) -> None:
-        """Start without servers.
+        """Create a fleet without servers.
 
         :param settings: settings of the controller.
         """
@@ -50,7 +54,7 @@
         self.is_ready = False
         self.room_changed = False
         self.released: list[str] = []
-        self.pace = settings.pace(0)
+        self.lease_timing = settings.lease_timing(0)
         self.draining = False
         self.reserved_by_service: Mapping[str, Resources] = {}
         self._settings = settings
@@ -58,9 +62,9 @@
         self._rank_by_server: dict[str, int] = {}
 
     def update_list(self, vms: Iterable[Vm], now_ms: int) -> None:
-        """Take the platform's list, a hint.
+        """Update from the platform's list of VMs, which is a hint.
 
-        :param vms: of this failure domain.
+        :param vms: listed VMs of this failure domain.
         :param now_ms: monotonic time, in milliseconds.
         """
         listed = {vm.server_id: vm for vm in vms}
@@ -88,9 +92,9 @@
             self.server_by_id.pop(server_id)
 
     def update_alive(self, daemon_ids: Iterable[str], now_ms: int) -> None:
-        """Take the daemons that seem alive and rank the servers anew.
+        """Update the daemons that appear to be alive, and the ranks.
 
-        :param daemon_ids: their names.
+        :param daemon_ids: ids of the daemons.
         :param now_ms: monotonic time, in milliseconds.
         """
         alive = frozenset(daemon_ids) | {self._settings.daemon_id}
@@ -106,14 +110,14 @@
 
     @property
     def may_acquire(self) -> bool:
-        """Tell whether leases may be acquired at all.
+        """Return whether this daemon may acquire leases.
 
-        :returns: whether this daemon knows enough and goes on.
+        :returns: true if it is ready, knows its peers and is not draining.
         """
         return self.knows_peers and self.is_ready and not self.draining
 
     def mark_ready(self, now_ms: int) -> None:
-        """Note that the stream was read to its head.
+        """Record that the stream was read to its head.
 
         :param now_ms: monotonic time, in milliseconds.
         """
@@ -124,10 +128,10 @@
             self.schedule_acquisition(server, now_ms)
 
     def rank(self, subject: str) -> int:
-        """Rank this daemon for a subject.
+        """Return the rank of this daemon for a subject.
 
-        :param subject: a server or task.
-        :returns: 0 for the first choice.
+        :param subject: id of a server, task or stream.
+        :returns: the rank, 0 for the preferred daemon.
         """
         rank = self._rank_by_server.get(subject)
         if rank is not None:
@@ -135,7 +139,7 @@
         return rank_of(self._settings.daemon_id, self.alive, subject)
 
     def held(self, now_ms: int) -> dict[str, ServerControl]:
-        """List the servers that this daemon may rely on now.
+        """Return the servers whose control lease is valid.
 
         :param now_ms: monotonic time, in milliseconds.
         :returns: servers by id.
@@ -145,11 +149,11 @@
             for server_id, server in self.server_by_id.items()
             if server.lease.is_valid(now_ms)
         }
-        self.pace = self._settings.pace(len(held))
+        self.lease_timing = self._settings.lease_timing(len(held))
         return held
 
     def schedule_exchange(self, server_id: str, due_ms: int) -> None:
-        """Let the next exchange with a server come no later than given.
+        """Schedule the next exchange with a server for a time or earlier.
 
         :param server_id: id of the backend server.
         :param due_ms: monotonic time, in milliseconds.
@@ -159,9 +163,9 @@
             self.reschedule(server, due_ms)
 
     def invalidate_view(self, server_id: str) -> None:
-        """Note that a server's claims or condition changed.
+        """Drop the cached view of a server whose claims or state changed.
 
-        :param server_id: which server; one that is not known is passed over.
+        :param server_id: id of the server; ignored if unknown.
         """
         server = self.server_by_id.get(server_id)
         if server is not None:
@@ -186,10 +190,10 @@
         self.schedule_acquisition(server, now_ms)
 
     def pop_due(self, now_ms: int) -> Iterator[ServerControl]:
-        """Take the servers whose exchange is due.
+        """Remove and return the servers whose exchange is due.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: servers; one is not due again until it is marked so.
+        :returns: servers; each needs to be scheduled again.
         """
         while self._due and self._due[0].due_ms <= now_ms:
             due = heapq.heappop(self._due)
@@ -208,7 +212,7 @@
         heapq.heappush(self._due, _Due(server.due_ms, server.vm.server_id))
 
     def schedule_acquisition(self, server: ServerControl, now_ms: int) -> None:
-        """Let this daemon try for a lease when it is its turn.
+        """Schedule an attempt to acquire the lease, if the rank allows it.
 
         :param server: the backend server.
         :param now_ms: monotonic time, in milliseconds.
--- a/waxwingford/batch/_hints.py
+++ b/waxwingford/batch/_hints.py
@@ -1,4 +1,4 @@
-"""Hints and settings that other tasks of the daemon give the batch task."""
+"""Hints and settings that the daemon passes to the batch task."""
 
 from collections.abc import Iterable, Mapping
 
@@ -14,61 +14,58 @@
 
 
 class BatchHints(BatchQueries):
-    """Takes hints, none of which safety rests on, and the bundle."""
+    """Receives the bundle, and hints that safety does not depend on."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without hints.
+        """Create without hints.
 
         :param clock: source of time.
         """
         super().__init__(clock)
         self._alive: AliveDaemons | None = None
 
-    # The name is the daemon's word for it.
     def set_alive(  # noqa: WPS615
         self, daemon_ids: Iterable[str]
     ) -> None:
-        """Take the daemons of the failure domain that seem alive.
+        """Update the daemons of the failure domain that appear to be alive.
 
-        :param daemon_ids: their names.
+        :param daemon_ids: ids of the daemons.
         """
         self._alive = AliveDaemons(frozenset(daemon_ids))
         self._handle(self._alive)
 
-    # The name is the daemon's word for it.
     def set_bundle(  # noqa: WPS615
         self, bundle: BundleSettings
     ) -> None:
-        """Put the settings of a bundle in force.
+        """Apply the settings of a bundle.
 
-        :param bundle: the settings.
-        :raises UnknownPlugin: if no policy has the name.
+        :param bundle: batch settings of the bundle.
+        :raises UnknownPlugin: if no policy has the name that it gives.
         """
         self._bundle = bundle
         self._handle(bundle)
 
-    # The name is the daemon's word for it.
     def set_busy_shares(  # noqa: WPS615
         self, share_by_server: Mapping[str, float]
     ) -> None:
-        """Take how busy the services on held servers are at present.
+        """Update the utilization of the services on held servers.
 
-        :param share_by_server: busy slots by server, 0 to 1; one that is left
-            out is judged by its last usage sample.
+        :param share_by_server: share of busy slots by server, 0 to 1; for
+            other servers the last usage sample is used.
         """
         self._handle(BusyShares(share_by_server))
 
     def note_released(self, server_ids: Iterable[str]) -> None:
-        """Take that a peer gave servers up, so that they are acquired at once.
+        """Note servers released by a peer, so that they are acquired at once.
 
-        :param server_ids: which.
+        :param server_ids: ids of the servers.
         """
         self._handle(ServersReleased(tuple(server_ids)))
 
     def _handle(self, message: Message) -> None:
-        """Give the controller a message.
+        """Pass a message to the controller.
 
         :param message: the message.
-        :raises NotImplementedError: if the task does not say how.
+        :raises NotImplementedError: if a subclass does not override it.
         """
         raise NotImplementedError
--- a/waxwingford/batch/_messages.py
+++ b/waxwingford/batch/_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages that the batch controller handles."""
+"""Messages that the batch controller handles."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -24,8 +24,8 @@
 class ReadGroup(NamedTuple):
     """One entry of the domain's stream.
 
-    :ivar offset: of the entry.
-    :ivar group: its records, or nothing if it could not be decoded.
+    :ivar offset: offset of the entry.
+    :ivar group: its records; None if it could not be decoded.
     """
 
     offset: int
@@ -36,10 +36,11 @@
 class LogEntries:
     """The log answered a read.
 
-    :ivar entries: entries in offset order, maybe none.
-    :ivar read_started_ms: monotonic time before the read was sent.
-    :ivar next_offset: head of the stream in the answer.
-    :ivar oldest_offset: first offset retained in the answer.
+    :ivar entries: entries in order of offset; may be empty.
+    :ivar read_started_ms: monotonic time before the read was sent, in
+        milliseconds.
+    :ivar next_offset: head of the stream at the time of the answer.
+    :ivar oldest_offset: first offset that the log retains.
     """
 
     entries: tuple[ReadGroup, ...]
@@ -50,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogAway:
-    """The log gave no answer to a read.
+    """A read of the log failed.
 
     :ivar reason: human-readable reason.
     """
@@ -60,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogBack:
-    """The log answers again, though nothing was read yet."""
+    """The log is available again, though nothing was read yet."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -79,10 +80,11 @@
 class ControlResult:
     """Outcome of a control exchange.
 
-    :ivar server_id: with whom.
+    :ivar server_id: id of the server.
     :ivar exchange: number of the exchange, as in the effect.
-    :ivar sent_ms: monotonic time before the request was sent.
-    :ivar request: what was sent.
+    :ivar sent_ms: monotonic time before the request was sent, in
+        milliseconds.
+    :ivar request: the request.
     :ivar outcome: outcome reported by the port.
     """
 
@@ -95,7 +97,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmListRead:
-    """The platform's list was read.
+    """The platform's list of VMs was read.
 
     :ivar outcome: outcome reported by the port.
     """
@@ -105,9 +107,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AliveDaemons:
-    """Daemons of the failure domain that seem alive, a hint.
+    """Daemons of the failure domain that appear to be alive, a hint.
 
-    :ivar daemon_ids: their names, with or without this daemon's.
+    :ivar daemon_ids: ids of the daemons, with or without this one.
     """
 
     daemon_ids: frozenset[str]
@@ -115,17 +117,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BundleSettings:
-    """What the bundle in force says of batch work.
-
-    :ivar quota_by_team: quota by ``<member>/<team>``: weight of the team
-        within its member, and the most that its claimed tasks may use unless
-        it may borrow; a team without one weighs as much as the mean.
-    :ivar weights_by_service: how the bundle steers the policy.
-    :ivar reserved_by_service: set aside on each VM for its service.
+    """Settings of the bundle in force for batch work.
+
+    :ivar quota_by_team: quota by ``<member>/<team>``; it weighs the team within
+        its member and limits the resources of its claimed tasks unless the
+        team may borrow; a team without a quota has the mean weight.
+    :ivar weights_by_service: weights for the policy, by service.
+    :ivar reserved_by_service: resources reserved on each VM for its service,
+        by service.
     :ivar policy: name of the colocation policy.
-    :ivar borrowing_teams: teams that may use what others leave idle.
-    :ivar share_by_member: shares of members, relative.
-    :ivar quarantine: when a server is given up; None to give up none.
+    :ivar borrowing_teams: teams that may use idle capacity of others.
+    :ivar share_by_member: relative shares of members.
+    :ivar quarantine: limits from which a server is quarantined; None to
+        quarantine none.
     """
 
     quota_by_team: Mapping[str, Resources]
@@ -144,7 +148,7 @@
     """A member submits a job.
 
     :ivar submission_id: id that the reply carries.
-    :ivar job: the job.
+    :ivar job: specification of the job.
     """
 
     submission_id: int
@@ -153,7 +157,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelJob:
-    """A member gives a job up.
+    """A member cancels a job.
 
     :ivar submission_id: id that the reply carries.
     :ivar job_id: id of the job.
@@ -167,9 +171,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EvictTask:
-    """Checkpoint a running task, so that it resumes elsewhere.
+    """Checkpoint a running task, so that it resumes on another server.
 
-    :ivar task_id: which task; passed over if it does not run here.
+    :ivar task_id: id of the task; ignored if no server here runs it.
     """
 
     task_id: str
@@ -177,16 +181,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drain:
-    """The daemon is to stop: take nothing new, give the leases up."""
+    """Stop accepting work and release all leases, before the daemon stops."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BusyShares:
-    """How busy the services on held servers are at present.
+    """Present utilization of the services on held servers.
 
-    :ivar share_by_server: mean share of busy slots over about the last
-        second, 0 to 1, as the holder's own routing sees it; a server that is
-        left out is judged by its last usage sample.
+    :ivar share_by_server: mean share of busy slots over about the last second,
+        0 to 1, as measured by the holder's routing; for other servers the last
+        usage sample is used.
     """
 
     share_by_server: Mapping[str, float]
@@ -194,9 +198,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServersReleased:
-    """A peer gave control leases up, a hint.
+    """A peer released control leases, a hint.
 
-    :ivar server_ids: servers without a holder, as far as is known.
+    :ivar server_ids: ids of servers that probably have no holder.
     """
 
     server_ids: tuple[str, ...]
@@ -204,7 +208,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotWritten:
-    """All chunks of a snapshot stand in the snapshots' stream.
+    """All chunks of a snapshot were appended to the snapshot stream.
 
     :ivar covers_offset: first offset that it does not cover.
     """
--- a/waxwingford/batch/_pending_reason.py
+++ b/waxwingford/batch/_pending_reason.py
@@ -1,4 +1,4 @@
-"""Why a task waits, for its member."""
+"""Explains to members why a task is pending."""
 
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._placer import Placer
@@ -7,7 +7,6 @@
 from waxwingford.placement import TeamName
 from waxwingford.records import DomainState, TaskStage, TaskState
 
-#: Servers named in one reason.
 _MAX_SERVERS_SHOWN = 8
 
 
@@ -18,20 +17,20 @@
     placer: Placer,
     log_away: str,
 ) -> str:
-    """Say why a task waits; the first cause that alone would hold it back.
+    """Explain why a task is pending, by the first sufficient cause.
 
     :param task: the task.
     :param state: state replayed from the domain's stream.
-    :param fleet: all servers.
-    :param placer: bundle, trackers and queue.
-    :param log_away: why the log is away; empty if it is not.
+    :param fleet: servers of the failure domain.
+    :param placer: placer with bundle, trackers and queue.
+    :param log_away: why the log is unavailable; empty if it is available.
     :returns: human-readable reason; empty if the task is not pending.
     """
     if task.stage != TaskStage.pending:
         return ''
     reasons = (
         never_fits(task.job.spec, fleet),
-        f'the log is away: {log_away}' if log_away else '',
+        f'the platform log is unavailable: {log_away}' if log_away else '',
         Limits(state, placer.bundle).reason(task),
         _share_reason(task, placer),
         _server_reason(task, placer),
@@ -49,9 +48,10 @@
     member_share = shares.of_member(spec.member)
     team_share = shares.of_team(TeamName(spec.member, spec.team))
     return (
-        f'share: others are before it; member {spec.member} uses '
+        f'share: other tasks come first; relative to their shares, member '
+        f'{spec.member} uses '
         f'{member_share:.3f} and team {spec.team} {team_share:.3f} of the '
-        'capacity for each unit of their shares'
+        'capacity'
     )
 
 
@@ -74,9 +74,9 @@
     size = f'{tuple(allocation)}'
     if allocation != spec.resources:
         size = f'{size}, measured; {tuple(spec.resources)} was declared'
-    reason = f'no room: waits for a server with enough left ({size})'
+    reason = f'no room: no available server has enough left ({size})'
     if placer.queue.offers(task.next_key) is None:
-        return f'{reason}; another daemon is first to offer it'
+        return f'{reason}; another daemon may claim it first'
     return reason
 
 
--- a/waxwingford/batch/_placer.py
+++ b/waxwingford/batch/_placer.py
@@ -1,4 +1,4 @@
-"""Rounds of placement with the policy that the bundle names."""
+"""Placement rounds with the policy that the bundle names."""
 
 from collections.abc import Mapping
 
@@ -33,20 +33,19 @@
     TaskState,
 )
 
-#: Pending tasks shown to the policy in one round.
 _MAX_ROUND_TASKS = 128
-#: A round that placed nothing is followed by one without a change after this.
+#: Interval of rounds while nothing changes.
 _IDLE_ROUND_INTERVAL_MS = 5000
 _NOTHING = Resources(0, 0, 0)
 _EMPTY_BUNDLE = BundleSettings({}, {}, {})
 
 
-#: Tasks of this priority or more are claimed by lower ranks sooner.
+#: Priority from which daemons of lower rank claim a task sooner.
 URGENT_PRIORITY = 80
 
 
 class Placer:
-    """Chooses what to claim where, and how to react to interference.
+    """Chooses which tasks to claim, and how to react to interference.
 
     :ivar bundle: batch settings in force.
     :ivar trackers: shares, sizes and failures.
@@ -54,10 +53,10 @@
     """
 
     def __init__(self, settings: BatchSettings, fleet: Fleet) -> None:
-        """Start with nothing pending.
+        """Create without pending tasks.
 
         :param settings: settings of the controller.
-        :param fleet: servers.
+        :param fleet: servers of the failure domain.
         """
         self.bundle = _EMPTY_BUNDLE
         self._settings = settings
@@ -69,10 +68,10 @@
         self._next_round_ms = 0
 
     def use_bundle(self, bundle: BundleSettings, seed: int) -> None:
-        """Put a bundle in force.
+        """Apply the settings of a bundle.
 
-        :param bundle: its settings.
-        :param seed: for the policy's random numbers.
+        :param bundle: batch settings of the bundle.
+        :param seed: seed of the policy's random numbers.
         :raises UnknownPlugin: if no policy has the name.
         """
         factory = policies.get(bundle.policy)
@@ -80,7 +79,7 @@
             self.bundle.policy,
             self.bundle.weights_by_service,
         )
-        # A policy that is kept keeps what it learned.
+        # An unchanged policy is kept with what it has learned.
         if self._policy is None or not is_same_policy:
             self._policy = factory(bundle.weights_by_service, seed)
         self.bundle = bundle
@@ -91,7 +90,7 @@
             server.view = None
 
     def add(self, task: TaskState, now_ms: int) -> None:
-        """Enter a task that became pending.
+        """Add a task that became pending.
 
         :param task: the task.
         :param now_ms: monotonic time, in milliseconds.
@@ -101,25 +100,24 @@
         self.queue.add(task, now_ms, due_ms)
 
     def _rank_delay_ms(self, task: TaskState) -> int:
-        # The daemon ranked first may hold no server, or none with room: urgent
-        # work then waited three seconds for the next one.  A lost race costs
-        # one claim that is not valid, which few urgent tasks can afford.
+        # The daemon ranked first may hold no server with room; urgent tasks
+        # wait less for it, at the cost of more conflicting claims.
         if task.job.spec.priority >= URGENT_PRIORITY:
-            return self._settings.urgent_steal_ms
-        return self._settings.steal_ms
+            return self._settings.urgent_rank_delay_ms
+        return self._settings.rank_delay_ms
 
     def place_round(
         self, state: DomainState, now_ms: int, wall_ms: int
     ) -> tuple[list[TasksClaimed], list[Note]]:
-        """Choose what to claim now.
+        """Choose the tasks to claim now.
 
         :param state: state replayed from the domain's stream.
         :param now_ms: monotonic time, in milliseconds.
         :param wall_ms: Unix time, in milliseconds.
-        :returns: claims, checked against capacity, and notes.
+        :returns: claims, checked against capacity, and events.
         """
-        # Without a change, what found no place before finds none now; rounds
-        # over a long queue would cost most of the daemon's processor time.
+        # Tasks that were not placed cannot be placed until something changes;
+        # further rounds over a long queue would waste processor time.
         if not self._is_round_due(now_ms):
             return [], []
         limits = Limits(state, self.bundle)
@@ -152,9 +150,9 @@
         state: DomainState,
         now_ms: int,
     ) -> None:
-        """Show samples to the policy and the sizes.
+        """Pass usage samples to the policy and the trackers.
 
-        :param server_id: where they were taken.
+        :param server_id: id of the server that they were taken on.
         :param samples: the samples.
         :param state: state replayed from the domain's stream.
         :param now_ms: monotonic time, in milliseconds.
@@ -172,12 +170,12 @@
     def react(
         self, state: DomainState, now_ms: int, wall_ms: int
     ) -> list[Note]:
-        """Let the policy relieve services.
+        """Apply the policy's reactions to interference.
 
         :param state: state replayed from the domain's stream.
         :param now_ms: monotonic time, in milliseconds.
         :param wall_ms: Unix time, in milliseconds.
-        :returns: notes on what was decided.
+        :returns: events about the reactions.
         """
         if self._policy is None:
             return []
@@ -198,12 +196,12 @@
         held: Mapping[str, ServerControl],
         wall_ms: int,
     ) -> list[ServerView]:
-        """View servers, from the cache where nothing changed.
+        """Build views of servers, from the cache where nothing changed.
 
         :param state: state replayed from the domain's stream.
         :param held: servers by id.
         :param wall_ms: Unix time, in milliseconds.
-        :returns: views in order of ids.
+        :returns: views in order of server ids.
         """
         quarantined = self.quarantined_servers()
         for server_id in quarantined ^ self._quarantined:
@@ -215,9 +213,9 @@
         ]
 
     def quarantined_servers(self) -> frozenset[str]:
-        """List the servers that get at most probation tasks.
+        """Return the servers that get at most probation tasks.
 
-        :returns: their names; none where the bundle switches it off.
+        :returns: ids of the servers; empty if the bundle disables quarantine.
         """
         if self.bundle.quarantine is None:
             return frozenset()
@@ -226,12 +224,12 @@
     def predicted_ms(
         self, server: ServerControl, state: DomainState, wall_ms: int
     ) -> float:
-        """Ask the policy for a service's latency.
+        """Return the policy's prediction of a service's latency.
 
         :param server: a held server.
         :param state: state replayed from the domain's stream.
         :param wall_ms: Unix time, in milliseconds.
-        :returns: milliseconds, 0 without a policy.
+        :returns: latency in milliseconds; 0 without a policy.
         """
         if self._policy is None:
             return 0
--- a/waxwingford/batch/_placing.py
+++ b/waxwingford/batch/_placing.py
@@ -1,4 +1,4 @@
-"""From pending tasks to claims: views, capacity."""
+"""Views for policies, and claims with their capacity checks."""
 
 import itertools
 import operator
@@ -27,13 +27,13 @@
 
 
 def slack_ms(task: TaskState, trackers: Trackers, wall_ms: int) -> int | None:
-    """Count the time that a task has beyond what it still needs.
+    """Compute the slack of a task before its deadline.
 
     :param task: the task.
-    :param trackers: correct its run time.
+    :param trackers: trackers that correct its run time.
     :param wall_ms: Unix time, in milliseconds.
-    :returns: milliseconds, negative if it will be late; None if it has no
-        deadline.
+    :returns: slack in milliseconds, negative if it will be late; None if it
+        has no deadline.
     """
     spec = task.job.spec
     if not spec.finish_by_wall_ms:
@@ -48,13 +48,13 @@
     waiting_ms: int,
     wall_ms: int,
 ) -> PendingTask:
-    """Show a pending task to a policy.
+    """Build the view of a pending task for a policy.
 
     :param task: the task.
-    :param trackers: correct its size and run time.
-    :param servers: servers of the failure domain; a task that failed on as
-        many may be tried on the same ones again.
-    :param waiting_ms: how long it waits.
+    :param trackers: trackers that correct its size and run time.
+    :param servers: number of servers of the failure domain; a task that failed
+        on as many may be placed on them again.
+    :param waiting_ms: time since it became pending, in milliseconds.
     :param wall_ms: Unix time, in milliseconds.
     :returns: the view.
     """
@@ -83,15 +83,15 @@
     is_quarantined: bool,
     wall_ms: int,
 ) -> ServerView:
-    """Show a held server to a policy.
+    """Build the view of a held server for a policy.
 
     :param server: the server.
     :param state: state replayed from the domain's stream.
-    :param trackers: correct sizes.
-    :param reserved: set aside for the service there.
-    :param is_quarantined: whether it gets only probation work.
+    :param trackers: trackers that correct sizes of tasks.
+    :param reserved: resources reserved for the service on the VM.
+    :param is_quarantined: whether it gets only probation tasks.
     :param wall_ms: Unix time, in milliseconds.
-    :returns: the view; every claim that is not proved over counts.
+    :returns: the view, with every attempt that is not known to be over.
     """
     attempts = state.index.attempts_by_server.get(server.vm.server_id, {})
     return ServerView(
@@ -128,10 +128,10 @@
 
 
 def room_for_claims(view: ServerView) -> Resources:
-    """Count what may still be claimed on a server.
+    """Compute the resources that may still be claimed on a server.
 
-    :param view: the server; its attempts are all that are not proved over.
-    :returns: the room, by component; negative if less than nothing is left.
+    :param view: view of the server, with every attempt not known to be over.
+    :returns: free resources; negative components if it is over-committed.
     """
     room = subtract_resources(view.total, view.reserved)
     for task in view.running:
@@ -140,7 +140,7 @@
 
 
 def runs_unclaimed(server: ServerControl, state: DomainState) -> bool:
-    """Tell whether something runs there whose size is not known.
+    """Return whether an attempt without a known claim runs on a server.
 
     :param server: a held server.
     :param state: state replayed from the domain's stream.
@@ -158,12 +158,12 @@
     server_by_id: Mapping[str, ServerControl],
     settings: BatchSettings,
 ) -> list[TasksClaimed]:
-    """Group placements into one record for each server.
+    """Build one claim record for each server with placements.
 
-    :param placements: decisions that were checked, with their tasks.
+    :param placements: validated placements with their tasks.
     :param server_by_id: held servers.
     :param settings: settings of the controller.
-    :returns: claims under the present epochs.
+    :returns: claims under the present epochs of the control leases.
     """
     in_order = sorted(placements, key=_server_of)
     return [
@@ -182,11 +182,11 @@
 
 
 def require_held(server: ServerControl, now_ms: int) -> None:
-    """Check that a server may be claimed on.
+    """Check that tasks may be claimed on a server.
 
     :param server: the backend server.
     :param now_ms: monotonic time, in milliseconds.
-    :raises BrokenInvariant: if its lease is not held, or it leaves.
+    :raises BrokenInvariant: if its lease is not held, or it is leaving.
     """
     require(
         server.lease.may_command(now_ms),
@@ -202,12 +202,15 @@
     server_by_id: Mapping[str, ServerControl],
     reserved_by_service: Mapping[str, Resources],
 ) -> None:
-    """Check claims against everything not proved over, from the fold itself.
+    """Check claims against all attempts that are not known to be over.
 
-    :param claims: about to be appended.
+    The check uses the replayed state and not the views shown to the policy.
+
+    :param claims: claims to append.
     :param state: state replayed from the domain's stream.
     :param server_by_id: held servers.
-    :param reserved_by_service: set aside on each VM for its service.
+    :param reserved_by_service: resources reserved on each VM for its service,
+        by service.
     :raises BrokenInvariant: if a VM would be over-committed.
     """
     for record in claims:
@@ -222,7 +225,7 @@
         require(
             fits_resources(committed, vm.resources),
             Invariant.capacity,
-            f'{committed} at {record.server_id} of {vm.resources}',
+            f'{committed} at {record.server_id}, which has {vm.resources}',
         )
 
 
--- a/waxwingford/batch/_plan.py
+++ b/waxwingford/batch/_plan.py
@@ -1,8 +1,8 @@
 """Plans the renewals and commands of the next exchange with a held server.
 
-A claim is started at most once, under the epoch that it names and by the daemon
-that made it.  An attempt that the server does not report under a later epoch can
-therefore never start there and is over.
+A claim is started at most once, under the epoch that it names and by the
+daemon that made it.  An attempt that the server does not report under a later
+epoch can therefore never start there and is over.
 """
 
 from waxwingford.batch._plan_types import Plan, PlanInput, is_over
@@ -206,7 +206,7 @@
     require(
         fits_resources(running, server.vm.resources),
         Invariant.capacity,
-        f'{running} at {server.vm.server_id} of {server.vm.resources}',
+        f'{running} at {server.vm.server_id}, which has {server.vm.resources}',
     )
     require(
         not server.leaving,
@@ -220,7 +220,7 @@
         task.resources,
         task.job.spec.payload,
         task.checkpoint,
-        plan_input.pace.task_lease_ms,
+        plan_input.lease_timing.task_lease_ms,
     )
 
 
--- a/waxwingford/batch/_plan_types.py
+++ b/waxwingford/batch/_plan_types.py
@@ -3,7 +3,7 @@
 import dataclasses
 from typing import NamedTuple
 
-from waxwingford.batch._settings import BatchSettings, Pace
+from waxwingford.batch._settings import BatchSettings, LeaseTiming
 from waxwingford.ports import Resources, ServerCommand, TaskKey
 from waxwingford.records import DomainState, Record
 
@@ -15,7 +15,7 @@
 
     :ivar state: state replayed from the domain's stream.
     :ivar settings: settings of the controller.
-    :ivar pace: present interval of exchanges and durations of leases.
+    :ivar lease_timing: present interval of exchanges and durations of leases.
     :ivar head_read_ms: monotonic start of the last read that reached the
         head of the log, in milliseconds.
     :ivar now_ms: monotonic time, in milliseconds.
@@ -24,7 +24,7 @@
 
     state: DomainState
     settings: BatchSettings
-    pace: Pace
+    lease_timing: LeaseTiming
     head_read_ms: int
     now_ms: int
     reserved: Resources
--- a/waxwingford/batch/_queries.py
+++ b/waxwingford/batch/_queries.py
@@ -1,4 +1,4 @@
-"""What the batch task answers from its controller without changing it."""
+"""Read-only queries of the batch task."""
 
 from waxwingford.batch._controller import DomainController
 from waxwingford.batch._messages import BundleSettings, VmListRead
@@ -19,10 +19,10 @@
 
 
 class BatchQueries:
-    """Read-only side of the batch task."""
+    """Answers queries from the state of the controller."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without a controller.
+        """Create without a controller.
 
         :param clock: source of time.
         """
@@ -30,7 +30,7 @@
         self._controller: DomainController | None = None
         self._bundle: BundleSettings | None = None
         self._list_read: VmListRead | None = None
-        self._load_problem = 'snapshot not looked for yet'
+        self._load_problem = 'snapshot not loaded yet'
 
     def _record_load_problem(self, problem: str) -> None:
         self._load_problem = problem
@@ -39,18 +39,18 @@
         """List a member's jobs.
 
         :param member: member that owns the jobs.
-        :returns: views without single tasks; finished jobs last.
+        :returns: views without their tasks; finished jobs last.
         """
         if self._controller is None:
             return []
         return list_jobs(self._controller.state, member)
 
     def job(self, job_id: str, member: str) -> JobView | None:
-        """Show one job with its tasks and why they wait.
+        """Return one job with its tasks and why they are pending.
 
         :param job_id: id of the job.
         :param member: member that makes the request.
-        :returns: the view; nothing if the member has no such job.
+        :returns: the view; None if the member has no such job.
         """
         controller = self._controller
         if controller is None:
@@ -58,10 +58,10 @@
         return find_job(controller.state, job_id, member, self.why)
 
     def why(self, task_id: str) -> str:
-        """Say why a task waits.
+        """Explain why a task is pending.
 
         :param task_id: id of the task.
-        :returns: human-readable reason; empty if it does not wait.
+        :returns: human-readable reason; empty if it is not pending.
         """
         controller = self._controller
         task = controller.state.task(task_id) if controller else None
@@ -76,9 +76,9 @@
         )
 
     def held_servers(self) -> tuple[HeldServer, ...]:
-        """List the servers whose control lease is held now.
+        """List the servers whose control lease is held.
 
-        :returns: what routing needs of them.
+        :returns: the servers, as routing uses them.
         """
         controller = self._controller
         if controller is None:
@@ -105,9 +105,9 @@
         )
 
     def readiness(self) -> list[str]:
-        """Say what is missing before this daemon can do its batch work.
+        """List what is missing before this daemon can control batch work.
 
-        :returns: human-readable reason; empty when it is ready.
+        :returns: human-readable reasons; empty when it is ready.
         """
         controller = self._controller
         if controller is None:
@@ -126,7 +126,7 @@
     def server_status(self) -> list[ServerStatus]:
         """Describe the held servers, for the daemon's status.
 
-        :returns: one line for each.
+        :returns: one entry for each held server.
         """
         if self._controller is None:
             return []
@@ -135,16 +135,16 @@
     def task_counts(self) -> TaskCounts:
         """Count the tasks of the failure domain.
 
-        :returns: pending and claimed ones.
+        :returns: numbers of pending and claimed tasks.
         """
         if self._controller is None:
             return TaskCounts(0, 0)
         return task_counts(self._controller)
 
     def take_released(self) -> tuple[str, ...]:
-        """Take the names of servers given up since the last call.
+        """Return the servers released since the last call.
 
-        :returns: for an immediate heartbeat to the peers.
+        :returns: ids of the servers, for an immediate heartbeat to peers.
         """
         if self._controller is None:
             return ()
--- a/waxwingford/batch/_queue.py
+++ b/waxwingford/batch/_queue.py
@@ -1,4 +1,4 @@
-"""Pending tasks in the order in which this daemon tries to place them."""
+"""Queue of pending tasks, in the order in which they are placed."""
 
 import collections
 import dataclasses
@@ -12,20 +12,20 @@
 from waxwingford.ports import Resources, TaskKey
 from waxwingford.records import TaskStage, TaskState
 
-#: A task that found no place so often goes behind the others of its team.
+#: Unsuccessful rounds after which a task is queued behind its team's others.
 _OFFERS_BEFORE_DEMOTION = 8
-#: Tasks of one team tried in one round, so that a team whose tasks fit
-#: nowhere does not use up the whole round.
+#: Limits a round to so many tasks of a team, so that a team whose tasks fit
+#: nowhere does not use up the round.
 _MAX_TEAM_TASKS_PER_ROUND = 64
 
 PendingViewFactory = Callable[[TaskState, int], PendingTask]
 
 
 class Offer(NamedTuple):
-    """A task taken for a round.
+    """A task that is offered to the policy in a round.
 
     :ivar task: the task.
-    :ivar view: what the policy is shown of it.
+    :ivar view: view of the task for the policy.
     """
 
     task: TaskState
@@ -42,12 +42,14 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Entry:
-    """A task whose turn here has come.
+    """A pending task that this daemon may claim.
 
     :ivar task: the task.
-    :ivar since_ms: monotonic time since which it waits.
-    :ivar offers: rounds in which it found no place.
-    :ivar is_demoted: out of the tracker until its team has nothing else.
+    :ivar since_ms: monotonic time at which it became pending, in
+        milliseconds.
+    :ivar offers: number of rounds in which it was not placed.
+    :ivar is_demoted: whether it is removed from the tracker until its team
+        has no other tasks there.
     """
 
     task: TaskState
@@ -57,16 +59,16 @@
 
 
 class PendingQueue:
-    """Pending tasks in the quota tracker; a task of another daemon's comes deferred.
+    """Pending tasks in the quota tracker, delayed by this daemon's rank.
 
-    The tracker says who deserves most; here is only what is this daemon's own:
-    whose turn has come, and which tasks found no place.
+    The tracker orders the tasks; the queue adds when this daemon may claim a
+    task and how often it was not placed.
 
-    :ivar tracker: order by shares, ageing and slack.
+    :ivar tracker: tracker that orders tasks by shares, ageing and slack.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self.tracker = QuotaTracker(Resources(1, 1, 1))
         self._deferred: list[_DeferredTask] = []
         self._order = itertools.count()
@@ -77,29 +79,30 @@
         self._demoted_by_team: dict[TeamName, list[TaskKey]] = {}
 
     def add(self, task: TaskState, now_ms: int, due_ms: int) -> None:
-        """Enter a pending task.
+        """Add a pending task.
 
         :param task: the task.
         :param now_ms: monotonic time, in milliseconds.
-        :param due_ms: monotonic time from which this daemon may claim it.
+        :param due_ms: monotonic time from which this daemon may claim it, in
+            milliseconds.
         """
         order = next(self._order)
         deferred = _DeferredTask(due_ms, order, task, task.attempt, now_ms)
         heapq.heappush(self._deferred, deferred)
 
     def has_due(self, now_ms: int) -> bool:
-        """Tell whether a task has come in, or its turn here has come.
+        """Return whether a deferred task may be claimed by now.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: whether ``take`` would bring one in.
+        :returns: whether ``take`` would add a task to the tracker.
         """
         return bool(self._deferred) and self._deferred[0].due_ms <= now_ms
 
     def offers(self, key: TaskKey) -> int | None:
-        """Count the rounds in which a task found no place here.
+        """Return the number of rounds in which a task was not placed.
 
-        :param key: its next attempt.
-        :returns: the count; None before its turn here has come.
+        :param key: key of its next attempt.
+        :returns: the number; None before this daemon may claim it.
         """
         entry = self._entry_by_key.get(key)
         return entry.offers if entry else None
@@ -107,15 +110,15 @@
     def take(
         self, limit: int, now_ms: int, limits: Limits, view: PendingViewFactory
     ) -> list[Offer]:
-        """List the most deserving tasks that are still pending.
+        """Return the pending tasks that come first by the tracker's order.
 
-        They stay in the tracker until they are dropped or put back.
+        They stay in the tracker until they are dropped.
 
-        :param limit: tasks at most.
+        :param limit: most tasks to return.
         :param now_ms: monotonic time, in milliseconds.
         :param limits: hard limits of teams.
-        :param view: shows a task, given how long it waits.
-        :returns: tasks, most deserving first.
+        :param view: builds the view of a task from its waiting time.
+        :returns: tasks in the tracker's order.
         """
         self._admit_due(now_ms, view)
         while True:
@@ -128,7 +131,7 @@
             ]
             if not closed:
                 break
-            # Each task that was cancelled costs one look, not one a round.
+            # Cancelled tasks are dropped, so that each is checked only once.
             for key in closed:
                 self.drop(key, now_ms, view)
         tasks = [
@@ -141,11 +144,11 @@
         ]
 
     def drop(self, key: TaskKey, now_ms: int, view: PendingViewFactory) -> None:
-        """Forget a task that is claimed or over.
+        """Remove a task that is claimed or over.
 
-        :param key: the attempt under which it was pending.
+        :param key: key of the attempt under which it was pending.
         :param now_ms: monotonic time, in milliseconds.
-        :param view: as for ``take``.
+        :param view: builds the view of a task, as for ``take``.
         """
         entry = self._entry_by_key.pop(key, None)
         if entry is not None and not entry.is_demoted:
@@ -154,18 +157,18 @@
     def record_unplaced(
         self, keys: Iterable[TaskKey], now_ms: int, view: PendingViewFactory
     ) -> None:
-        """Note tasks that found no place in this round.
+        """Count a round in which tasks were not placed.
 
-        :param keys: as taken.
+        :param keys: keys of the tasks.
         :param now_ms: monotonic time, in milliseconds.
-        :param view: as for ``take``.
+        :param view: builds the view of a task, as for ``take``.
         """
         for key in keys:
             entry = self._entry_by_key[key]
             entry.offers += 1
             if entry.offers % _OFFERS_BEFORE_DEMOTION == 0:
-                # Without this, tasks that fit nowhere at present would hold up
-                # the smaller ones of their team for ever.
+                # Tasks that fit nowhere must not starve the smaller ones of
+                # their team.
                 entry.is_demoted = True
                 team = _team_of(entry.task)
                 self._demoted_by_team.setdefault(team, []).append(key)
@@ -214,7 +217,7 @@
 
 
 class _LimitFilter:
-    """Hard limits and tasks of each team, counting what is listed."""
+    """Accepts tasks within the limits of their teams, counting each."""
 
     def __init__(
         self, limits: Limits, entry_by_key: dict[TaskKey, _Entry]
--- a/waxwingford/batch/_quotas.py
+++ b/waxwingford/batch/_quotas.py
@@ -1,9 +1,8 @@
 """Hard limits of teams that may not borrow.
 
-A limit bounds what one daemon claims, counting everything that it has read.
-Daemons that claim at the same time may together exceed one by what they claim
-within one interval of appends; capacity of servers is not under this bound.
-Who is next, and what is borrowed, is the quota tracker's.
+Each daemon enforces a limit on the claims that it has read.  Daemons that claim
+concurrently may exceed it by their claims of one append interval.  The order of
+tasks and borrowing are decided by the quota tracker.
 """
 
 import copy
@@ -17,10 +16,10 @@
 
 
 class Limits:
-    """Room of teams, counting what is claimed in this round."""
+    """Free quota of teams, counting the claims of this round."""
 
     def __init__(self, state: DomainState, bundle: BundleSettings) -> None:
-        """Start a round.
+        """Create the limits for a round.
 
         :param state: state replayed from the domain's stream.
         :param bundle: batch settings in force.
@@ -30,24 +29,24 @@
         self._claimed_by_team: dict[str, Resources] = {}
 
     def copy(self) -> 'Limits':
-        """Copy, to count what is only listed.
+        """Copy the limits, to count tasks that are not claimed yet.
 
-        :returns: limits with the same room.
+        :returns: limits with the same free quota.
         """
         other = copy.copy(self)
         other._claimed_by_team = dict(self._claimed_by_team)
         return other
 
     def has_room(self, task: TaskState) -> bool:
-        """Tell whether the task's team may use so much more.
+        """Return whether a task fits in the quota of its team.
 
         :param task: the task.
-        :returns: true without a limit.
+        :returns: true if it fits or the team has no limit.
         """
         return self.reason(task) == ''
 
     def reason(self, task: TaskState) -> str:
-        """Say which limit is used up.
+        """Explain which limit is exhausted.
 
         :param task: the task.
         :returns: human-readable reason; empty if there is room.
@@ -67,7 +66,7 @@
     def count_claim(self, task: TaskState) -> None:
         """Count a claim of this round.
 
-        :param task: its task.
+        :param task: the claimed task.
         """
         team = team_key(task.job.spec)
         used = self._claimed_by_team.get(team, _NOTHING)
--- a/waxwingford/batch/_reactions.py
+++ b/waxwingford/batch/_reactions.py
@@ -1,4 +1,4 @@
-"""What a policy decides about running attempts, noted at their servers."""
+"""Applies the reactions of a policy to running attempts."""
 
 from collections.abc import Mapping
 
@@ -17,14 +17,14 @@
     reaction: Throttle | Evict | Stop,
     now_ms: int,
 ) -> list[Note]:
-    """Let the next exchange carry a reaction.
+    """Schedule a reaction for the next exchange with the server.
 
-    :param fleet: servers.
+    :param fleet: servers of the failure domain.
     :param state: state replayed from the domain's stream.
     :param held: held servers by id.
-    :param reaction: the policy's decision.
+    :param reaction: reaction that the policy returned.
     :param now_ms: monotonic time, in milliseconds.
-    :returns: a note; nothing if the attempt is over or not held here.
+    :returns: an event; empty if the attempt is over or its server not held.
     """
     key = reaction.key
     server = _server_of(state, held, key)
--- a/waxwingford/batch/_replies.py
+++ b/waxwingford/batch/_replies.py
@@ -1,4 +1,4 @@
-"""Callers that wait for the outcome of a submission or cancellation."""
+"""Pending replies to submissions and cancellations."""
 
 import asyncio
 import itertools
@@ -8,10 +8,10 @@
 
 
 class PendingReply(NamedTuple):
-    """A caller's wait.
+    """A reply that a caller waits for.
 
-    :ivar submission_id: names it.
-    :ivar outcome: set once it is known.
+    :ivar submission_id: id of the submission or cancellation.
+    :ivar outcome: future of the outcome.
     """
 
     submission_id: int
@@ -19,17 +19,17 @@
 
 
 class PendingReplies:
-    """Waits by submission id; how many is bounded by the outbox."""
+    """Pending replies by submission id; the outbox bounds their number."""
 
     def __init__(self) -> None:
-        """Start without waits."""
+        """Create without pending replies."""
         self._reply_by_id: dict[int, PendingReply] = {}
         self._ids = itertools.count(1)
 
     def create(self) -> PendingReply:
-        """Begin a wait.
+        """Create a pending reply.
 
-        :returns: the wait, under a new id.
+        :returns: the pending reply, with a new id.
         """
         outcome = asyncio.get_running_loop().create_future()
         reply = PendingReply(next(self._ids), outcome)
@@ -37,9 +37,9 @@
         return reply
 
     async def wait(self, reply: PendingReply) -> SubmissionOutcome:
-        """Wait for the outcome.
+        """Wait for the outcome of a reply.
 
-        :param reply: the wait.
+        :param reply: the pending reply.
         :returns: the outcome.
         """
         try:
@@ -48,9 +48,9 @@
             self._reply_by_id.pop(reply.submission_id, None)
 
     def resolve(self, submission_id: int, outcome: SubmissionOutcome) -> None:
-        """Give a caller its outcome; one that went away is passed over.
+        """Set the outcome of a reply; ignored if no caller waits for it.
 
-        :param submission_id: names the wait.
+        :param submission_id: id of the pending reply.
         :param outcome: the outcome.
         """
         reply = self._reply_by_id.pop(submission_id, None)
@@ -58,10 +58,10 @@
             reply.outcome.set_result(outcome)
 
     def resolve_all_unknown(self, reason: str, retry_after_ms: int) -> None:
-        """Answer all callers that what they asked for may still happen.
+        """Resolve all pending replies with an unknown outcome.
 
         :param reason: human-readable reason.
-        :param retry_after_ms: when to come back, in milliseconds.
+        :param retry_after_ms: time before a retry, in milliseconds.
         """
         for submission_id in list(self._reply_by_id):
             self.resolve(submission_id, JobUnknown(reason, retry_after_ms))
--- a/waxwingford/batch/_server.py
+++ b/waxwingford/batch/_server.py
@@ -1,4 +1,4 @@
-"""What this daemon knows of one backend server, and what it does there."""
+"""State of one backend server as seen and controlled by this daemon."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -24,36 +24,42 @@
 class ServerControl:
     """One backend server of the failure domain.
 
-    :ivar vm: as last listed.
+    :ivar vm: VM of the server, as last listed.
     :ivar lease: the control lease.
-    :ivar preference: whether this daemon wants the lease.
-    :ivar report_by_key: attempts that the server named in its last answer.
-    :ivar report_version: version of that answer, 0 if the server does not count.
-    :ivar answers_since_full_report: answers since one that named every attempt.
-    :ivar report_offset: records before this offset were applied when the
-        exchange of that answer was decided.
-    :ivar unclaimed_since_ms: by attempt that runs without a known claim, when
-        it was first reported so.
+    :ivar preference: decides whether and when to acquire or hand over the
+        lease.
+    :ivar report_by_key: reports on attempts in the last answer, by attempt.
+    :ivar report_version: version of that answer; 0 if the server has none.
+    :ivar answers_since_full_report: number of answers since the last that
+        reported every attempt.
+    :ivar report_offset: offset of the stream up to which records were
+        replayed when the exchange of that answer was planned.
+    :ivar unclaimed_since_ms: monotonic time of the first report of each
+        attempt that runs without a known claim, in milliseconds.
     :ivar started: attempts whose start was sent under the present epoch.
-    :ivar abandoned_by_key: ends of claims of the present epoch that were not
-        and will not be started.
+    :ivar abandoned_by_key: end records of claims of the present epoch that
+        were never started and must not be, by attempt.
     :ivar evicting: attempts to checkpoint.
     :ivar stopping: attempts to stop without a checkpoint.
-    :ivar percent_by_key: throttles to command.
-    :ivar commanded_ms_by_key: when a stop or checkpoint was last commanded.
-    :ivar in_flight: exchange that has no outcome yet.
-    :ivar in_flight_offset: next offset of the state when it was decided.
-    :ivar exchange_requested: commands came up while an exchange was in flight.
-    :ivar due_ms: when the next exchange is due.
-    :ivar listed: whether the platform's list names it.
-    :ivar reported_leaving: the server's own word.
-    :ivar unreachable_since_ms: first exchange without an answer since the last
-        answer; None while it answers.
-    :ivar routed_share: busy service slots at present, 0 to 1, as this daemon's
-        routing sees them; None if it routes nothing there.
-    :ivar sampled_share: the same in the last usage sample, which is older.
-    :ivar predicted_ms: cached prediction of its service's latency; None after
-        a usage sample.
+    :ivar percent_by_key: throttles to send, in percent, by attempt.
+    :ivar commanded_ms_by_key: monotonic time of the last stop or checkpoint
+        command, in milliseconds, by attempt.
+    :ivar in_flight: exchange without an outcome yet; None if there is none.
+    :ivar in_flight_offset: offset of the stream up to which records were
+        replayed when that exchange was planned.
+    :ivar exchange_requested: whether another exchange became due while one was
+        in flight.
+    :ivar due_ms: monotonic time at which the next exchange is due, in
+        milliseconds; 0 if none is scheduled.
+    :ivar listed: whether the platform lists it.
+    :ivar reported_leaving: whether the server reported that it is leaving.
+    :ivar unreachable_since_ms: monotonic time of the first unanswered exchange
+        since the last answer, in milliseconds; None while it answers.
+    :ivar routed_share: present share of busy service slots, 0 to 1, measured
+        by this daemon's routing; None if it routes nothing there.
+    :ivar sampled_share: share of busy service slots in the last usage sample.
+    :ivar predicted_ms: cached prediction of the service's latency, in
+        milliseconds; None after a usage sample.
     :ivar view: cached view for policies; None after a change.
     """
 
@@ -95,17 +101,18 @@
 
     @property
     def leaving(self) -> bool:
-        """Tell whether it leaves, by the list or by its own word.
+        """Return whether the server is leaving.
 
-        :returns: true if it must get no new work.
+        :returns: true if the list or the server says so; it then gets no new
+            work.
         """
         return self.reported_leaving or self.vm.state == VmState.leaving
 
     @property
     def busy_share(self) -> float:
-        """Tell how busy the service there is.
+        """Return the utilization of the service on the VM.
 
-        :returns: share of busy slots, the newest that is known.
+        :returns: newest known share of busy slots, 0 to 1.
         """
         if self.routed_share is None:
             return self.sampled_share
@@ -117,11 +124,11 @@
         answer: ControlGranted,
         epoch_changed: bool,
     ) -> None:
-        """Take what the server said.
+        """Update from a granted control request.
 
-        :param request: what it answers.
-        :param answer: its answer.
-        :param epoch_changed: whether epoch or boot differ from before.
+        :param request: the request.
+        :param answer: answer of the server.
+        :param epoch_changed: whether its epoch or boot id changed.
         """
         if answer.is_delta:
             self._remove_forgotten(request)
@@ -147,8 +154,7 @@
             self.sampled_share = answer.usage[-1].service_load
 
     def _remove_forgotten(self, request: ControlRequest) -> None:
-        # A forget that the server refused was carried out before, and its
-        # answer was lost.
+        # A refused forget was executed before, and its answer was lost.
         for command in request.commands:
             if isinstance(command, ForgetTask):
                 self.report_by_key.pop(command.key, None)
@@ -161,10 +167,10 @@
         self.stopping &= self.report_by_key.keys()
 
     def running_except(self, renew: Iterable[TaskKey]) -> tuple[TaskKey, ...]:
-        """List running attempts that are not to be renewed.
+        """List running attempts whose leases are not to be renewed.
 
-        :param renew: those that are.
-        :returns: the other ones that the server named.
+        :param renew: attempts to renew.
+        :returns: the other running attempts that the server reported.
         """
         renewed = set(renew)
         return tuple(
@@ -174,10 +180,10 @@
         )
 
     def is_running(self, key: TaskKey) -> bool:
-        """Tell whether the server named an attempt as running.
+        """Return whether the server reported an attempt as running.
 
         :param key: key of the attempt.
-        :returns: true if it ran at the last answer.
+        :returns: true if it was running in the last report.
         """
         report = self.report_by_key.get(key)
         return report is not None and report.phase == TaskPhase.running
@@ -186,7 +192,7 @@
 def started_keys(request: ControlRequest) -> list[TaskKey]:
     """List the attempts that a request starts.
 
-    :param request: of an exchange.
+    :param request: request of an exchange.
     :returns: keys of its start commands.
     """
     return [
@@ -197,9 +203,9 @@
 
 
 def server_event(kind: str, server: ServerControl, detail: str) -> Note:
-    """Write an event about a server.
+    """Build a time-line event about a server.
 
-    :param kind: what happened.
+    :param kind: kind of the event.
     :param server: the backend server.
     :param detail: human-readable detail.
     :returns: the effect.
--- a/waxwingford/batch/_settings.py
+++ b/waxwingford/batch/_settings.py
@@ -11,7 +11,7 @@
 _CONTROL_LEASES_PER_TASK_LEASE = 2
 
 
-class Pace(NamedTuple):
+class LeaseTiming(NamedTuple):
     """Interval of control exchanges and durations of leases.
 
     :ivar renew_every_ms: interval of exchanges with a held server, in
@@ -46,8 +46,8 @@
     :ivar append_every_ms: shortest interval between two appends.
     :ivar react_every_ms: interval at which the policy is asked for
         reactions.
-    :ivar steal_ms: delay per rank before a daemon claims a task.
-    :ivar urgent_steal_ms: delay per rank for urgent tasks.
+    :ivar rank_delay_ms: delay per rank before a daemon claims a task.
+    :ivar urgent_rank_delay_ms: delay per rank for urgent tasks.
     :ivar snapshot_entries: log entries after which a snapshot is due.
     :ivar snapshot_ms: time after which a snapshot is due.
     :ivar times: delays of the ownership protocol.
@@ -66,8 +66,8 @@
     outbox_records: int = 20_000
     append_every_ms: int = 500
     react_every_ms: int = 1000
-    steal_ms: int = 3000
-    urgent_steal_ms: int = 100
+    rank_delay_ms: int = 3000
+    urgent_rank_delay_ms: int = 100
     snapshot_entries: int = 5000
     snapshot_ms: int = 600_000
     times: OwnershipTimes = OwnershipTimes()
@@ -86,22 +86,22 @@
 
         :returns: duration, in milliseconds.
         """
-        return self._pace_at(self.longest_renew_ms).task_lease_ms
+        return self._lease_timing_at(self.longest_renew_ms).task_lease_ms
 
-    def pace(self, held: int) -> Pace:
+    def lease_timing(self, held: int) -> LeaseTiming:
         """Choose interval and leases for a number of held servers.
 
         :param held: number of servers held.
         :returns: interval of exchanges and durations of leases.
         """
         spread_ms = min(held * self.exchange_every_ms, self.longest_renew_ms)
-        return self._pace_at(max(self.renew_every_ms, spread_ms))
+        return self._lease_timing_at(max(self.renew_every_ms, spread_ms))
 
-    def _pace_at(self, renew_every_ms: int) -> Pace:
+    def _lease_timing_at(self, renew_every_ms: int) -> LeaseTiming:
         control_ms = max(
             self.control_lease_ms, _RENEWALS_PER_CONTROL_LEASE * renew_every_ms
         )
         task_ms = max(
             self.task_lease_ms, _CONTROL_LEASES_PER_TASK_LEASE * control_ms
         )
-        return Pace(renew_every_ms, control_ms, task_ms)
+        return LeaseTiming(renew_every_ms, control_ms, task_ms)
--- a/waxwingford/batch/_shell.py
+++ b/waxwingford/batch/_shell.py
@@ -1,4 +1,4 @@
-"""The task that owns the batch controller and carries out its effects."""
+"""The asyncio task that runs the batch controller."""
 
 import asyncio
 import dataclasses
@@ -47,20 +47,20 @@
 _LIST_EVERY_MS = 1000
 _GAP_RETRY_MS = 1000
 _NOT_READY_RETRY_MS = 1000
-#: A pause is up to so much shorter or longer.
+#: Largest relative deviation of a pause.
 _LIST_JITTER = 0.25
-#: A submitter comes back after up to so many times the least time.
+#: Largest ratio of a retry delay to the shortest one.
 _RETRY_SPREAD = 4
 
 
 def list_pause_ms(rng: random.Random) -> int:
-    """Choose the pause between two readings of the platform's list.
+    """Choose the pause before the next read of the platform's list.
 
-    Daemons that start together, or whose calls fail together, would read the
-    list in step for ever; a random part of each pause parts them.
+    The pause has jitter, so that daemons that start together do not read the
+    list in step.
 
-    :param rng: source of the random part.
-    :returns: milliseconds.
+    :param rng: source of the jitter.
+    :returns: pause, in milliseconds.
     """
     share = rng.uniform(1 - _LIST_JITTER, 1 + _LIST_JITTER)
     return round(_LIST_EVERY_MS * share)
@@ -69,14 +69,14 @@
 def spread_retry(
     outcome: SubmissionOutcome, rng: random.Random
 ) -> SubmissionOutcome:
-    """Let submitters that are sent away at once come back one by one.
+    """Add jitter to the retry delay of a refused or unknown submission.
 
-    A log that goes away is answered to all that wait in the same moment; told
-    the same time, they would come back in step until it answers again.
+    Submitters that are refused together, as when the log becomes unavailable,
+    must not retry in step.
 
-    :param outcome: as the controller decided it, with the least time.
-    :param rng: source of the random part.
-    :returns: the same outcome, with a later time if it names one.
+    :param outcome: outcome with the shortest retry delay.
+    :param rng: source of the jitter.
+    :returns: the outcome, with a longer retry delay if it has one.
     """
     if not isinstance(outcome, JobRefused | JobUnknown):
         return outcome
@@ -86,10 +86,10 @@
 
 
 class BatchTask(BatchHints):
-    """Owns the controller of one daemon; everything it does is by messages.
+    """Runs the controller of one daemon and executes its effects.
 
-    Messages are handled one at a time on the event loop, without a wait in
-    between, so that the state needs no lock.
+    Messages are handled one at a time on the event loop without awaiting, so
+    the state needs no lock.
     """
 
     def __init__(
@@ -102,14 +102,14 @@
         clock: Clock,
         time_line: TimeLine,
     ) -> None:
-        """Bind the ports; nothing runs yet.
+        """Create a task that is not running yet.
 
         :param settings: settings of the controller.
-        :param log: the platform's log.
-        :param servers: control of backend servers.
-        :param directory: the platform's list.
+        :param log: port of the platform's log.
+        :param servers: port that controls backend servers.
+        :param directory: port of the platform's list of VMs.
         :param clock: source of time.
-        :param time_line: where events go.
+        :param time_line: time line that records events.
         """
         super().__init__(clock)
         self._settings = settings
@@ -128,12 +128,12 @@
     async def run(self) -> None:
         """Load the state, then follow the stream until cancelled.
 
-        A daemon that fell behind what the log retains starts anew from a
-        newer snapshot, under a new incarnation: the leases that it held are
-        acquired anew too.
+        A daemon that falls behind the entries that the log retains restarts
+        from a newer snapshot under a new incarnation, and acquires its leases
+        again.
 
-        :raises ExceptionGroup: with a broken invariant or programming error
-            of any of its parts, which all stop then.
+        :raises ExceptionGroup: if an invariant is broken or another error
+            occurs in any subtask; all subtasks are cancelled then.
         """
         stream = f'snapshots/{self._settings.failure_domain}'
         async with asyncio.TaskGroup() as group:
@@ -147,7 +147,7 @@
     async def submit(self, job: JobSpec) -> SubmissionOutcome:
         """Submit a job.
 
-        :param job: the job; it is stamped with this daemon's wall time.
+        :param job: the job; its submission time is set by this daemon.
         :returns: accepted, refused, unknown or rejected.
         """
         reply = self._replies.create()
@@ -156,10 +156,10 @@
         )
 
     async def cancel(self, job_id: str, member: str) -> SubmissionOutcome:
-        """Give a job up.
+        """Cancel a job.
 
         :param job_id: id of the job.
-        :param member: who asks; must own the job.
+        :param member: member that makes the request and must own the job.
         :returns: cancelled, refused, unknown or rejected.
         """
         reply = self._replies.create()
@@ -170,7 +170,7 @@
         """Checkpoint a task that runs on a server held here.
 
         :param task_id: id of the task.
-        :returns: whether it does, and so was asked.
+        :returns: whether its server is held here.
         """
         controller = self._controller
         task = controller.state.task(task_id) if controller else None
@@ -181,9 +181,9 @@
         return task.server_id in held
 
     async def drain(self, bounded_ms: int) -> bool:
-        """Take nothing new, and give the leases up so that peers adopt.
+        """Stop accepting work and release the leases for peers to acquire.
 
-        :param bounded_ms: give up waiting after this time, in milliseconds.
+        :param bounded_ms: timeout, in milliseconds.
         :returns: whether everything was handed over in time.
         """
         self._handle(Drain())
@@ -221,7 +221,7 @@
         settings = self._settings._replace(incarnation=name)
         now_ms = self._clock.monotonic_ms()
         self._replies.resolve_all_unknown(
-            'this daemon starts anew', _NOT_READY_RETRY_MS
+            'this daemon is reloading its state', _NOT_READY_RETRY_MS
         )
         self._executor.start_generation(self._generation)
         self._controller = DomainController(settings, state, now_ms)
@@ -239,7 +239,7 @@
             message = await reader.read(controller.state.next_offset)
             self._handle(message)
             await reader.pause(message)
-        # A gap is met by all daemons at once; they must not load in step.
+        # All daemons may find a gap at once; they must not reload in step.
         pause_ms = self._rng.randint(_GAP_RETRY_MS // 2, _GAP_RETRY_MS)
         await asyncio.sleep(pause_ms / _MS_IN_S)
 
--- a/waxwingford/batch/_snapshots.py
+++ b/waxwingford/batch/_snapshots.py
@@ -1,4 +1,4 @@
-"""Reading and writing snapshots through the log's port."""
+"""Reads and writes snapshots through the port of the log."""
 
 import sys
 
@@ -9,9 +9,9 @@
     snapshot_chunks,
 )
 
-#: Beyond every offset: reads the head of a stream and nothing else.
+#: Offset past any head; a read from it returns the head and no entries.
 _PAST_HEAD_OFFSET = sys.maxsize
-#: Entries in the first window that is read back from the head.
+#: Entries in the first window before the head that is searched.
 _FIRST_WINDOW = 8
 _WINDOW_GROWTH = 4
 _READ_ENTRIES = 32
@@ -20,11 +20,11 @@
 async def load_newest(
     log: LogPort, stream: str
 ) -> DomainState | LogUnavailable | None:
-    """Find the newest complete snapshot, reading back from the head.
+    """Find the newest complete snapshot, searching back from the head.
 
     :param log: port of the platform's log.
-    :param stream: the snapshots' stream.
-    :returns: its state; nothing if there is none; or that the log is away.
+    :param stream: name of the snapshot stream.
+    :returns: its state; None if there is none; or that the log is unavailable.
     """
     head = await log.read(stream, _PAST_HEAD_OFFSET, 1)
     if isinstance(head, LogUnavailable):
@@ -65,12 +65,12 @@
 
 
 async def write_snapshot(log: LogPort, stream: str, state: DomainState) -> str:
-    """Write a snapshot of a state.
+    """Write a snapshot of a state in chunks.
 
     :param log: port of the platform's log.
-    :param stream: the snapshots' stream.
-    :param state: the state; it may go on while the chunks are appended.
-    :returns: why it is not written; empty if all chunks stand.
+    :param stream: name of the snapshot stream.
+    :param state: the state; it may change while the chunks are appended.
+    :returns: why the write failed; empty if all chunks were appended.
     """
     for chunk in snapshot_chunks(state, state.next_offset):
         outcome = await log.append(stream, chunk)
--- a/waxwingford/batch/_stream.py
+++ b/waxwingford/batch/_stream.py
@@ -1,4 +1,4 @@
-"""The controller's side of the log: what was read, and what is appended."""
+"""The failure domain's stream: replays entries and appends records."""
 
 from collections.abc import Iterable
 
@@ -27,21 +27,23 @@
     Valid,
 )
 
-#: Daemons of a lower rank do not end attempts that lapsed.
+#: Highest rank at which a daemon ends lapsed attempts.
 _MAX_LAPSE_RANK = 1
 
 
 class DomainStream:
-    """State that the stream folds into, and the records that go there.
+    """State replayed from the stream, and the outbox for new records.
 
-    :ivar state: fold of the stream.
+    :ivar state: state replayed from the stream.
     :ivar appender: outbox.
-    :ivar log_away: why the log is away; empty if it is not.
-    :ivar gap: what of the stream is lost; empty if nothing is.
+    :ivar log_away: why the log is unavailable; empty if it is available.
+    :ivar gap: records that are no longer retained and were not replayed;
+        empty if there are none.
     :ivar head_read_ms: monotonic start of the last read that reached the
-        head; None before the first.
+        head, in milliseconds; None before the first.
     :ivar claiming: servers with claims in flight to the log.
-    :ivar snapshot_seen_ms: when the newest snapshot was read of.
+    :ivar snapshot_seen_ms: monotonic time at which the record of the newest
+        snapshot was read, in milliseconds.
     """
 
     def __init__(
@@ -52,12 +54,12 @@
         placer: Placer,
         now_ms: int,
     ) -> None:
-        """Start from a state.
+        """Create a stream that continues from a state.
 
         :param settings: settings of the controller.
-        :param state: where to go on from.
-        :param fleet: servers, told of changes to their attempts.
-        :param placer: told of tasks that became pending.
+        :param state: state to replay the stream on.
+        :param fleet: servers, updated when their attempts change.
+        :param placer: placer that receives tasks that become pending.
         :param now_ms: monotonic time, in milliseconds.
         """
         self.state = state
@@ -66,7 +68,7 @@
             settings.outbox_records,
             settings.append_every_ms,
         )
-        self.log_away = 'not read yet'
+        self.log_away = 'no read has succeeded yet'
         self.gap = ''
         self.head_read_ms: int | None = None
         self.claiming: frozenset[str] = frozenset()
@@ -78,11 +80,11 @@
         self._restore(now_ms)
 
     def handle_entries(self, message: LogEntries, now_ms: int) -> list[Effect]:
-        """Take what a read gave.
+        """Replay the entries of a read.
 
-        :param message: the entries.
+        :param message: result of the read.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: replies and notes.
+        :returns: replies and events.
         """
         effects: list[Effect] = []
         if self.log_away:
@@ -104,10 +106,10 @@
         return effects
 
     def handle_read_failure(self, reason: str) -> list[Effect]:
-        """Take that the log gave no answer.
+        """Handle a read that failed.
 
         :param reason: human-readable reason.
-        :returns: final replies to all that wait for the log, and a note.
+        :returns: final replies to all queued submissions, and an event.
         """
         effects: list[Effect] = []
         if not self.log_away:
@@ -117,11 +119,11 @@
         return effects
 
     def append(self, now_ms: int, wall_ms: int) -> list[Effect]:
-        """Build the next group with new claims, or repeat the last one.
+        """Build the next group with new claims, or retry the last one.
 
         :param now_ms: monotonic time, in milliseconds.
         :param wall_ms: Unix time, in milliseconds.
-        :returns: the append, if one is due, and notes.
+        :returns: the append, if one is due, and events.
         """
         if self.log_away or self.head_read_ms is None:
             return []
@@ -210,7 +212,7 @@
 
 
 def task_events(verdict: Valid) -> list[Note]:
-    """Write events of tasks for the time line of the daemon that did it.
+    """Build the time-line events of a record about attempts.
 
     :param verdict: a record that took effect.
     :returns: one event for each attempt.
--- a/waxwingford/batch/_submissions.py
+++ b/waxwingford/batch/_submissions.py
@@ -100,7 +100,7 @@
     # A job of another member is answered like one that does not exist, so that
     # members do not learn of each other's jobs.
     if job is None or job.spec.member != member:
-        return ImmediateReply(JobRejected(f'no open job {job_id!r} of yours'))
+        return ImmediateReply(JobRejected(f'you have no open job {job_id!r}'))
     if job.cancelled:
         return ImmediateReply(JobCancelledOutcome(job_id))
     if admission.refusal:
--- a/waxwingford/batch/_unlisted.py
+++ b/waxwingford/batch/_unlisted.py
@@ -1,10 +1,9 @@
-"""Servers with claims that the platform's list no longer shows.
+"""Suspicion of attempts on servers that are claimed but not listed.
 
-A VM that dies is dropped from the list, and a daemon that starts later never
-hears of it.  Nobody would ask it, so nobody would suspect its attempts: one
-would notice tasks that stay claimed for ever although their job declared
-``lost_after_ms``.  So a server that only the claims know is suspected too; a
-holder that still reaches it objects.
+A failed VM is dropped from the platform's list, so that no daemon contacts it.
+Without this its tasks would stay claimed although their job declares
+``lost_after_ms``.  A holder that still reaches the server refutes the
+suspicion.
 """
 
 from collections.abc import Container, Iterator
@@ -18,8 +17,8 @@
 class UnlistedSuspicion(NamedTuple):
     """A suspicion about a server that is not listed.
 
-    :ivar server_id: the server.
-    :ivar record: to append.
+    :ivar server_id: id of the server.
+    :ivar record: record to append.
     """
 
     server_id: str
@@ -27,10 +26,10 @@
 
 
 class UnlistedServers:
-    """Since when each server with claims is unknown here."""
+    """Servers with claims that are not listed, with the time since."""
 
     def __init__(self, settings: BatchSettings) -> None:
-        """Start empty.
+        """Create without unlisted servers.
 
         :param settings: settings of the controller.
         """
@@ -40,10 +39,10 @@
     def suspicions(
         self, state: DomainState, known: Container[str], now_ms: int
     ) -> Iterator[UnlistedSuspicion]:
-        """Suspect attempts at servers that were unknown for long.
+        """Suspect the attempts on servers that have been unlisted too long.
 
         :param state: state replayed from the domain's stream.
-        :param known: servers that this daemon asks by itself.
+        :param known: ids of servers that this daemon contacts.
         :param now_ms: monotonic time, in milliseconds.
         :returns: records to append.
         """
--- a/waxwingford/batch/_validation.py
+++ b/waxwingford/batch/_validation.py
@@ -1,4 +1,4 @@
-"""Checks a policy's placements before they become claims."""
+"""Validates a policy's placements before they become claims."""
 
 from collections.abc import Iterable
 
@@ -17,14 +17,14 @@
 
 
 class PlacementValidator:
-    """Placements of one round that hold.
+    """Validates the placements of one round.
 
-    The policy is a plug-in: a wrong decision of it must neither over-commit a
-    VM nor stop the daemon, so it is left out and noted.
+    The policy is a plug-in; an invalid placement must neither over-commit a VM
+    nor stop the daemon, so it is skipped and reported.
 
-    :ivar placed: placements with their tasks.
-    :ivar unplaced: attempts that found no place.
-    :ivar notes: on placements that were left out.
+    :ivar placed: valid placements with their tasks.
+    :ivar unplaced: keys of tasks that were not placed.
+    :ivar notes: events about placements without room.
     """
 
     def __init__(
@@ -34,11 +34,11 @@
         quarantine: Quarantine,
         now_ms: int,
     ) -> None:
-        """Start a round.
+        """Create a validator for a round.
 
-        :param views: servers as the policy sees them.
+        :param views: servers as shown to the policy.
         :param limits: hard limits of teams.
-        :param quarantine: says when a server in quarantine may get a task.
+        :param quarantine: decides when a quarantined server may get a task.
         :param now_ms: monotonic time, in milliseconds.
         """
         self.unplaced: list[TaskKey] = []
@@ -53,10 +53,10 @@
     def validate(
         self, placements: Iterable[Placement], offers: Iterable[Offer]
     ) -> None:
-        """Check the policy's decisions.
+        """Validate the policy's placements.
 
-        :param placements: decisions.
-        :param offers: tasks that were shown to the policy.
+        :param placements: placements that the policy returned.
+        :param offers: tasks that were offered to the policy.
         """
         offer_by_key = {offer.view.key: offer for offer in offers}
         for placement in placements:
--- a/waxwingford/batch/_views.py
+++ b/waxwingford/batch/_views.py
@@ -1,4 +1,4 @@
-"""What members are shown of their jobs, and why a task waits."""
+"""Views of jobs for their members."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -14,7 +14,6 @@
 )
 
 _NOTHING = Resources(0, 0, 0)
-#: Tasks shown of one job.
 _MAX_TASKS_SHOWN = 200
 _DIMENSIONS = ('processors_milli', 'memory_mb', 'accelerators')
 
@@ -23,10 +22,10 @@
     """One task as its member sees it.
 
     :ivar task_id: id of the task.
-    :ivar stage: its stage.
+    :ivar stage: name of its stage.
     :ivar attempt: number of its newest attempt.
-    :ivar server_id: where that was claimed, empty before the first.
-    :ivar detail: result or last reason.
+    :ivar server_id: id of the server of that attempt; empty before the first.
+    :ivar detail: result, or reason of the last end of an attempt.
     :ivar waits_for: why it is pending; empty if it is not.
     """
 
@@ -42,11 +41,11 @@
     """One job as its member sees it.
 
     :ivar job_id: id of the job.
-    :ivar member: its owner.
+    :ivar member: member that owns it.
     :ivar state: ``open``, ``cancelling`` or ``finished``.
-    :ivar count_by_stage: tasks by the name of their stage.
-    :ivar tasks: single tasks; empty in listings and for finished jobs.
-    :ivar reasons: some reasons of failed tasks.
+    :ivar count_by_stage: number of tasks by name of their stage.
+    :ivar tasks: views of tasks; empty in listings and for finished jobs.
+    :ivar reasons: some reasons why tasks failed.
     """
 
     job_id: str
@@ -58,9 +57,9 @@
 
 
 def view_finished(job: FinishedJob) -> JobView:
-    """View a finished job.
+    """Build the view of a finished job.
 
-    :param job: what is kept of it.
+    :param job: summary of the job.
     :returns: the view.
     """
     counts = {
@@ -74,10 +73,10 @@
 
 
 def view_job(job: JobState, tasks: tuple[TaskView, ...] = ()) -> JobView:
-    """View a job that is not finished.
+    """Build the view of a job that is not finished.
 
     :param job: the job.
-    :param tasks: single tasks to show.
+    :param tasks: views of tasks to include.
     :returns: the view.
     """
     counts = {stage.name: 0 for stage in TaskStage}
@@ -92,7 +91,7 @@
 
     :param state: state replayed from the domain's stream.
     :param member: member that owns the jobs.
-    :returns: views without single tasks; finished jobs last.
+    :returns: views without their tasks; finished jobs last.
     """
     return [
         *(
@@ -114,14 +113,14 @@
     member: str,
     why: Callable[[str], str],
 ) -> JobView | None:
-    """Show one job.
+    """Return the view of one job.
 
     :param state: state replayed from the domain's stream.
     :param job_id: id of the job.
     :param member: member that makes the request.
-    :param why: says why a task waits, by its id.
-    :returns: the view with its first tasks; nothing if the member has no
-        such job.
+    :param why: explains why a task is pending, by its id.
+    :returns: the view with its first tasks; None if the member has no such
+        job.
     """
     job = state.jobs_by_id.get(job_id)
     if job is None:
@@ -146,11 +145,12 @@
 
 
 def never_fits(spec: JobSpec, fleet: Fleet) -> str:
-    """Tell whether a task is larger than every server that exists.
+    """Explain why the tasks of a job fit on no listed server.
 
-    :param spec: the job.
-    :param fleet: all servers listed; while none is, nothing is said.
-    :returns: which dimension and the largest server; empty if it may fit.
+    :param spec: specification of the job.
+    :param fleet: servers of the failure domain.
+    :returns: the dimensions that are too large and the largest server; empty
+        if a task may fit or no server is listed.
     """
     rooms = [
         subtract_resources(
@@ -170,5 +170,7 @@
         )
         if needed > most
     ]
-    reason = ', '.join(too_large) or 'no single server has all of it'
+    reason = (
+        ', '.join(too_large) or 'no single server has enough of every resource'
+    )
     return f'larger than any server: {reason}'
--- a/waxwingford/batch/tests/protections_steps.py
+++ b/waxwingford/batch/tests/protections_steps.py
@@ -256,7 +256,7 @@
     settings = BatchSettings('d0', '1', 'g')
     nothing = Resources(0, 0, 0)
     context.plan_input = PlanInput(
-        state, settings, settings.pace(1), 10, 20, nothing
+        state, settings, settings.lease_timing(1), 10, 20, nothing
     )
 
 
