--- a/waxwingford/batch/_appender.py
+++ b/waxwingford/batch/_appender.py
@@ -245,7 +245,7 @@
         self, in_flight: _InFlightGroup
     ) -> list[ReplySubmission]:
         unknown = JobUnknown(
-            'the platform log did not answer; the request may still take effect',
+            'the platform log did not answer; the request may take effect',
             _UNKNOWN_RETRY_MS,
         )
         replies = [
--- a/waxwingford/batch/_control_results.py
+++ b/waxwingford/batch/_control_results.py
@@ -1,6 +1,6 @@
 """Handles the results of control exchanges."""
 
-from waxwingford.batch._effects import Control, Effect, Note
+from waxwingford.batch._effects import Control, Effect, EmitEvent
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._messages import ControlResult
 from waxwingford.batch._server import (
@@ -134,7 +134,7 @@
     server: ServerControl, result: ControlResult
 ) -> list[Effect]:
     return [
-        Note(
+        EmitEvent(
             'task.started',
             f'task:{key.task_id}',
             f'attempt {key.attempt} {server.vm.server_id}',
--- a/waxwingford/batch/_effects.py
+++ b/waxwingford/batch/_effects.py
@@ -113,7 +113,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Note:
+class EmitEvent:
     """Add an event to the time line.
 
     :ivar kind: kind of the event.
@@ -141,4 +141,6 @@
     """All leases are released and the outbox is empty."""
 
 
-Effect = Append | Control | ReplySubmission | Note | WriteSnapshot | Drained
+Effect = (
+    Append | Control | ReplySubmission | EmitEvent | WriteSnapshot | Drained
+)
--- a/waxwingford/batch/_executor.py
+++ b/waxwingford/batch/_executor.py
@@ -116,7 +116,8 @@
         require(
             sent_ms < effect.valid_until_ms,
             Invariant.lease_before_effect,
-            f'{effect.server_id}: sent at {sent_ms}, valid until {effect.valid_until_ms}',
+            f'{effect.server_id}: sent at {sent_ms}, '
+            f'valid until {effect.valid_until_ms}',
         )
         return await self._servers.control(
             effect.host,
--- a/waxwingford/batch/_fleet.py
+++ b/waxwingford/batch/_fleet.py
@@ -34,8 +34,8 @@
     :ivar is_ready: whether the stream was read to its head; without the claims
         this daemon could not renew the task leases of a server.
     :ivar room_changed: whether a server may have more free resources.
-    :ivar lease_timing: interval of exchanges and durations of leases for the servers
-        held at present.
+    :ivar lease_timing: interval of exchanges and durations of leases, for the
+        number of servers held at present.
     :ivar released: servers whose leases were released since the last call of
         ``BatchQueries.take_released``.
     :ivar draining: whether this daemon releases its leases to stop.
@@ -71,11 +71,11 @@
         if listed.keys() - self.server_by_id.keys():
             self._rank_servers(listed.keys() | self.server_by_id.keys())
         for vm in listed.values():
-            self._list(vm, now_ms)
+            self._update_listed(vm, now_ms)
         for server_id in self.server_by_id.keys() - listed.keys():
-            self._unlist(server_id, now_ms)
+            self._mark_unlisted(server_id, now_ms)
 
-    def _list(self, vm: Vm, now_ms: int) -> None:
+    def _update_listed(self, vm: Vm, now_ms: int) -> None:
         server = self.server_by_id.get(vm.server_id)
         if server is None:
             self._add(vm, now_ms)
@@ -85,7 +85,7 @@
             server.view = None
             self.schedule_exchange(vm.server_id, now_ms)
 
-    def _unlist(self, server_id: str, now_ms: int) -> None:
+    def _mark_unlisted(self, server_id: str, now_ms: int) -> None:
         server = self.server_by_id[server_id]
         server.listed = False
         if not server.lease.is_valid(now_ms) and server.in_flight is None:
@@ -217,7 +217,9 @@
         :param server: the backend server.
         :param now_ms: monotonic time, in milliseconds.
         """
-        tries = server.preference.rank <= MAX_ACQUIRE_RANK and self.may_acquire
-        if tries:
+        may_try = (
+            server.preference.rank <= MAX_ACQUIRE_RANK and self.may_acquire
+        )
+        if may_try:
             next_try_ms = max(now_ms, server.preference.next_try_ms())
             self.reschedule(server, next_try_ms)
--- a/waxwingford/batch/_messages.py
+++ b/waxwingford/batch/_messages.py
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LogBack:
+class LogRecovered:
     """The log is available again, though nothing was read yet."""
 
 
@@ -220,7 +220,7 @@
     Tick
     | LogEntries
     | LogAway
-    | LogBack
+    | LogRecovered
     | AppendResult
     | ControlResult
     | VmListRead
--- a/waxwingford/batch/_pending_reason.py
+++ b/waxwingford/batch/_pending_reason.py
@@ -2,8 +2,8 @@
 
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._placer import Placer
-from waxwingford.batch._quotas import Limits
-from waxwingford.batch._views import never_fits
+from waxwingford.batch._quotas import TeamLimits
+from waxwingford.batch._views import oversize_reason
 from waxwingford.placement import TeamName
 from waxwingford.records import DomainState, TaskStage, TaskState
 
@@ -29,9 +29,9 @@
     if task.stage != TaskStage.pending:
         return ''
     reasons = (
-        never_fits(task.job.spec, fleet),
+        oversize_reason(task.job.spec, fleet),
         f'the platform log is unavailable: {log_away}' if log_away else '',
-        Limits(state, placer.bundle).reason(task),
+        TeamLimits(state, placer.bundle).reason(task),
         _share_reason(task, placer),
         _server_reason(task, placer),
     )
--- a/waxwingford/batch/_placer.py
+++ b/waxwingford/batch/_placer.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from waxwingford.batch._effects import Note
+from waxwingford.batch._effects import EmitEvent
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._messages import BundleSettings
 from waxwingford.batch._placing import (
@@ -14,7 +14,7 @@
     view_server,
 )
 from waxwingford.batch._queue import PendingQueue, PendingViewFactory
-from waxwingford.batch._quotas import Limits
+from waxwingford.batch._quotas import TeamLimits
 from waxwingford.batch._reactions import apply_reaction
 from waxwingford.batch._server import ServerControl
 from waxwingford.batch._settings import BatchSettings
@@ -108,7 +108,7 @@
 
     def place_round(
         self, state: DomainState, now_ms: int, wall_ms: int
-    ) -> tuple[list[TasksClaimed], list[Note]]:
+    ) -> tuple[list[TasksClaimed], list[EmitEvent]]:
         """Choose the tasks to claim now.
 
         :param state: state replayed from the domain's stream.
@@ -120,7 +120,7 @@
         # further rounds over a long queue would waste processor time.
         if not self._is_round_due(now_ms):
             return [], []
-        limits = Limits(state, self.bundle)
+        limits = TeamLimits(state, self.bundle)
         view = self._view_pending(wall_ms)
         offers = self.queue.take(_MAX_ROUND_TASKS, now_ms, limits, view)
         if not offers or self._policy is None:
@@ -141,7 +141,7 @@
             require_held(held[claim.server_id], now_ms)
         reserved = self.bundle.reserved_by_service
         require_capacity(claims, state, held, reserved)
-        return claims, validator.notes
+        return claims, validator.events
 
     def observe(
         self,
@@ -169,7 +169,7 @@
 
     def react(
         self, state: DomainState, now_ms: int, wall_ms: int
-    ) -> list[Note]:
+    ) -> list[EmitEvent]:
         """Apply the policy's reactions to interference.
 
         :param state: state replayed from the domain's stream.
@@ -183,9 +183,9 @@
         views = self.views(state, held, wall_ms)
         reactions = self._policy.react(views, now_ms)
         return [
-            note
+            event
             for reaction in reactions
-            for note in apply_reaction(
+            for event in apply_reaction(
                 self._fleet, state, held, reaction, now_ms
             )
         ]
--- a/waxwingford/batch/_plan.py
+++ b/waxwingford/batch/_plan.py
@@ -86,7 +86,7 @@
     elif report.phase == TaskPhase.running:
         _plan_running(server, plan_input, plan, task)
     else:
-        plan.record_by_key[report.key] = _ended(server, report)
+        plan.record_by_key[report.key] = _end_record(server, report)
 
 
 def _plan_unclaimed(
@@ -247,7 +247,7 @@
         plan.commands.append(command)
 
 
-def _ended(server: ServerControl, report: TaskReport) -> AttemptEnded:
+def _end_record(server: ServerControl, report: TaskReport) -> AttemptEnded:
     # ``lapsed`` in the stream is reserved for ends by the suspicion protocol;
     # here the server itself reports that it stopped the attempt.
     how = 'stopped' if report.phase == TaskPhase.lapsed else report.phase.value
--- a/waxwingford/batch/_queue.py
+++ b/waxwingford/batch/_queue.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from waxwingford.batch._quotas import Limits
+from waxwingford.batch._quotas import TeamLimits
 from waxwingford.placement import PendingTask, QuotaTracker, TeamName
 from waxwingford.ports import Resources, TaskKey
 from waxwingford.records import TaskStage, TaskState
 
 #: Unsuccessful rounds after which a task is queued behind its team's others.
 _OFFERS_BEFORE_DEMOTION = 8
-#: Limits a round to so many tasks of a team, so that a team whose tasks fit
+#: TeamLimits a round to so many tasks of a team, so that a team whose tasks fit
 #: nowhere does not use up the round.
 _MAX_TEAM_TASKS_PER_ROUND = 64
 
@@ -108,7 +108,11 @@
         return entry.offers if entry else None
 
     def take(
-        self, limit: int, now_ms: int, limits: Limits, view: PendingViewFactory
+        self,
+        limit: int,
+        now_ms: int,
+        limits: TeamLimits,
+        view: PendingViewFactory,
     ) -> list[Offer]:
         """Return the pending tasks that come first by the tracker's order.
 
@@ -220,7 +224,7 @@
     """Accepts tasks within the limits of their teams, counting each."""
 
     def __init__(
-        self, limits: Limits, entry_by_key: dict[TaskKey, _Entry]
+        self, limits: TeamLimits, entry_by_key: dict[TaskKey, _Entry]
     ) -> None:
         self._limits = limits
         self._entry_by_key = entry_by_key
--- a/waxwingford/batch/_quotas.py
+++ b/waxwingford/batch/_quotas.py
@@ -15,7 +15,7 @@
 _NOTHING = Resources(0, 0, 0)
 
 
-class Limits:
+class TeamLimits:
     """Free quota of teams, counting the claims of this round."""
 
     def __init__(self, state: DomainState, bundle: BundleSettings) -> None:
@@ -28,7 +28,7 @@
         self._used_by_team: Mapping[str, Resources] = state.index.used_by_team
         self._claimed_by_team: dict[str, Resources] = {}
 
-    def copy(self) -> 'Limits':
+    def copy(self) -> 'TeamLimits':
         """Copy the limits, to count tasks that are not claimed yet.
 
         :returns: limits with the same free quota.
--- a/waxwingford/batch/_reactions.py
+++ b/waxwingford/batch/_reactions.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from waxwingford.batch._effects import Note
+from waxwingford.batch._effects import EmitEvent
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._server import ServerControl
 from waxwingford.placement import Evict, Stop, Throttle
@@ -16,7 +16,7 @@
     held: Mapping[str, ServerControl],
     reaction: Throttle | Evict | Stop,
     now_ms: int,
-) -> list[Note]:
+) -> list[EmitEvent]:
     """Schedule a reaction for the next exchange with the server.
 
     :param fleet: servers of the failure domain.
@@ -40,7 +40,7 @@
     fleet.schedule_exchange(server.vm.server_id, now_ms)
     kind = f'policy.{type(reaction).__name__.lower()}'
     detail = f'attempt {key.attempt} at {server.vm.server_id}'
-    return [Note(kind, f'task:{key.task_id}', detail)]
+    return [EmitEvent(kind, f'task:{key.task_id}', detail)]
 
 
 def _server_of(
--- a/waxwingford/batch/_server.py
+++ b/waxwingford/batch/_server.py
@@ -3,7 +3,7 @@
 import dataclasses
 from collections.abc import Iterable
 
-from waxwingford.batch._effects import Control, Note
+from waxwingford.batch._effects import Control, EmitEvent
 from waxwingford.ownership import ControlLease, Preference
 from waxwingford.placement import ServerView
 from waxwingford.ports import (
@@ -202,7 +202,7 @@
     ]
 
 
-def server_event(kind: str, server: ServerControl, detail: str) -> Note:
+def server_event(kind: str, server: ServerControl, detail: str) -> EmitEvent:
     """Build a time-line event about a server.
 
     :param kind: kind of the event.
@@ -210,4 +210,4 @@
     :param detail: human-readable detail.
     :returns: the effect.
     """
-    return Note(kind, f'server:{server.vm.server_id}', detail)
+    return EmitEvent(kind, f'server:{server.vm.server_id}', detail)
--- a/waxwingford/batch/_shell.py
+++ b/waxwingford/batch/_shell.py
@@ -10,9 +10,9 @@
     Control,
     Drained,
     Effect,
+    EmitEvent,
     JobRefused,
     JobUnknown,
-    Note,
     ReplySubmission,
     SubmissionOutcome,
     WriteSnapshot,
@@ -269,7 +269,7 @@
             case ReplySubmission(submission_id=submission_id, outcome=outcome):
                 spread = spread_retry(outcome, self._rng)
                 self._replies.resolve(submission_id, spread)
-            case Note(kind=kind, subject=subject, detail=detail):
+            case EmitEvent(kind=kind, subject=subject, detail=detail):
                 self._time_line.note(kind, subject, detail)
             case Control():
                 self._group.create_task(self._executor.control(effect))
--- a/waxwingford/batch/_stream.py
+++ b/waxwingford/batch/_stream.py
@@ -6,7 +6,7 @@
 from waxwingford.batch._effects import (
     Append,
     Effect,
-    Note,
+    EmitEvent,
     ReplySubmission,
 )
 from waxwingford.batch._fleet import Fleet
@@ -88,14 +88,14 @@
         """
         effects: list[Effect] = []
         if self.log_away:
-            effects.append(Note('log.back', 'stream', self.log_away))
+            effects.append(EmitEvent('log.back', 'stream', self.log_away))
         self.log_away = ''
         if message.oldest_offset > self.state.next_offset:
             self.gap = (
                 f'records {self.state.next_offset} to '
                 f'{message.oldest_offset - 1} are no longer retained'
             )
-            return [*effects, Note('log.gap', 'stream', self.gap)]
+            return [*effects, EmitEvent('log.gap', 'stream', self.gap)]
         for entry in message.entries:
             effects.extend(self._apply(entry, now_ms))
         self._add_pending(now_ms)
@@ -113,7 +113,7 @@
         """
         effects: list[Effect] = []
         if not self.log_away:
-            effects.append(Note('log.away', 'stream', reason))
+            effects.append(EmitEvent('log.away', 'stream', reason))
         self.log_away = reason
         effects.extend(self.appender.fail_pending(RETRY_AFTER_MS))
         return effects
@@ -133,10 +133,10 @@
         claims: list[TasksClaimed] = []
         effects: list[Effect] = []
         if not (self._fleet.draining or self.gap):
-            claims, notes = self._placer.place_round(
+            claims, events = self._placer.place_round(
                 self.state, now_ms, wall_ms
             )
-            effects.extend(notes)
+            effects.extend(events)
         self.claiming = frozenset(claim.server_id for claim in claims)
         appends: list[Append] = self.appender.build(claims, now_ms)
         return effects + appends
@@ -144,7 +144,7 @@
     def _apply(self, entry: ReadGroup, now_ms: int) -> list[Effect]:
         if entry.group is None:
             self.state.skip(entry.offset)
-            return [Note('log.undecodable', 'stream', str(entry.offset))]
+            return [EmitEvent('log.undecodable', 'stream', str(entry.offset))]
         verdicts = self.state.apply(entry.offset, entry.group)
         if not verdicts:
             return []
@@ -165,7 +165,7 @@
         return effects
 
     def _apply_verdict(self, verdict: Valid, now_ms: int) -> None:
-        self._placer.trackers.note(verdict, self.state, now_ms)
+        self._placer.trackers.apply(verdict, self.state, now_ms)
         match verdict.record:
             case TasksClaimed(server_id=server_id, holder=holder):
                 self._fleet.invalidate_view(server_id)
@@ -198,7 +198,7 @@
             for task in attempts.values():
                 if task.suspected_offset != NOT_SUSPECTED:
                     self._lapse_timers.add(task, now_ms)
-        self._placer.trackers.start(self.state, now_ms)
+        self._placer.trackers.restore(self.state, now_ms)
         self._add_pending(now_ms)
 
     def _add_pending(self, now_ms: int) -> None:
@@ -211,7 +211,7 @@
                 self.appender.offer(record.key, record)
 
 
-def task_events(verdict: Valid) -> list[Note]:
+def task_events(verdict: Valid) -> list[EmitEvent]:
     """Build the time-line events of a record about attempts.
 
     :param verdict: a record that took effect.
@@ -225,6 +225,8 @@
         case _:
             return []
     return [
-        Note(kind, f'task:{key.task_id}', f'attempt {key.attempt} {detail}')
+        EmitEvent(
+            kind, f'task:{key.task_id}', f'attempt {key.attempt} {detail}'
+        )
         for key in verdict.keys
     ]
--- a/waxwingford/batch/_submissions.py
+++ b/waxwingford/batch/_submissions.py
@@ -12,7 +12,7 @@
     SubmissionOutcome,
 )
 from waxwingford.batch._fleet import Fleet
-from waxwingford.batch._views import never_fits
+from waxwingford.batch._views import oversize_reason
 from waxwingford.kernel import Invariant, require
 from waxwingford.records import (
     DomainState,
@@ -74,7 +74,7 @@
     :param wall_ms: Unix time of the submission, in milliseconds.
     :returns: the record to append, or the answer.
     """
-    reason = _validate_spec(spec) or never_fits(spec, admission.fleet)
+    reason = _validate_spec(spec) or oversize_reason(spec, admission.fleet)
     if reason:
         return ImmediateReply(JobRejected(reason))
     state = admission.state
@@ -100,7 +100,9 @@
     # A job of another member is answered like one that does not exist, so that
     # members do not learn of each other's jobs.
     if job is None or job.spec.member != member:
-        return ImmediateReply(JobRejected(f'you have no open job {job_id!r}'))
+        return ImmediateReply(
+            JobRejected(f'no open job {job_id!r} for this member')
+        )
     if job.cancelled:
         return ImmediateReply(JobCancelledOutcome(job_id))
     if admission.refusal:
--- a/waxwingford/batch/_trackers.py
+++ b/waxwingford/batch/_trackers.py
@@ -66,7 +66,7 @@
         self._running_by_id: dict[str, TaskState] = {}
         self._peak_by_key: dict[TaskKey, Resources] = {}
 
-    def start(self, state: DomainState, now_ms: int) -> None:
+    def restore(self, state: DomainState, now_ms: int) -> None:
         """Initialize from a snapshot's state, in time linear in its size.
 
         :param state: state replayed from the domain's stream.
@@ -108,7 +108,7 @@
         if not is_similar:
             self._update_weights(bundle)
 
-    def note(self, verdict: Valid, state: DomainState, now_ms: int) -> None:
+    def apply(self, verdict: Valid, state: DomainState, now_ms: int) -> None:
         """Update for a record that took effect.
 
         :param verdict: the record and the attempts that it changed.
--- a/waxwingford/batch/_validation.py
+++ b/waxwingford/batch/_validation.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Iterable
 
-from waxwingford.batch._effects import Note
+from waxwingford.batch._effects import EmitEvent
 from waxwingford.batch._placing import room_for_claims
 from waxwingford.batch._queue import Offer
-from waxwingford.batch._quotas import Limits
+from waxwingford.batch._quotas import TeamLimits
 from waxwingford.placement import Placement, Quarantine, ServerView
 from waxwingford.ports import (
     Resources,
@@ -24,13 +24,13 @@
 
     :ivar placed: valid placements with their tasks.
     :ivar unplaced: keys of tasks that were not placed.
-    :ivar notes: events about placements without room.
+    :ivar events: events about placements without room.
     """
 
     def __init__(
         self,
         views: list[ServerView],
-        limits: Limits,
+        limits: TeamLimits,
         quarantine: Quarantine,
         now_ms: int,
     ) -> None:
@@ -43,7 +43,7 @@
         """
         self.unplaced: list[TaskKey] = []
         self.placed: list[tuple[Placement, TaskState]] = []
-        self.notes: list[Note] = []
+        self.events: list[EmitEvent] = []
         self._view_by_id = {view.server_id: view for view in views}
         self._room_by_id: dict[str, Resources] = {}
         self._limits = limits
@@ -75,7 +75,9 @@
             room = room_for_claims(view)
         if not fits_resources(offer.view.resources, room):
             subject = f'task:{placement.key.task_id}'
-            self.notes.append(Note('policy.no_room', subject, view.server_id))
+            self.events.append(
+                EmitEvent('policy.no_room', subject, view.server_id)
+            )
             return False
         if not self._may_place(offer.task, view):
             return False
--- a/waxwingford/batch/_views.py
+++ b/waxwingford/batch/_views.py
@@ -144,7 +144,7 @@
     return view_job(job, tasks)
 
 
-def never_fits(spec: JobSpec, fleet: Fleet) -> str:
+def oversize_reason(spec: JobSpec, fleet: Fleet) -> str:
     """Explain why the tasks of a job fit on no listed server.
 
     :param spec: specification of the job.
--- a/waxwingford/batch/tests/placing_steps.py
+++ b/waxwingford/batch/tests/placing_steps.py
@@ -10,8 +10,8 @@
     Control,
     ControlResult,
     DomainController,
+    EmitEvent,
     LogEntries,
-    Note,
     ReadGroup,
     Tick,
     VmListRead,
@@ -219,7 +219,7 @@
 
 @then("the policy's wrong decisions are noted {count:d} times")
 def wrong_noted(context, count):
-    kinds = [one.kind for one in context.effects if isinstance(one, Note)]
+    kinds = [one.kind for one in context.effects if isinstance(one, EmitEvent)]
     assert kinds.count('policy.no_room') == count, kinds
 
 
