--- a/waxwingford/batch/_controller.py
+++ b/waxwingford/batch/_controller.py
@@ -178,8 +178,8 @@
         stream = self.stream
         stopping = 'this daemon is stopping' if self.fleet.draining else ''
         log_unavailable = (
-            f'the platform log is unavailable: {stream.log_away}'
-            if stream.log_away
+            f'the platform log is unavailable: {stream.log_error}'
+            if stream.log_error
             else ''
         )
         admission = Admission(
@@ -247,7 +247,7 @@
     def _snapshot(self, now_ms: int) -> list[Effect]:
         settings = self.settings
         stream = self.stream
-        if stream.log_away or stream.head_read_ms is None:
+        if stream.log_error or stream.head_read_ms is None:
             return []
         if now_ms - self._snapshot_requested_ms < settings.snapshot_ms / 2:
             return []
@@ -270,7 +270,7 @@
             for server in self.fleet.server_by_id.values()
         )
         stream = self.stream
-        if is_busy or (len(stream.appender) and not stream.log_away):
+        if is_busy or (len(stream.appender) and not stream.log_error):
             return []
         self._is_drained = True
         return [Drained()]
--- a/waxwingford/batch/_pending_reason.py
+++ b/waxwingford/batch/_pending_reason.py
@@ -15,7 +15,7 @@
     state: DomainState,
     fleet: Fleet,
     placer: Placer,
-    log_away: str,
+    log_error: str,
 ) -> str:
     """Explain why a task is pending, by the first sufficient cause.
 
@@ -23,14 +23,14 @@
     :param state: state replayed from the domain's stream.
     :param fleet: servers of the failure domain.
     :param placer: placer with bundle, trackers and queue.
-    :param log_away: why the log is unavailable; empty if it is available.
+    :param log_error: why the log is unavailable; empty if it is available.
     :returns: human-readable reason; empty if the task is not pending.
     """
     if task.stage != TaskStage.pending:
         return ''
     reasons = (
         oversize_reason(task.job.spec, fleet),
-        f'the platform log is unavailable: {log_away}' if log_away else '',
+        f'the platform log is unavailable: {log_error}' if log_error else '',
         TeamLimits(state, placer.bundle).reason(task),
         _share_reason(task, placer),
         _server_reason(task, placer),
--- a/waxwingford/batch/_queries.py
+++ b/waxwingford/batch/_queries.py
@@ -55,9 +55,9 @@
         controller = self._controller
         if controller is None:
             return None
-        return find_job(controller.state, job_id, member, self.why)
+        return find_job(controller.state, job_id, member, self.pending_reason)
 
-    def why(self, task_id: str) -> str:
+    def pending_reason(self, task_id: str) -> str:
         """Explain why a task is pending.
 
         :param task_id: id of the task.
@@ -72,7 +72,7 @@
             controller.state,
             controller.fleet,
             controller.placer,
-            controller.stream.log_away,
+            controller.stream.log_error,
         )
 
     def held_servers(self) -> tuple[HeldServer, ...]:
--- a/waxwingford/batch/_shell.py
+++ b/waxwingford/batch/_shell.py
@@ -180,15 +180,15 @@
         self._handle(EvictTask(task_id))
         return task.server_id in held
 
-    async def drain(self, bounded_ms: int) -> bool:
+    async def drain(self, timeout_ms: int) -> bool:
         """Stop accepting work and release the leases for peers to acquire.
 
-        :param bounded_ms: timeout, in milliseconds.
+        :param timeout_ms: timeout, in milliseconds.
         :returns: whether everything was handed over in time.
         """
         self._handle(Drain())
         try:
-            await asyncio.wait_for(self._drained.wait(), bounded_ms / _MS_IN_S)
+            await asyncio.wait_for(self._drained.wait(), timeout_ms / _MS_IN_S)
         except TimeoutError:
             return False
         return True
--- a/waxwingford/batch/_stream.py
+++ b/waxwingford/batch/_stream.py
@@ -36,7 +36,7 @@
 
     :ivar state: state replayed from the stream.
     :ivar appender: outbox.
-    :ivar log_away: why the log is unavailable; empty if it is available.
+    :ivar log_error: why the log is unavailable; empty if it is available.
     :ivar gap: records that are no longer retained and were not replayed;
         empty if there are none.
     :ivar head_read_ms: monotonic start of the last read that reached the
@@ -68,7 +68,7 @@
             settings.outbox_records,
             settings.append_every_ms,
         )
-        self.log_away = 'no read has succeeded yet'
+        self.log_error = 'no read has succeeded yet'
         self.gap = ''
         self.head_read_ms: int | None = None
         self.claiming: frozenset[str] = frozenset()
@@ -87,9 +87,9 @@
         :returns: replies and events.
         """
         effects: list[Effect] = []
-        if self.log_away:
-            effects.append(EmitEvent('log.back', 'stream', self.log_away))
-        self.log_away = ''
+        if self.log_error:
+            effects.append(EmitEvent('log.back', 'stream', self.log_error))
+        self.log_error = ''
         if message.oldest_offset > self.state.next_offset:
             self.gap = (
                 f'records {self.state.next_offset} to '
@@ -112,9 +112,9 @@
         :returns: final replies to all queued submissions, and an event.
         """
         effects: list[Effect] = []
-        if not self.log_away:
+        if not self.log_error:
             effects.append(EmitEvent('log.away', 'stream', reason))
-        self.log_away = reason
+        self.log_error = reason
         effects.extend(self.appender.fail_pending(RETRY_AFTER_MS))
         return effects
 
@@ -125,7 +125,7 @@
         :param wall_ms: Unix time, in milliseconds.
         :returns: the append, if one is due, and events.
         """
-        if self.log_away or self.head_read_ms is None:
+        if self.log_error or self.head_read_ms is None:
             return []
         self._offer_lapsed(self.head_read_ms)
         if not self.appender.is_due(now_ms):
--- a/waxwingford/batch/_views.py
+++ b/waxwingford/batch/_views.py
@@ -111,14 +111,14 @@
     state: DomainState,
     job_id: str,
     member: str,
-    why: Callable[[str], str],
+    explain: Callable[[str], str],
 ) -> JobView | None:
     """Return the view of one job.
 
     :param state: state replayed from the domain's stream.
     :param job_id: id of the job.
     :param member: member that makes the request.
-    :param why: explains why a task is pending, by its id.
+    :param explain: explains why a task is pending, by its id.
     :returns: the view with its first tasks; None if the member has no such
         job.
     """
@@ -137,7 +137,7 @@
             task.attempt,
             task.server_id,
             task.detail,
-            why(task.task_id),
+            explain(task.task_id),
         )
         for task in job.tasks[:_MAX_TASKS_SHOWN]
     )
--- a/waxwingford/batch/tests/mutations.py
+++ b/waxwingford/batch/tests/mutations.py
@@ -1,8 +1,4 @@
-"""Mechanisms switched off one by one, in test code only.
-
-Each entry takes one protection away; runs must then break a rule, which shows
-that the oracle can see the fault that the protection prevents.
-"""
+"""Mutations that each disable one protection, for tests of the oracle."""
 
 import contextlib
 from unittest import mock
@@ -21,8 +17,8 @@
 from waxwingford_bench.virtual.server import VirtualServer
 
 
-def start_unseen():
-    """Start claims when they are appended, not when they are read back."""
+def apply_unread_claims():
+    """Apply claims when they are appended, not when they are read back."""
     build = Appender.build
 
     def _build(self, claims, now_ms):
@@ -45,8 +41,8 @@
     )
 
 
-def any_claim_wins():
-    """Let a later claim of a task that is claimed already count as well."""
+def accept_conflicting_claims():
+    """Accept a later claim of a task that is already claimed."""
 
     def _refuse(task, claim):
         gone = task is None or task.stage > 1 or task.job.cancelled
@@ -55,8 +51,8 @@
     return (mock.patch.object(_fold, 'refuse_claim', _refuse),)
 
 
-def send_late():
-    """Send what was decided before a freeze without checking the lease."""
+def send_after_expiry():
+    """Send requests without checking the lease again."""
     late = mock.patch.object(
         virtual_daemon, 'is_too_late', lambda effect, now_ms: False
     )
@@ -66,8 +62,8 @@
     return (late, unbounded)
 
 
-def no_epoch():
-    """Let the server take commands of any epoch."""
+def accept_any_epoch():
+    """Let the server accept commands of any epoch."""
     begin = VirtualServer.__init__
 
     def _begin(self, *given):
@@ -77,8 +73,8 @@
     return (mock.patch.object(VirtualServer, '__init__', _begin),)
 
 
-def restart_not_adopt():
-    """Let a successor end what another holder claimed, though it runs."""
+def end_adopted_attempts():
+    """Let a new holder end running attempts of the previous holder."""
     plan = _plan._plan_running
 
     def _plan_running(server, given, made, task):
@@ -92,8 +88,8 @@
     return (mock.patch.object(_plan, '_plan_running', _plan_running),)
 
 
-def forget_at_once():
-    """Forget an ended attempt before its end stands in the log."""
+def forget_before_logged():
+    """Forget an ended attempt before its end is in the log."""
     plan = _plan._plan_reported
 
     def _plan_reported(server, given, made, report):
@@ -104,8 +100,8 @@
     return (mock.patch.object(_plan, '_plan_reported', _plan_reported),)
 
 
-def lapse_unnamed():
-    """Accept an end by lapse whatever suspicion it rests on."""
+def accept_any_suspicion():
+    """Accept an end by lapse that names any suspicion."""
     refuse = _rules.refuse_end
 
     def _refuse(task, record):
@@ -115,7 +111,7 @@
     return (mock.patch.object(_fold, 'refuse_end', _refuse),)
 
 
-def lapse_at_once():
+def lapse_immediately():
     """End a suspected attempt without waiting."""
     add = _suspicion.LapseTimers.add
 
@@ -126,12 +122,12 @@
 
 
 def renew_suspected():
-    """Renew attempts whatever was read of the log."""
+    """Renew attempts without regard to suspicions in the log."""
     return (mock.patch.object(_plan, '_may_renew', lambda *given: True),)
 
 
-def snapshot_too_far():
-    """Let a snapshot cover more than it holds."""
+def overstate_snapshot():
+    """Let a snapshot state a higher offset than it covers."""
 
     def _apply_chunk(self, chunk, parts):
         whole = b''.join(parts[index] for index in range(chunk.total))
@@ -144,8 +140,8 @@
     )
 
 
-def count_running_only():
-    """Count what was reported as running, not all that is not proved over."""
+def skip_capacity_checks():
+    """Disable the capacity checks on claims."""
     huge = Resources(10**9, 10**9, 10**6)
     return (
         mock.patch(
@@ -158,7 +154,7 @@
 
 
 def keep_epoch():
-    """Judge a start of unknown outcome without a new epoch."""
+    """End a start of unknown outcome without a new epoch."""
     plan = _plan._plan_claimed
 
     def _plan_claimed(server, given, made, task):
@@ -183,8 +179,8 @@
     )
 
 
-def old_answers():
-    """Judge absence from answers to exchanges older than the claim."""
+def accept_old_answers():
+    """Conclude absence from answers to exchanges older than the claim."""
 
     def _is_absent(server, task):
         lease = server.lease
@@ -193,8 +189,8 @@
     return (mock.patch.object(_plan, '_is_proven_absent', _is_absent),)
 
 
-def forget_given_up():
-    """Start a claim although its end was offered to the log."""
+def forget_abandoned():
+    """Start a claim whose end was offered to the log."""
     abandon = _plan._abandon
 
     def _abandon(server, plan, task):
@@ -205,28 +201,28 @@
 
 
 MUTATIONS = {
-    'start_unseen': start_unseen,
-    'any_claim_wins': any_claim_wins,
-    'send_late': send_late,
-    'no_epoch': no_epoch,
-    'restart_not_adopt': restart_not_adopt,
-    'forget_at_once': forget_at_once,
-    'lapse_unnamed': lapse_unnamed,
-    'lapse_at_once': lapse_at_once,
+    'apply_unread_claims': apply_unread_claims,
+    'accept_conflicting_claims': accept_conflicting_claims,
+    'send_after_expiry': send_after_expiry,
+    'accept_any_epoch': accept_any_epoch,
+    'end_adopted_attempts': end_adopted_attempts,
+    'forget_before_logged': forget_before_logged,
+    'accept_any_suspicion': accept_any_suspicion,
+    'lapse_immediately': lapse_immediately,
     'renew_suspected': renew_suspected,
-    'snapshot_too_far': snapshot_too_far,
-    'count_running_only': count_running_only,
+    'overstate_snapshot': overstate_snapshot,
+    'skip_capacity_checks': skip_capacity_checks,
     'keep_epoch': keep_epoch,
-    'old_answers': old_answers,
-    'forget_given_up': forget_given_up,
+    'accept_old_answers': accept_old_answers,
+    'forget_abandoned': forget_abandoned,
 }
 
 
 @contextlib.contextmanager
-def switched_off(name):
-    """Take one protection away.
+def disabled(name):
+    """Disable one protection.
 
-    :param name: of a mutation.
+    :param name: name of the mutation.
     :yields: nothing.
     """
     with contextlib.ExitStack() as stack:
--- a/waxwingford/batch/tests/placing.feature
+++ b/waxwingford/batch/tests/placing.feature
@@ -1,43 +1,43 @@
-Feature: What a daemon claims
-  Quotas, quarantine and room decide; the policy only proposes.
+Feature: Claims of a daemon
+  Placements of the policy are limited by quotas, quarantine and capacity.
 
-  Scenario: A daemon that starts takes no server before it hears of its peers
-    # Symptom: each restart moved all leases of a failure domain to the daemon
-    # that started, and back. Cause: it took itself for the only one.
+  Scenario: A starting daemon acquires no lease before it knows its peers
+    # Guards against moving all leases of a failure domain to a daemon that
+    # restarts.
     Given a controller that has read the log and the list of 3 servers
-    When 1000 ms pass without a word of other daemons
-    Then it asks for 0 leases
-    When it hears of two other daemons
-    Then it asks for 1 lease
+    When 1000 ms pass without news of other daemons
+    Then it requests 0 leases
+    When it learns of two other daemons
+    Then it requests 1 lease
 
-  Scenario: A daemon without peers takes all servers after a while
+  Scenario: A daemon without peers acquires all leases after a delay
     Given a controller that has read the log and the list of 3 servers
-    When 3100 ms pass without a word of other daemons
-    Then it asks for 3 leases
+    When 3100 ms pass without news of other daemons
+    Then it requests 3 leases
 
-  Scenario: Claims never exceed what a server has left, whatever the policy says
+  Scenario: Claims never exceed the free resources of a server, whatever the policy returns
     Given a controller that holds 1 server with room for 4 tasks
-    And a policy that puts everything on the first server
+    And a policy that places every task on the first server
     When a job of 9 tasks is read
     Then 4 tasks are claimed
-    And the policy's wrong decisions are noted 5 times
+    And the policy's invalid placements are reported 5 times
 
-  Scenario: A team's quota holds its tasks back and the reason is told
+  Scenario: A team's quota limits its claims and is given as the reason
     Given a controller that holds 1 server with room for 4 tasks
     And a quota of 2 tasks for the team "qadri/archive"
     When a job of 9 tasks is read
     Then 2 tasks are claimed
-    And the others wait for "quota of team qadri/archive"
+    And the other tasks are pending because of "quota of team qadri/archive"
 
-  Scenario: A queue in which nothing fits is not tried again without a change
-    # Symptom: 3% of a core at 200 pending tasks. Cause: each round offered the
-    # whole queue to the policy.
+  Scenario: A queue in which nothing fits is not offered again without a change
+    # Guards against wasting processor time on offering the whole queue to the
+    # policy in each round.
     Given a controller that holds 1 server with room for 4 tasks
     When a job of 9 tasks is read
     And 4000 ms pass after the claims were read
     Then the policy was asked at most 2 times
 
-  Scenario: A task that failed on a server is kept for the other servers
+  Scenario: A task that failed on a server is left to the other servers
     Given a controller that holds 1 server with room for 4 tasks
     And a list with 3 more servers that others hold
     When a job of 1 task is read that failed on the held server
--- a/waxwingford/batch/tests/placing_steps.py
+++ b/waxwingford/batch/tests/placing_steps.py
@@ -1,4 +1,4 @@
-"""Steps for quotas, quarantine and what a daemon claims."""
+"""Steps for the claims of a daemon."""
 
 from behave import given, then, when
 
@@ -43,7 +43,7 @@
 
 
 class CountingPolicy(FirstFit):
-    """First fit that counts how often it is asked."""
+    """First fit that counts its calls."""
 
     def __init__(self):
         self.asked = 0
@@ -54,7 +54,7 @@
 
 
 class GreedyPolicy(FirstFit):
-    """Puts everything on the first server."""
+    """Places every task on the first server."""
 
     def place(self, pending, servers, now_ms):
         return [Placement(one.key, servers[0].server_id) for one in pending]
@@ -95,7 +95,7 @@
 
 
 def running(context, server_id):
-    """Report what is claimed, in scenarios whose servers run their claims."""
+    """Report claimed attempts as running if servers run their claims."""
     if not getattr(context, 'runs_claims', False):
         return ()
     index = context.controller.state.index
@@ -123,20 +123,20 @@
     begin(context, count)
 
 
-@when('{span_ms:d} ms pass without a word of other daemons')
-def no_word(context, span_ms):
+@when('{span_ms:d} ms pass without news of other daemons')
+def no_peer_news(context, span_ms):
     pass_time(context, span_ms)
 
 
-@when('it hears of two other daemons')
-def hears_of_two(context):
+@when('it learns of two other daemons')
+def learns_of_two(context):
     give(context, AliveDaemons(frozenset(('d0', 'd1', 'd2'))))
     pass_time(context, 200)
 
 
-@then('it asks for {count:d} leases')
-@then('it asks for {count:d} lease')
-def asks_for(context, count):
+@then('it requests {count:d} leases')
+@then('it requests {count:d} lease')
+def requests_leases(context, count):
     asked = {
         effect.server_id
         for effect in context.effects
@@ -155,7 +155,7 @@
     assert len(held) == count, held
 
 
-@given('a policy that puts everything on the first server')
+@given('a policy that places every task on the first server')
 def greedy_policy(context):
     context.controller.placer._policy = GreedyPolicy()
 
@@ -217,14 +217,14 @@
     assert len(claims_of(context)) == count, claims_of(context)
 
 
-@then("the policy's wrong decisions are noted {count:d} times")
-def wrong_noted(context, count):
+@then("the policy's invalid placements are reported {count:d} times")
+def invalid_reported(context, count):
     kinds = [one.kind for one in context.effects if isinstance(one, EmitEvent)]
     assert kinds.count('policy.no_room') == count, kinds
 
 
-@then('the others wait for "{reason}"')
-def others_wait(context, reason):
+@then('the other tasks are pending because of "{reason}"')
+def others_pending(context, reason):
     controller = context.controller
     groups = [one.group for one in context.effects if isinstance(one, Append)]
     for group in groups:
--- a/waxwingford/batch/tests/protections_steps.py
+++ b/waxwingford/batch/tests/protections_steps.py
@@ -1,4 +1,4 @@
-"""Steps that take protections away and stage sequences of faults."""
+"""Steps that disable protections and script sequences of faults."""
 
 import contextlib
 
@@ -8,7 +8,7 @@
 from waxwingford.batch._plan import plan_exchange
 from waxwingford.batch._plan_types import PlanInput
 from waxwingford.batch._server import ServerControl
-from waxwingford.batch.tests.mutations import switched_off
+from waxwingford.batch.tests.mutations import disabled
 from waxwingford.kernel import BrokenInvariant
 from waxwingford.ownership import ControlLease, OwnershipTimes, Preference
 from waxwingford.ports import (
@@ -44,7 +44,7 @@
     """Drop a line of the trace."""
 
 
-def breach(seed):
+def violation_of(seed):
     try:
         play(seed, STEPS, silent)
     except (Violation, BrokenInvariant) as error:
@@ -52,39 +52,39 @@
     return ''
 
 
-@when('runs are played without "{name}", seed {first:d} first')
-def play_without(context, name, first):
+@when('randomised runs are executed without "{name}", seed {first:d} first')
+def run_without(context, name, first):
     seeds = (first, *range(1, MOST_SEEDS))
-    with switched_off(name):
-        found = ((breach(seed), seed) for seed in seeds)
-        told, seed = next((one for one in found if one[0]), ('', first))
-    context.breach = told
+    with disabled(name):
+        found = ((violation_of(seed), seed) for seed in seeds)
+        violation, seed = next((one for one in found if one[0]), ('', first))
+    context.violation = violation
     context.seed = seed
 
 
-@then('one of them breaks a rule about "{rule}"')
-def breaks_rule(context, rule):
-    assert rule in context.breach, (context.seed, context.breach)
+@then('one of them violates the invariant "{rule}"')
+def violates_invariant(context, rule):
+    assert rule in context.violation, (context.seed, context.violation)
 
 
-@then('the same seed keeps all rules with the protection')
-def keeps_rules(context):
-    assert breach(context.seed) == ''  # noqa: WPS520
+@then('the same seed violates no invariant with the protection')
+def violates_nothing(context):
+    assert violation_of(context.seed) == ''  # noqa: WPS520
 
 
-@given('the protection "{name}" is taken away')
+@given('the protection "{name}" is disabled')
 def disable_protection(context, name):
     context.off = contextlib.ExitStack()
-    context.off.enter_context(switched_off(name))
+    context.off.enter_context(disabled(name))
     context.add_cleanup(context.off.close)
 
 
-@when('all protections are in place')
-def all_in_place(context):
+@when('all protections are enabled')
+def enable_all(context):
     context.off.close()
 
 
-def stage(context, lost_after_ms):
+def start_domain(context, lost_after_ms):
     domain = VirtualDomain(1, daemons=3, servers=2)
     context.domain = domain
     domain.run(6 * SECOND_MS)
@@ -96,7 +96,7 @@
     others = set(domain.daemon_by_id) - {context.holder.daemon_id}
     for other in others:
         domain.network.cut.add(frozenset((other, 's0')))
-    # Only s0 takes work until it is claimed there.
+    # s1 leaves, so that the task is claimed on s0.
     domain.server_by_id['s1'].leave(domain.now_ms)
     domain.run(6 * SECOND_MS)
     job = JobSpec(
@@ -108,27 +108,27 @@
 
 
 @given(
-    'a job that gives up when out of contact, on a server that only its '
+    'a job that lapses when out of contact, on a server that only its '
     'holder reaches'
 )
-def stage_losable(context):
-    stage(context, 10_000)
+def domain_with_lapsing_job(context):
+    start_domain(context, 10_000)
 
 
-@given('a job that waits for contact, on a server that only its holder reaches')
-def stage_waiting(context):
-    stage(context, 0)
+@given('a job that never lapses, on a server that only its holder reaches')
+def domain_with_lasting_job(context):
+    start_domain(context, 0)
 
 
 def run_until(context, condition, most_ms, step_ms):
     domain = context.domain
     until_ms = domain.now_ms + most_ms
     while not condition():
-        assert domain.now_ms < until_ms, 'never came'
+        assert domain.now_ms < until_ms, 'condition not met in time'
         domain.time.run(step_ms)
 
 
-def places(context):
+def running_attempts(context):
     return [
         (server_id, start.key.attempt)
         for server_id, server in context.domain.server_by_id.items()
@@ -142,23 +142,27 @@
     return any(isinstance(command, StartTask) for command in commands)
 
 
-@when('the holder is frozen before it sends the start')
-def freeze_before_start(context):
+@when('the holder is suspended before it sends the start')
+def suspend_before_start(context):
     run_until(context, lambda: is_start_decided(context), 60_000, 1)
-    assert not places(context)
+    assert not running_attempts(context)
     context.holder.freeze()
 
 
 @when('the task runs and the holder loses the log')
 def holder_loses_log(context):
-    run_until(context, lambda: places(context) == [('s0', 1)], 60_000, 100)
+    run_until(
+        context, lambda: running_attempts(context) == [('s0', 1)], 60_000, 100
+    )
     link = frozenset((context.holder.daemon_id, 'log'))
     context.domain.network.cut.add(link)
 
 
-@when('the task runs and its VM is lost and never listed again')
-def vm_lost(context):
-    run_until(context, lambda: places(context) == [('s0', 1)], 60_000, 100)
+@when('the task runs and its VM fails and is no longer listed')
+def vm_fails(context):
+    run_until(
+        context, lambda: running_attempts(context) == [('s0', 1)], 60_000, 100
+    )
     domain = context.domain
     domain.server_by_id['s0'].die(domain.now_ms)
     for daemon_id in domain.daemon_by_id:
@@ -166,34 +170,43 @@
     domain.unlisted.add('s0')
 
 
-@when('the others declare the attempt lapsed and start the next one')
+@when('the other daemons end the attempt as lapsed and start the next one')
 def next_attempt(context):
     context.domain.server_by_id['s1'].rejoin(context.domain.now_ms)
-    # Whether it runs twice is for the last step to say.
+    # A violation is checked by the last step.
     with contextlib.suppress(Violation):
-        run_until(context, lambda: ('s1', 2) in places(context), 200_000, 100)
+        run_until(
+            context,
+            lambda: ('s1', 2) in running_attempts(context),
+            200_000,
+            100,
+        )
 
 
-@when('the holder thaws')
-def holder_thaws(context):
+@when('the holder resumes')
+def holder_resumes(context):
     context.holder.thaw()
     with contextlib.suppress(Violation):
         context.domain.time.run(SECOND_MS)
 
 
-@then('the task runs in one place')
-def in_one_place(context):
-    assert places(context) == [('s1', 2)], places(context)
+@then('the task runs on one server')
+def on_one_server(context):
+    assert running_attempts(context) == [('s1', 2)], running_attempts(context)
 
 
-@then('the task runs in two places')
-def in_two_places(context):
-    assert places(context) == [('s0', 1), ('s1', 2)], places(context)
+@then('the task runs on two servers')
+def on_two_servers(context):
+    assert running_attempts(context) == [('s0', 1), ('s1', 2)], (
+        running_attempts(context)
+    )
 
 
-@when('the task runs and the others suspect it')
+@when('the task runs and another daemon suspects it')
 def others_suspect(context):
-    run_until(context, lambda: places(context) == [('s0', 1)], 60_000, 100)
+    run_until(
+        context, lambda: running_attempts(context) == [('s0', 1)], 60_000, 100
+    )
     names = [
         f'{name}#' for name in context.domain.daemon_by_id
         if name != context.holder.daemon_id
@@ -210,12 +223,14 @@
 @then('after {seconds:d} seconds the first attempt still runs')
 def first_still_runs(context, seconds):
     context.domain.run(seconds * SECOND_MS)
-    assert places(context) == [('s0', 1)], places(context)
+    assert running_attempts(context) == [('s0', 1)], running_attempts(context)
 
 
-@when('the task runs and the holder dies')
-def holder_dies(context):
-    run_until(context, lambda: places(context) == [('s0', 1)], 60_000, 100)
+@when('the task runs and the holder crashes')
+def holder_crashes(context):
+    run_until(
+        context, lambda: running_attempts(context) == [('s0', 1)], 60_000, 100
+    )
     context.domain.server_by_id['s1'].rejoin(context.domain.now_ms)
     context.holder.kill()
 
@@ -227,13 +242,13 @@
     assert (task.stage.name, task.attempt) == ('claimed', 1), task
 
 
-@when('the server comes back into contact')
-def back_in_contact(context):
+@when('the server is reachable again')
+def reachable_again(context):
     context.domain.heal()
 
 
-@then('the task is done once more than before')
-def done_at_last(context):
+@then('the task is started a second time and finishes')
+def started_twice_and_done(context):
     context.domain.run(1500 * SECOND_MS)
     context.domain.oracle.check_finished(context.domain.fold)
     assert context.domain.oracle.starts == 2, context.domain.oracle.starts
@@ -265,14 +280,14 @@
     context.plan = plan_exchange(context.server, context.plan_input)
 
 
-@when('the server stays after all and the next exchange is planned')
-def stays_and_plan(context):
+@when('the server is no longer leaving and the next exchange is planned')
+def stop_leaving_and_plan(context):
     context.server.vm = context.server.vm._replace(state=VmState.live)
     plan_next(context)
 
 
-@then('the claim is given up and its end is offered')
-def is_given_up(context):
+@then('the claim is abandoned and its end is offered')
+def is_abandoned(context):
     ends = context.plan.record_by_key.values()
     assert [end.how for end in ends] == ['absent'], context.plan
     assert not context.plan.commands
@@ -280,10 +295,10 @@
 
 @then('nothing is started and the end is offered again')
 def not_started(context):
-    is_given_up(context)
+    is_abandoned(context)
 
 
-def late_lapse():
+def is_refuted_lapse_valid():
     key = TaskKey('qadri.j/0', 1)
     spec = JobSpec(
         'qadri.j', 'qadri', 't', 'k', 1, Resources(1, 1), 1, lost_after_ms=9
@@ -302,11 +317,11 @@
     return isinstance(verdicts[0], Valid)
 
 
-@then('a lapse that rests on an answered suspicion ends the attempt')
+@then('a lapse by a refuted suspicion ends the attempt')
 def lapse_counts(context):
-    assert late_lapse()
+    assert is_refuted_lapse_valid()
 
 
-@then('a lapse that rests on an answered suspicion changes nothing')
+@then('a lapse by a refuted suspicion is ignored')
 def lapse_does_not_count(context):
-    assert not late_lapse()
+    assert not is_refuted_lapse_valid()
--- a/waxwingford/batch/tests/random_run.feature
+++ b/waxwingford/batch/tests/random_run.feature
@@ -1,13 +1,12 @@
 Feature: Randomised runs of a failure domain
-  Three daemons with the real decisions, four backend servers, one log; all
-  faults at any time, together or twice. After each step an oracle looks at
-  what truly runs; at the end all faults end and everything must finish.
+  Three daemons, four backend servers and one log with faults at any time. An
+  oracle checks what runs after each step; at the end all jobs must finish.
 
-  Scenario: No sequence of faults doubles, loses or over-commits anything
-    When hypothesis plays sequences of work and faults
-    Then no sequence broke a rule, and what was accepted finished
+  Scenario: No sequence of faults duplicates or loses a task or over-commits a VM
+    When hypothesis runs sequences of operations and faults
+    Then no invariant was violated, and all accepted jobs finished
 
-  Scenario: Long seeded runs keep the rules too
-    When the seeds 11, 12 and 13 are played for 400 actions each
-    Then no sequence broke a rule, and what was accepted finished
-    And the runs met checkpoints, refusals and unknown answers
+  Scenario: Long runs with fixed seeds violate no invariant
+    When randomised runs with seeds 11, 12 and 13 execute 400 actions each
+    Then no invariant was violated, and all accepted jobs finished
+    And the runs include checkpoints, refusals and unknown outcomes
--- a/waxwingford/batch/tests/random_run_steps.py
+++ b/waxwingford/batch/tests/random_run_steps.py
@@ -1,4 +1,4 @@
-"""Steps for randomised runs."""
+"""Steps for randomised runs of a failure domain."""
 
 from behave import then, when
 from hypothesis import settings
@@ -53,8 +53,8 @@
             finish(self.run)
 
 
-@when('hypothesis plays sequences of work and faults')
-def play_sequences(context):
+@when('hypothesis runs sequences of operations and faults')
+def run_sequences(context):
     profile = settings(
         settings.get_profile('ci'),
         max_examples=EXAMPLES,
@@ -63,18 +63,18 @@
     run_state_machine_as_test(DomainMachine, settings=profile)
 
 
-@when('the seeds 11, 12 and 13 are played for {steps:d} actions each')
-def play_seeds(context, steps):
+@when('randomised runs with seeds 11, 12 and 13 execute {steps:d} actions each')
+def run_seeds(context, steps):
     context.domains = [play(seed, steps, silent) for seed in (11, 12, 13)]
 
 
-@then('no sequence broke a rule, and what was accepted finished')
-def no_rule_broken(context):
-    """A broken rule raises in the step before."""
+@then('no invariant was violated, and all accepted jobs finished')
+def no_invariant_violated(context):
+    """The step before raises if an invariant is violated."""
 
 
-@then('the runs met checkpoints, refusals and unknown answers')
-def met_all(context):
+@then('the runs include checkpoints, refusals and unknown outcomes')
+def includes_all(context):
     lines = ' '.join(map(describe, context.domains))
     assert 'JobRefused' in lines, lines
     assert 'JobUnknown' in lines, lines
--- a/waxwingford/batch/tests/task_steps.py
+++ b/waxwingford/batch/tests/task_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the batch task: real asyncio, fakes at the ports."""
+"""Steps for the batch task on asyncio with fake ports."""
 
 import asyncio
 
@@ -13,13 +13,13 @@
 from waxwingford_standins.platform_log import FakeLog, LogCore, Outage
 from waxwingford_standins.server_service import ServiceModel
 
-CAP_S = 60
+TIMEOUT_S = 60
 DOMAIN = 'gulberg'
 BUNDLE = BundleSettings({}, {}, {'dispatcher': Resources(8000, 8000)})
 
 
 class FakeServers:
-    """Control of server cores, found by port."""
+    """Controls simulated server cores by their port."""
 
     def __init__(self, vms, clock):
         self.clock = clock
@@ -40,7 +40,7 @@
 
 
 class FakeDirectory:
-    """A list that never changes."""
+    """Directory with a constant list of VMs."""
 
     def __init__(self, vms):
         self.vms = vms
@@ -94,7 +94,7 @@
         while not condition():
             await asyncio.sleep(0.02)
 
-    waiting = asyncio.wait_for(_poll(), CAP_S)
+    waiting = asyncio.wait_for(_poll(), TIMEOUT_S)
     context.loop.run_until_complete(waiting)
 
 
@@ -162,20 +162,20 @@
         assert job.count_by_stage['done'] == count, job
 
 
-@when('the log goes out of service')
-def log_goes(context):
+@when('the platform log becomes unavailable')
+def log_unavailable(context):
     context.log_core.faults.outage = Outage.refuse
 
 
-@when('both have noticed it')
+@when('both batch tasks have noticed it')
 def both_noticed(context):
     def _noticed():
-        return all(t._controller.stream.log_away for t in context.tasks)
+        return all(t._controller.stream.log_error for t in context.tasks)
 
     wait_until(context, _noticed)
 
 
-@then('both still hold their servers')
+@then('both batch tasks still hold their servers')
 def both_hold(context):
     assert list(map(len, held(context))) == [1, 1]
 
@@ -189,15 +189,15 @@
     wait_until(context, lambda: len(running(context)) == count)
 
 
-@when('the first is drained')
+@when('the first batch task is drained')
 def drained(context):
-    drain = context.tasks[0].drain(CAP_S * 1000)
+    drain = context.tasks[0].drain(TIMEOUT_S * 1000)
     assert context.loop.run_until_complete(drain)
     context.running[0].cancel()
     context.tasks[1].set_alive(('d1',))
 
 
-@then('the second holds both servers')
+@then('the second batch task holds both servers')
 def second_holds(context):
     wait_until(context, lambda: held(context)[1] == {'s1', 's2'})
 
@@ -209,8 +209,8 @@
     assert all(run.phase == 'running' for run in runs), runs
 
 
-@then('the member sees the job with tasks that wait for room')
-def sees_why(context):
+@then('the member sees the job with tasks pending for lack of room')
+def sees_pending_reason(context):
     job = context.tasks[0].job('qadri.j', 'qadri')
     waits = [task.waits_for for task in job.tasks if task.stage == 'pending']
     assert len(waits) == 28
@@ -220,7 +220,7 @@
 
 
 @then('another member does not see it')
-def other_sees_not(context):
+def other_cannot_see(context):
     assert context.tasks[0].job('qadri.j', 'svatbena') is None
     assert not context.tasks[0].jobs('svatbena')
 
@@ -234,7 +234,7 @@
     assert job.state == 'open', job
 
 
-@given('a log whose first records are gone without a snapshot')
+@given('a log whose first records were truncated without a snapshot')
 def truncated_log(context):
     use_fixture(event_loop, context)
     for number in range(3):
@@ -243,7 +243,7 @@
     context.log_core.truncate(f'domain/{DOMAIN}', 2)
 
 
-@when('a batch task starts over it')
+@when('a batch task starts with that log')
 def task_starts(context):
     context.tasks = [start_task(context, 'd0')]
 
--- a/waxwingford/batch/tests/trackers_steps.py
+++ b/waxwingford/batch/tests/trackers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for shares, sizes and quarantine through the controller."""
+"""Steps for the effect of shares, sizes and quarantine on claims."""
 
 from behave import given, then, when
 
@@ -19,14 +19,14 @@
 
 
 def settle(context, span_ms=3000):
-    """Let time pass and read back what the controller appends."""
+    """Advance the time and let the controller read its own appends."""
     until_ms = context.now_ms + span_ms
     while context.now_ms < until_ms:
         pass_time(context, 100)
         effects = list(context.effects)
         context.effects.clear()
         for effect in effects:
-            # An outcome given twice is passed over.
+            # Duplicate outcomes are ignored.
             answer(context, effect)
             if isinstance(effect, Append):
                 offset = context.controller.state.next_offset
@@ -54,7 +54,7 @@
 
 
 def end(context, task, how):
-    # A server names the end of an attempt before it stands in the log.
+    # A server reports the end of an attempt before it is in the log.
     server = context.controller.fleet.server_by_id[task.server_id]
     server.report_by_key.pop(task.key, None)
     read_records(
@@ -79,7 +79,7 @@
 @when(
     'jobs of 40 tasks of team "archive" and 4 tasks of team "dispatcher" are read'
 )
-def flood(context):
+def many_tasks(context):
     jobs = (
         job_of('archive', 'archive', 40),
         job_of('dispatcher', 'dispatcher', 4),
@@ -148,7 +148,7 @@
     settle(context)
     for task in on_server(context, server_id)[:count]:
         end(context, task, 'failed')
-    # Claims that were under way when the last failure was read still count.
+    # Claims in flight when the last failure was read still take effect.
     for _ in range(2):
         for task in on_server(context, server_id):
             end(context, task, 'checkpointed')
@@ -181,7 +181,7 @@
     assert len(found) == count, ids
 
 
-@then('a task of job "{name}" waits for "{reason}"')
+@then('a task of job "{name}" is pending because of "{reason}"')
 def task_waits(context, name, reason):
     controller = context.controller
     pending = controller.state.index.pending_by_id.values()
--- a/waxwingford/batch/tests/urgent_steps.py
+++ b/waxwingford/batch/tests/urgent_steps.py
@@ -1,4 +1,4 @@
-"""Steps for urgent tasks, in a virtual failure domain."""
+"""Steps for urgent tasks in a simulated failure domain."""
 
 from behave import given, then, when
 
