--- a/waxwingford/batch/_appender.py
+++ b/waxwingford/batch/_appender.py
@@ -185,7 +185,7 @@
             submission.submission_id for submission in in_flight.submissions
         ]
 
-    def repeat(self, head_read_ms: int, now_ms: int) -> list[Append]:
+    def retry(self, head_read_ms: int, now_ms: int) -> list[Append]:
         """Retry an append of unknown outcome that is not in the log.
 
         :param head_read_ms: monotonic start of the last read that reached the
--- a/waxwingford/batch/_controller.py
+++ b/waxwingford/batch/_controller.py
@@ -37,8 +37,8 @@
     Admission,
     ImmediateReply,
     RecordToAppend,
-    cancellation,
-    submission,
+    admit_cancellation,
+    admit_submission,
 )
 from waxwingford.batch._suspicion import suspect_unreachable
 from waxwingford.batch._unlisted import UnlistedServers
@@ -187,9 +187,9 @@
         )
         match message:
             case SubmitJob(job=job):
-                decision = submission(admission, job, wall_ms)
+                decision = admit_submission(admission, job, wall_ms)
             case CancelJob(job_id=job_id, member=member):
-                decision = cancellation(admission, job_id, member)
+                decision = admit_cancellation(admission, job_id, member)
         match decision:
             case RecordToAppend(record=record):
                 return stream.appender.submit(message.submission_id, record)
@@ -230,7 +230,7 @@
         stream = self.stream
         if not self.fleet.knows_peers and now_ms >= self._discovery_deadline_ms:
             self.fleet.update_alive((), now_ms)
-        effects, record_by_key = self._exchanges.advance(
+        effects, record_by_key = self._exchanges.plan_due(
             stream.state, stream.head_read_ms or 0, now_ms, stream.claiming
         )
         for key, record in record_by_key.items():
--- a/waxwingford/batch/_exchanges.py
+++ b/waxwingford/batch/_exchanges.py
@@ -10,7 +10,7 @@
 from waxwingford.ports import ControlRequest, Resources
 from waxwingford.records import DomainState, Record
 
-_NOTHING = Resources(0, 0, 0)
+_NO_RESOURCES = Resources(0, 0, 0)
 #: Answers from one full report of all attempts and run times to the next; the
 #: others report only changed attempts.
 _ANSWERS_PER_FULL_REPORT = 6
@@ -29,7 +29,7 @@
         self._fleet = fleet
         self._exchange_numbers = itertools.count(1)
 
-    def advance(
+    def plan_due(
         self,
         state: DomainState,
         head_read_ms: int,
@@ -42,8 +42,8 @@
         :param head_read_ms: monotonic start of the last read that reached the
             head, in milliseconds.
         :param now_ms: monotonic time, in milliseconds.
-        :param claiming: servers with claims in flight to the log, which are not
-            given up just now.
+        :param claiming: servers with claims in flight to the log, whose leases
+            are not handed over.
         :returns: effects, and records to offer to the appender by key.
         """
         effects: list[Effect] = []
@@ -70,7 +70,7 @@
         now_ms: int,
     ) -> PlanInput:
         reserved = self._fleet.reserved_by_service.get(
-            server.vm.service, _NOTHING
+            server.vm.service, _NO_RESOURCES
         )
         return PlanInput(
             state,
@@ -138,7 +138,7 @@
         )
         if should_release:
             server.lease.note_handing_over()
-        report_version = server.report_version
+        report_version = server.known
         if server.answers_since_full_report >= _ANSWERS_PER_FULL_REPORT:
             report_version = 0
         stamp_ms, good_for_ms = server.lease.good_for(plan.valid_until_ms)
--- a/waxwingford/batch/_fleet.py
+++ b/waxwingford/batch/_fleet.py
@@ -28,7 +28,7 @@
 
     :ivar server_by_id: listed servers, and unlisted ones that are still held or
         contacted.
-    :ivar alive: daemons that appear to be alive, including this one.
+    :ivar live_daemon_ids: daemons that appear to be alive, including this one.
     :ivar knows_peers: whether the live daemons are known; until then no lease
         is acquired, so that a daemon that starts does not acquire them all.
     :ivar is_ready: whether the stream was read to its head; without the claims
@@ -49,7 +49,7 @@
         :param settings: settings of the controller.
         """
         self.server_by_id: dict[str, ServerControl] = {}
-        self.alive = frozenset((settings.daemon_id,))
+        self.live_daemon_ids = frozenset((settings.daemon_id,))
         self.knows_peers = False
         self.is_ready = False
         self.room_changed = False
@@ -97,10 +97,10 @@
         :param daemon_ids: ids of the daemons.
         :param now_ms: monotonic time, in milliseconds.
         """
-        alive = frozenset(daemon_ids) | {self._settings.daemon_id}
-        if alive == self.alive and self.knows_peers:
+        live_daemon_ids = frozenset(daemon_ids) | {self._settings.daemon_id}
+        if live_daemon_ids == self.live_daemon_ids and self.knows_peers:
             return
-        self.alive = alive
+        self.live_daemon_ids = live_daemon_ids
         self.knows_peers = True
         self._rank_servers(self.server_by_id)
         for server_id, server in self.server_by_id.items():
@@ -136,7 +136,7 @@
         rank = self._rank_by_server.get(subject)
         if rank is not None:
             return rank
-        return rank_of(self._settings.daemon_id, self.alive, subject)
+        return rank_of(self._settings.daemon_id, self.live_daemon_ids, subject)
 
     def held(self, now_ms: int) -> dict[str, ServerControl]:
         """Return the servers whose control lease is valid.
@@ -173,7 +173,7 @@
             self.room_changed = True
 
     def _rank_servers(self, server_ids: Iterable[str]) -> None:
-        orders = shared_out(self.alive, server_ids)
+        orders = shared_out(self.live_daemon_ids, server_ids)
         self._rank_by_server = {
             server_id: order.index(self._settings.daemon_id)
             for server_id, order in orders.items()
--- a/waxwingford/batch/_hints.py
+++ b/waxwingford/batch/_hints.py
@@ -56,7 +56,7 @@
         self._handle(BusyShares(share_by_server))
 
     def note_released(self, server_ids: Iterable[str]) -> None:
-        """Record servers released by a peer, so that they are acquired at once.
+        """Record servers released by a peer, to acquire them without delay.
 
         :param server_ids: ids of the servers.
         """
--- a/waxwingford/batch/_placer.py
+++ b/waxwingford/batch/_placer.py
@@ -36,7 +36,7 @@
 _MAX_ROUND_TASKS = 128
 #: Interval of rounds while nothing changes.
 _IDLE_ROUND_INTERVAL_MS = 5000
-_NOTHING = Resources(0, 0, 0)
+_NO_RESOURCES = Resources(0, 0, 0)
 _EMPTY_BUNDLE = BundleSettings({}, {}, {})
 
 
@@ -247,7 +247,7 @@
     ) -> ServerView:
         if server.view is None:
             reserved = self.bundle.reserved_by_service.get(
-                server.vm.service, _NOTHING
+                server.vm.service, _NO_RESOURCES
             )
             is_quarantined = server_id in self._quarantined
             server.view = view_server(
--- a/waxwingford/batch/_placing.py
+++ b/waxwingford/batch/_placing.py
@@ -23,7 +23,7 @@
 )
 from waxwingford.records import Claim, DomainState, TasksClaimed, TaskState
 
-_NOTHING = Resources(0, 0, 0)
+_NO_RESOURCES = Resources(0, 0, 0)
 
 
 def slack_ms(task: TaskState, trackers: Trackers, wall_ms: int) -> int | None:
@@ -38,7 +38,7 @@
     spec = task.job.spec
     if not spec.finish_by_wall_ms:
         return None
-    return spec.finish_by_wall_ms - wall_ms - trackers.run_left_ms(task)
+    return spec.finish_by_wall_ms - wall_ms - trackers.remaining_run_ms(task)
 
 
 def view_pending(
@@ -65,7 +65,7 @@
         spec.team,
         spec.kind,
         trackers.allocation(spec),
-        trackers.run_left_ms(task),
+        trackers.remaining_run_ms(task),
         spec.priority,
         waiting_ms,
         slack_ms(task, trackers, wall_ms),
@@ -217,10 +217,10 @@
         vm = server_by_id[record.server_id].vm
         attempts = state.index.attempts_by_server.get(record.server_id, {})
         tasks = [state.task(claim.key.task_id) for claim in record.claims]
-        committed = reserved_by_service.get(vm.service, _NOTHING)
+        committed = reserved_by_service.get(vm.service, _NO_RESOURCES)
         for task in itertools.chain(attempts.values(), tasks):
             committed = add_resources(
-                committed, task.resources if task else _NOTHING
+                committed, task.resources if task else _NO_RESOURCES
             )
         require(
             fits_resources(committed, vm.resources),
--- a/waxwingford/batch/_plan.py
+++ b/waxwingford/batch/_plan.py
@@ -31,7 +31,7 @@
 
 #: Time after which a stop or checkpoint without effect is sent again.
 _COMMAND_RETRY_MS = 6000
-_NOTHING = Resources(0, 0, 0)
+_NO_RESOURCES = Resources(0, 0, 0)
 #: Number of started or abandoned attempts from which ended ones are pruned.
 _PRUNE_THRESHOLD = 64
 
@@ -54,10 +54,10 @@
             _plan_claimed(server, plan_input, plan, task)
     plan.commands.extend(
         ThrottleTask(key, percent)
-        for key, percent in server.percent_by_key.items()
+        for key, percent in server.throttle_percent_by_key.items()
         if server.is_running(key)
     )
-    server.percent_by_key.clear()
+    server.throttle_percent_by_key.clear()
     _prune_started(server, plan_input.state)
     return plan
 
--- a/waxwingford/batch/_plan_types.py
+++ b/waxwingford/batch/_plan_types.py
@@ -7,7 +7,7 @@
 from waxwingford.ports import Resources, ServerCommand, TaskKey
 from waxwingford.records import DomainState, Record
 
-_NOTHING = Resources(0, 0, 0)
+_NO_RESOURCES = Resources(0, 0, 0)
 
 
 class PlanInput(NamedTuple):
@@ -50,7 +50,7 @@
     record_by_key: dict[object, Record] = dataclasses.field(
         default_factory=dict,
     )
-    running: Resources = _NOTHING
+    running: Resources = _NO_RESOURCES
     has_unclaimed: bool = False
 
 
--- a/waxwingford/batch/_queries.py
+++ b/waxwingford/batch/_queries.py
@@ -29,7 +29,7 @@
         self._clock = clock
         self._controller: DomainController | None = None
         self._bundle: BundleSettings | None = None
-        self._list_read: VmListRead | None = None
+        self._last_vm_list: VmListRead | None = None
         self._load_problem = 'snapshot not loaded yet'
 
     def _record_load_problem(self, problem: str) -> None:
@@ -119,7 +119,7 @@
                 'log not read to its head yet',
             ),
             (self._bundle is None, 'no bundle is in force'),
-            (self._list_read is None, 'list of VMs not read yet'),
+            (self._last_vm_list is None, 'list of VMs not read yet'),
         )
         return [missing for is_missing, missing in checks if is_missing]
 
--- a/waxwingford/batch/_queue.py
+++ b/waxwingford/batch/_queue.py
@@ -14,7 +14,7 @@
 
 #: Unsuccessful rounds after which a task is queued behind its team's others.
 _OFFERS_BEFORE_DEMOTION = 8
-#: TeamLimits a round to so many tasks of a team, so that a team whose tasks fit
+#: Bounds the tasks of one team in a round, so that a team whose tasks fit
 #: nowhere does not use up the round.
 _MAX_TEAM_TASKS_PER_ROUND = 64
 
--- a/waxwingford/batch/_quotas.py
+++ b/waxwingford/batch/_quotas.py
@@ -12,7 +12,7 @@
 from waxwingford.ports import Resources, add_resources, fits_resources
 from waxwingford.records import DomainState, TaskState, team_key
 
-_NOTHING = Resources(0, 0, 0)
+_NO_RESOURCES = Resources(0, 0, 0)
 
 
 class TeamLimits:
@@ -56,8 +56,8 @@
         if quota is None or team in self._bundle.borrowing_teams:
             return ''
         used = add_resources(
-            self._used_by_team.get(team, _NOTHING),
-            self._claimed_by_team.get(team, _NOTHING),
+            self._used_by_team.get(team, _NO_RESOURCES),
+            self._claimed_by_team.get(team, _NO_RESOURCES),
         )
         if fits_resources(add_resources(used, task.resources), quota):
             return ''
@@ -69,5 +69,5 @@
         :param task: the claimed task.
         """
         team = team_key(task.job.spec)
-        used = self._claimed_by_team.get(team, _NOTHING)
+        used = self._claimed_by_team.get(team, _NO_RESOURCES)
         self._claimed_by_team[team] = add_resources(used, task.resources)
--- a/waxwingford/batch/_reactions.py
+++ b/waxwingford/batch/_reactions.py
@@ -32,7 +32,7 @@
         return []
     match reaction:
         case Throttle(percent=percent):
-            server.percent_by_key[key] = percent
+            server.throttle_percent_by_key[key] = percent
         case Evict():
             server.evicting.add(key)
         case Stop():
--- a/waxwingford/batch/_server.py
+++ b/waxwingford/batch/_server.py
@@ -29,7 +29,7 @@
     :ivar preference: decides whether and when to acquire or hand over the
         lease.
     :ivar report_by_key: reports on attempts in the last answer, by attempt.
-    :ivar report_version: version of that answer; 0 if the server has none.
+    :ivar known: version of that answer; 0 if the server has none.
     :ivar answers_since_full_report: number of answers since the last that
         reported every attempt.
     :ivar report_offset: offset of the stream up to which records were
@@ -41,7 +41,7 @@
         were never started and must not be, by attempt.
     :ivar evicting: attempts to checkpoint.
     :ivar stopping: attempts to stop without a checkpoint.
-    :ivar percent_by_key: throttles to send, in percent, by attempt.
+    :ivar throttle_percent_by_key: throttles to send, in percent, by attempt.
     :ivar commanded_ms_by_key: monotonic time of the last stop or checkpoint
         command, in milliseconds, by attempt.
     :ivar in_flight: exchange without an outcome yet; None if there is none.
@@ -69,7 +69,7 @@
     report_by_key: dict[TaskKey, TaskReport] = dataclasses.field(
         default_factory=dict,
     )
-    report_version: int = 0
+    known: int = 0
     answers_since_full_report: int = 0
     report_offset: int = -1
     unclaimed_since_ms: dict[TaskKey, int] = dataclasses.field(
@@ -81,7 +81,7 @@
     )
     evicting: set[TaskKey] = dataclasses.field(default_factory=set)
     stopping: set[TaskKey] = dataclasses.field(default_factory=set)
-    percent_by_key: dict[TaskKey, int] = dataclasses.field(
+    throttle_percent_by_key: dict[TaskKey, int] = dataclasses.field(
         default_factory=dict,
     )
     commanded_ms_by_key: dict[TaskKey, int] = dataclasses.field(
@@ -138,7 +138,7 @@
         self.report_by_key.update(
             (report.key, report) for report in answer.tasks
         )
-        self.report_version = answer.version
+        self.known = answer.version
         self.answers_since_full_report += 1
         self.report_offset = self.in_flight_offset
         self.reported_leaving = answer.leaving
--- a/waxwingford/batch/_shell.py
+++ b/waxwingford/batch/_shell.py
@@ -138,10 +138,10 @@
         stream = f'snapshots/{self._settings.failure_domain}'
         async with asyncio.TaskGroup() as group:
             self._group = group
-            group.create_task(self._follow_list())
+            group.create_task(self._poll_vm_list())
             group.create_task(self._tick())
             while True:
-                self._begin(await self._load(stream))
+                self._start_controller(await self._load(stream))
                 await self._follow_stream()
 
     async def submit(self, job: JobSpec) -> SubmissionOutcome:
@@ -215,7 +215,7 @@
             pause_ms = away_pause_ms(failures, self._rng)
             await asyncio.sleep(pause_ms / _MS_IN_S)
 
-    def _begin(self, state: DomainState) -> None:
+    def _start_controller(self, state: DomainState) -> None:
         self._generation += 1
         name = f'{self._settings.incarnation}.{self._generation}'
         settings = self._settings._replace(incarnation=name)
@@ -228,7 +228,7 @@
         self._time_line.note(
             'batch.loaded', 'stream', f'from offset {state.next_offset}'
         )
-        for message in (self._bundle, self._alive, self._list_read):
+        for message in (self._bundle, self._alive, self._last_vm_list):
             if message is not None:
                 self._handle(message)
 
@@ -243,10 +243,10 @@
         pause_ms = self._rng.randint(_GAP_RETRY_MS // 2, _GAP_RETRY_MS)
         await asyncio.sleep(pause_ms / _MS_IN_S)
 
-    async def _follow_list(self) -> None:
+    async def _poll_vm_list(self) -> None:
         while True:
             message = VmListRead(await self._directory.read())
-            self._list_read = message
+            self._last_vm_list = message
             self._handle(message)
             await asyncio.sleep(list_pause_ms(self._rng) / _MS_IN_S)
 
--- a/waxwingford/batch/_stream.py
+++ b/waxwingford/batch/_stream.py
@@ -129,7 +129,7 @@
             return []
         self._offer_lapsed(self.head_read_ms)
         if not self.appender.is_due(now_ms):
-            return list(self.appender.repeat(self.head_read_ms, now_ms))
+            return list(self.appender.retry(self.head_read_ms, now_ms))
         claims: list[TasksClaimed] = []
         effects: list[Effect] = []
         if not (self._fleet.draining or self.gap):
--- a/waxwingford/batch/_submissions.py
+++ b/waxwingford/batch/_submissions.py
@@ -64,7 +64,7 @@
     refusal: str
 
 
-def submission(
+def admit_submission(
     admission: Admission, spec: JobSpec, wall_ms: int
 ) -> RecordToAppend | ImmediateReply:
     """Check a submission.
@@ -86,7 +86,7 @@
     return RecordToAppend(JobAccepted(stamped))
 
 
-def cancellation(
+def admit_cancellation(
     admission: Admission, job_id: str, member: str
 ) -> RecordToAppend | ImmediateReply:
     """Check a cancellation.
--- a/waxwingford/batch/_suspicion.py
+++ b/waxwingford/batch/_suspicion.py
@@ -115,8 +115,8 @@
             timer for timer in expired if _is_still_suspected(state, timer)
         ]
         for timer in lapsed:
-            again_ms = head_read_ms + self._settings.longest_task_lease_ms
-            heapq.heappush(self._timers, timer._replace(due_ms=again_ms))
+            next_due_ms = head_read_ms + self._settings.longest_task_lease_ms
+            heapq.heappush(self._timers, timer._replace(due_ms=next_due_ms))
         return [
             AttemptEnded(
                 timer.key,
--- a/waxwingford/batch/_trackers.py
+++ b/waxwingford/batch/_trackers.py
@@ -150,12 +150,12 @@
             spec.member, spec.kind, spec.resources, self._largest_capacity
         )
         if size == spec.resources or any(
-            fits(size, offer) for offer in self._capacities
+            fits(size, capacity) for capacity in self._capacities
         ):
             return size
         return spec.resources
 
-    def run_left_ms(self, task: TaskState) -> int:
+    def remaining_run_ms(self, task: TaskState) -> int:
         """Estimate the remaining run time of a task.
 
         :param task: the task.
@@ -225,8 +225,8 @@
         ]
         self._capacities = frozenset(rooms)
         self._largest_capacity = NOTHING
-        for offer in self._capacities:
-            self._largest_capacity = largest(self._largest_capacity, offer)
+        for capacity in self._capacities:
+            self._largest_capacity = largest(self._largest_capacity, capacity)
         self._total_capacity = total_of(rooms)
 
     def _update_weights(self, bundle: BundleSettings) -> None:
--- a/waxwingford/batch/_views.py
+++ b/waxwingford/batch/_views.py
@@ -13,13 +13,13 @@
     TaskStage,
 )
 
-_NOTHING = Resources(0, 0, 0)
+_NO_RESOURCES = Resources(0, 0, 0)
 _MAX_TASKS_SHOWN = 200
 _DIMENSIONS = ('processors_milli', 'memory_mb', 'accelerators')
 
 
 class TaskView(NamedTuple):
-    """One task as its member sees it.
+    """One task as shown to its member.
 
     :ivar task_id: id of the task.
     :ivar stage: name of its stage.
@@ -38,7 +38,7 @@
 
 
 class JobView(NamedTuple):
-    """One job as its member sees it.
+    """One job as shown to its member.
 
     :ivar job_id: id of the job.
     :ivar member: member that owns it.
@@ -155,7 +155,7 @@
     rooms = [
         subtract_resources(
             server.vm.resources,
-            fleet.reserved_by_service.get(server.vm.service, _NOTHING),
+            fleet.reserved_by_service.get(server.vm.service, _NO_RESOURCES),
         )
         for server in fleet.server_by_id.values()
         if server.listed
--- a/waxwingford/batch/tests/protections.feature
+++ b/waxwingford/batch/tests/protections.feature
@@ -4,7 +4,7 @@
 
   Scenario Outline: A randomised run without "<protection>" violates an invariant
     When randomised runs are executed without "<protection>", seed <seed> first
-    Then one of them violates the invariant "<rule>"
+    Then one of them reports a violation with "<rule>"
     And the same seed violates no invariant with the protection
 
     Examples:
--- a/waxwingford/batch/tests/protections_steps.py
+++ b/waxwingford/batch/tests/protections_steps.py
@@ -62,7 +62,7 @@
     context.seed = seed
 
 
-@then('one of them violates the invariant "{rule}"')
+@then('one of them reports a violation with "{rule}"')
 def violates_invariant(context, rule):
     assert rule in context.violation, (context.seed, context.violation)
 
