--- a/waxwingford/batch/__init__.py
+++ b/waxwingford/batch/__init__.py
@@ -1,4 +1,4 @@
-"""Batch work: jobs, attempts, and the task that drives them."""
+"""Batch jobs: admission, placement and control of their attempts."""
 
 from waxwingford.batch._controller import DomainController
 from waxwingford.batch._effects import (
@@ -6,12 +6,12 @@
     Control,
     Drained,
     Effect,
+    EmitEvent,
     JobAcceptedOutcome,
     JobCancelledOutcome,
     JobRefused,
     JobRejected,
     JobUnknown,
-    Note,
     ReplySubmission,
     SubmissionOutcome,
     WriteSnapshot,
@@ -28,8 +28,8 @@
     Drain,
     EvictTask,
     LogAway,
-    LogBack,
     LogEntries,
+    LogRecovered,
     Message,
     ReadGroup,
     ServersReleased,
@@ -68,10 +68,10 @@
     'JobUnknown',
     'JobView',
     'LogAway',
-    'LogBack',
+    'LogRecovered',
     'LogEntries',
     'Message',
-    'Note',
+    'EmitEvent',
     'ReadGroup',
     'ReplySubmission',
     'ServerStatus',
--- a/waxwingford/batch/_appender.py
+++ b/waxwingford/batch/_appender.py
@@ -1,10 +1,10 @@
-"""Group commit: one append in flight, the next group gathers meanwhile.
+"""Group commit: one append is in flight while the next group is collected.
 
-An append of unknown outcome is repeated, with the same sequence, only after a
-read that began later reached the head without finding it, and until it is
-found: a copy that lands late is told by writer and sequence (see
-:meth:`waxwingford.records.DomainState.apply`).  So no group is ever both
-given up and valid, and what it claims stays counted.
+An append of unknown outcome is retried with the same sequence number after a
+later read reached the head without finding it, and until it is found.
+Duplicates are recognized by writer and sequence number (see
+:meth:`waxwingford.records.DomainState.apply`), so a group that is
+retried takes effect once and its claims stay counted.
 """
 
 import dataclasses
@@ -21,30 +21,28 @@
 from waxwingford.ports import Appended, AppendOutcome, AppendRefused
 from waxwingford.records import Record, RecordGroup
 
-#: Records in a group at most.
-_GROUP_RECORDS = 512
-#: Submissions in a group at most; with the bound of a job's payload a group
-#: stays below the log's 1 MiB.
-_GROUP_SUBMISSIONS = 8
-#: Longest interval between appends while the log refuses them.
-_SLOWEST_MS = 8000
+_MAX_GROUP_RECORDS = 512
+#: With the limit of a job's payload this keeps a group below the log's 1 MiB.
+_MAX_GROUP_SUBMISSIONS = 8
+#: Longest append interval while the log refuses appends.
+_MAX_APPEND_INTERVAL_MS = 8000
 _UNKNOWN_RETRY_MS = 2000
-_SLOW_DOWN = 2
-#: Taken off the interval at each append that succeeds.
-_SPEED_UP = 0.8
+_BACKOFF_FACTOR = 2
+#: Factor of the append interval after each append that succeeds.
+_RECOVERY_FACTOR = 0.8
 
 
-class _Waiting(NamedTuple):
+class _PendingSubmission(NamedTuple):
     submission_id: int
     record: Record
 
 
 @dataclasses.dataclass(slots=True)
-class _InFlight:
+class _InFlightGroup:
     group: RecordGroup
-    waiting: tuple[_Waiting, ...]
+    submissions: tuple[_PendingSubmission, ...]
     keys: frozenset[Hashable]
-    may_have_landed: bool = False
+    may_be_appended: bool = False
     unknown_ms: int | None = None
 
 
@@ -52,33 +50,34 @@
     """Outbox of one daemon for the domain's stream."""
 
     def __init__(self, writer: str, capacity: int, every_ms: int) -> None:
-        """Start empty.
+        """Create an empty outbox.
 
         :param writer: ``<daemon>#<incarnation>``.
-        :param capacity: records that may wait at most.
-        :param every_ms: shortest time between two appends.
+        :param capacity: most records that may be queued.
+        :param every_ms: shortest interval between two appends, in
+            milliseconds.
         """
         self._writer = writer
         self._capacity = capacity
-        self._fastest_ms = every_ms
-        self._every_ms: float = every_ms
-        self._next_ms = 0
+        self._min_interval_ms = every_ms
+        self._interval_ms: float = every_ms
+        self._next_append_ms = 0
         self._sequence = itertools.count(1)
-        self._submissions: list[_Waiting] = []
+        self._submissions: list[_PendingSubmission] = []
         self._record_by_key: dict[Hashable, Record] = {}
-        self._in_flight: _InFlight | None = None
+        self._in_flight: _InFlightGroup | None = None
 
     def __len__(self) -> int:
-        """Count what waits or is in flight.
+        """Return the number of records queued or in flight.
 
-        :returns: records.
+        :returns: number of records.
         """
-        flying = len(self._in_flight.group.records) if self._in_flight else 0
-        return len(self._submissions) + len(self._record_by_key) + flying
+        in_flight = len(self._in_flight.group.records) if self._in_flight else 0
+        return len(self._submissions) + len(self._record_by_key) + in_flight
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is in flight.
+        """Return whether no append is in flight.
 
         :returns: true if the next group may be built.
         """
@@ -87,23 +86,23 @@
     def submit(
         self, submission_id: int, record: Record
     ) -> list[ReplySubmission]:
-        """Take a submission, or refuse it at once.
+        """Queue a submission, or refuse it if the outbox is full.
 
-        :param submission_id: names the reply.
-        :param record: what to append.
-        :returns: the refusal, if there is no room.
+        :param submission_id: id that the reply carries.
+        :param record: record to append.
+        :returns: the refusal, if the outbox is full.
         """
         if len(self) >= self._capacity:
-            refusal = JobRefused('outbox full', int(self._every_ms))
+            refusal = JobRefused('outbox is full', int(self._interval_ms))
             return [ReplySubmission(submission_id, refusal)]
-        self._submissions.append(_Waiting(submission_id, record))
+        self._submissions.append(_PendingSubmission(submission_id, record))
         return []
 
     def offer(self, key: Hashable, record: Record) -> None:
-        """Take a record that its maker would offer again if it were dropped.
+        """Queue a record that its source offers again if it is dropped.
 
-        :param key: tells repeated offers.
-        :param record: what to append.
+        :param key: key by which repeated offers are recognized.
+        :param record: record to append.
         """
         if self._in_flight is not None and key in self._in_flight.keys:
             return
@@ -111,135 +110,147 @@
             self._record_by_key[key] = record
 
     def is_due(self, now_ms: int) -> bool:
-        """Tell whether a group may be built now.
+        """Return whether a group may be built now.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: true if nothing is in flight and the interval has passed.
         """
-        return self._in_flight is None and now_ms >= self._next_ms
+        return self._in_flight is None and now_ms >= self._next_append_ms
 
     def build(self, claims: Iterable[Record], now_ms: int) -> list[Append]:
         """Put the next group in flight.
 
-        :param claims: decided just now; appended in this group or never.
-        :param now_ms: monotonic time.
-        :returns: the append; nothing if there is nothing to append.
+        :param claims: claims of this round; appended in this group or never.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: the append; empty if there are no records.
         """
-        waiting = tuple(self._submissions[:_GROUP_SUBMISSIONS])
-        keys = tuple(itertools.islice(self._record_by_key, _GROUP_RECORDS))
+        submissions = tuple(self._submissions[:_MAX_GROUP_SUBMISSIONS])
+        keys = tuple(itertools.islice(self._record_by_key, _MAX_GROUP_RECORDS))
         records = tuple(
             itertools.chain(
-                (item.record for item in waiting),
+                (submission.record for submission in submissions),
                 (self._record_by_key[key] for key in keys),
                 claims,
             ),
         )
         if not records:
             return []
-        del self._submissions[: len(waiting)]
+        del self._submissions[: len(submissions)]
         for key in keys:
             self._record_by_key.pop(key)
         group = RecordGroup(self._writer, next(self._sequence), records)
-        self._in_flight = _InFlight(group, waiting, frozenset(keys))
-        self._next_ms = now_ms + int(self._every_ms)
+        self._in_flight = _InFlightGroup(group, submissions, frozenset(keys))
+        self._next_append_ms = now_ms + int(self._interval_ms)
         return [Append(group)]
 
-    def note_result(
+    def handle_result(
         self, sequence: int, outcome: AppendOutcome, now_ms: int
     ) -> list[ReplySubmission]:
-        """Take the outcome of the append.
+        """Handle the outcome of an append.
 
-        :param sequence: of the group.
-        :param outcome: from the port.
-        :param now_ms: monotonic time.
-        :returns: replies that are final.
+        :param sequence: sequence number of the group.
+        :param outcome: outcome reported by the port.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: final replies to submissions.
         """
-        flying = self._in_flight
-        if flying is None or flying.group.sequence != sequence:
+        in_flight = self._in_flight
+        if in_flight is None or in_flight.group.sequence != sequence:
             return []
         match outcome:
             case Appended():
-                flying.may_have_landed = True
-                speed = self._every_ms * _SPEED_UP
-                self._every_ms = max(self._fastest_ms, speed)
+                in_flight.may_be_appended = True
+                speed = self._interval_ms * _RECOVERY_FACTOR
+                self._interval_ms = max(self._min_interval_ms, speed)
                 return []
             case AppendRefused(retry_after_ms=retry_after_ms):
-                return self._note_refused(flying, retry_after_ms, now_ms)
-        flying.may_have_landed = True
-        flying.unknown_ms = now_ms
-        return self._reply_unknown(flying)
+                return self._handle_refused(in_flight, retry_after_ms, now_ms)
+        in_flight.may_be_appended = True
+        in_flight.unknown_ms = now_ms
+        return self._reply_unknown(in_flight)
 
-    def note_seen(self, group: RecordGroup) -> list[int]:
-        """Take a group that was read.
+    def handle_read(self, group: RecordGroup) -> list[int]:
+        """Handle a group that was read from the log.
 
-        :param group: any writer's.
-        :returns: submissions to reply to by the verdicts, in order of records;
-            empty for a group of another writer.
+        :param group: group of any writer.
+        :returns: ids of the submissions to reply to, in order of the records;
+            empty unless it is the group in flight.
         """
-        flying = self._in_flight
-        if flying is None or group.writer != self._writer:
+        in_flight = self._in_flight
+        if in_flight is None or group.writer != self._writer:
             return []
-        if group.sequence != flying.group.sequence:
+        if group.sequence != in_flight.group.sequence:
             return []
         self._in_flight = None
-        return [item.submission_id for item in flying.waiting]
+        return [
+            submission.submission_id for submission in in_flight.submissions
+        ]
 
-    def repeat(self, head_read_ms: int, now_ms: int) -> list[Append]:
-        """Append a group of unknown outcome once more, if it is not there.
+    def retry(self, head_read_ms: int, now_ms: int) -> list[Append]:
+        """Retry an append of unknown outcome that is not in the log.
 
-        :param head_read_ms: monotonic start of the last read to the head.
-        :param now_ms: monotonic time.
+        :param head_read_ms: monotonic start of the last read that reached the
+            head, in milliseconds.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: the append, if it is due.
         """
-        flying = self._in_flight
-        if flying is None or flying.unknown_ms is None:
+        in_flight = self._in_flight
+        if in_flight is None or in_flight.unknown_ms is None:
             return []
-        if head_read_ms <= flying.unknown_ms or now_ms < self._next_ms:
+        if (
+            head_read_ms <= in_flight.unknown_ms
+            or now_ms < self._next_append_ms
+        ):
             return []
-        flying.unknown_ms = None
-        self._next_ms = now_ms + _UNKNOWN_RETRY_MS
-        return [Append(flying.group)]
+        in_flight.unknown_ms = None
+        self._next_append_ms = now_ms + _UNKNOWN_RETRY_MS
+        return [Append(in_flight.group)]
 
-    def note_away(self, retry_after_ms: int) -> list[ReplySubmission]:
-        """Answer all that waits for a log that is away.
+    def fail_pending(self, retry_after_ms: int) -> list[ReplySubmission]:
+        """Answer all queued submissions while the log is unavailable.
 
-        :param retry_after_ms: when members may come back, in milliseconds.
-        :returns: final replies: refused where certainly nothing was appended.
+        :param retry_after_ms: retry delay for members, in milliseconds.
+        :returns: final replies; refused only where nothing was appended.
         """
-        refusal = JobRefused('the log is away', retry_after_ms)
+        refusal = JobRefused('the platform log is unavailable', retry_after_ms)
         replies = [
-            ReplySubmission(item.submission_id, refusal)
-            for item in self._submissions
+            ReplySubmission(submission.submission_id, refusal)
+            for submission in self._submissions
         ]
         self._submissions.clear()
         if self._in_flight is not None:
             replies.extend(self._reply_unknown(self._in_flight))
         return replies
 
-    def _note_refused(
-        self, flying: _InFlight, retry_after_ms: int, now_ms: int
+    def _handle_refused(
+        self, in_flight: _InFlightGroup, retry_after_ms: int, now_ms: int
     ) -> list[ReplySubmission]:
-        slower_ms = self._every_ms * _SLOW_DOWN
-        self._every_ms = min(_SLOWEST_MS, slower_ms)
-        self._next_ms = now_ms + max(retry_after_ms, int(self._every_ms))
-        if flying.may_have_landed:
-            flying.unknown_ms = now_ms
+        slower_ms = self._interval_ms * _BACKOFF_FACTOR
+        self._interval_ms = min(_MAX_APPEND_INTERVAL_MS, slower_ms)
+        self._next_append_ms = now_ms + max(
+            retry_after_ms, int(self._interval_ms)
+        )
+        if in_flight.may_be_appended:
+            in_flight.unknown_ms = now_ms
             return []
         self._in_flight = None
-        refusal = JobRefused('the log refused it', self._next_ms - now_ms)
+        refusal = JobRefused(
+            'the platform log refused the append', self._next_append_ms - now_ms
+        )
         return [
-            ReplySubmission(item.submission_id, refusal)
-            for item in flying.waiting
+            ReplySubmission(submission.submission_id, refusal)
+            for submission in in_flight.submissions
         ]
 
-    def _reply_unknown(self, flying: _InFlight) -> list[ReplySubmission]:
+    def _reply_unknown(
+        self, in_flight: _InFlightGroup
+    ) -> list[ReplySubmission]:
         unknown = JobUnknown(
-            'the log did not answer; it may still be accepted',
+            'the platform log did not answer; the request may take effect',
             _UNKNOWN_RETRY_MS,
         )
         replies = [
-            ReplySubmission(item.submission_id, unknown)
-            for item in flying.waiting
+            ReplySubmission(submission.submission_id, unknown)
+            for submission in in_flight.submissions
         ]
-        flying.waiting = ()
+        in_flight.submissions = ()
         return replies
--- a/waxwingford/batch/_executor.py
+++ b/waxwingford/batch/_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the controller's effects through the ports."""
+"""Executes the controller's effects through the ports."""
 
 from collections.abc import Callable
 
@@ -20,21 +20,21 @@
 )
 from waxwingford.records import DomainState, encode_group
 
-_TOO_LATE = 'the lease ended before the request was sent'
+_LEASE_EXPIRED = 'lease expired before the request was sent'
 
 
 def is_too_late(effect: Control, now_ms: int) -> bool:
-    """Check an exchange at the last moment before it is sent.
+    """Return whether an exchange is no longer valid at the time of sending.
 
     :param effect: the exchange.
-    :param now_ms: monotonic time.
-    :returns: whether its time is over.
+    :param now_ms: monotonic time, in milliseconds.
+    :returns: true if it must not be sent.
     """
     return now_ms >= effect.valid_until_ms
 
 
 class EffectExecutor:
-    """Sends what was decided, and hands the outcomes back as messages."""
+    """Executes effects and delivers their outcomes as messages."""
 
     def __init__(
         self,
@@ -44,13 +44,13 @@
         clock: Clock,
         handle: Callable[[Message], None],
     ) -> None:
-        """Bind the ports.
+        """Create an executor.
 
-        :param settings: figures.
-        :param log: the log.
-        :param servers: control of backend servers.
+        :param settings: settings of the controller.
+        :param log: port of the platform's log.
+        :param servers: port that controls backend servers.
         :param clock: source of time.
-        :param handle: takes the outcomes.
+        :param handle: callback for the outcomes.
         """
         self._settings = settings
         self._log = log
@@ -59,64 +59,65 @@
         self._handle = handle
         self._generation = 0
 
-    def begin(self, generation: int) -> None:
-        """Pass over the outcomes of an earlier controller from now on.
+    def start_generation(self, generation: int) -> None:
+        """Ignore outcomes of earlier controllers from now on.
 
-        :param generation: number of the controller.
+        :param generation: number of the present controller.
         """
         self._generation = generation
 
     async def control(self, effect: Control) -> None:
-        """Carry out an exchange, unless its time is over.
+        """Send an exchange unless its lease has expired.
 
-        The process may have been frozen since the exchange was decided; the
-        lease is checked again at the last moment.  An exchange that is too
-        late is certainly not sent, and its outcome says so.
+        The lease is checked again right before sending, since the process may
+        have been suspended after the exchange was planned.  The outcome of an
+        exchange that expired states that it was not sent.
 
         :param effect: the exchange.
         """
         generation = self._generation
         sent_ms = self._clock.monotonic_ms()
         if is_too_late(effect, sent_ms):
-            outcome: ControlOutcome = ControlUnknown(_TOO_LATE, not_sent=True)
+            outcome: ControlOutcome = ControlUnknown(
+                _LEASE_EXPIRED, not_sent=True
+            )
         else:
             outcome = await self._send(effect, sent_ms)
         result = ControlResult(
             effect.server_id, effect.exchange, sent_ms, effect.request, outcome
         )
-        self._hand_back(generation, result)
+        self._deliver(generation, result)
 
     async def append(self, effect: Append) -> None:
         """Append a group to the domain's stream.
 
-        :param effect: the group.
+        :param effect: the append.
         """
         generation = self._generation
         outcome = await self._log.append(
             f'domain/{self._settings.failure_domain}',
             encode_group(effect.group),
         )
-        self._hand_back(
-            generation, AppendResult(effect.group.sequence, outcome)
-        )
+        self._deliver(generation, AppendResult(effect.group.sequence, outcome))
 
     async def snapshot(self, state: DomainState) -> None:
-        """Write a snapshot and report it once it stands.
+        """Write a snapshot and report it when it is complete.
 
-        :param state: the state now.
+        :param state: present state.
         """
         generation = self._generation
         covers_offset = state.next_offset
         stream = f'snapshots/{self._settings.failure_domain}'
-        problem = await write_snapshot(self._log, stream, state)
-        if not problem:
-            self._hand_back(generation, SnapshotWritten(covers_offset))
+        failure = await write_snapshot(self._log, stream, state)
+        if not failure:
+            self._deliver(generation, SnapshotWritten(covers_offset))
 
     async def _send(self, effect: Control, sent_ms: int) -> ControlOutcome:
         require(
             sent_ms < effect.valid_until_ms,
             Invariant.lease_before_effect,
-            f'{effect.server_id} at {sent_ms} of {effect.valid_until_ms}',
+            f'{effect.server_id}: sent at {sent_ms}, '
+            f'valid until {effect.valid_until_ms}',
         )
         return await self._servers.control(
             effect.host,
@@ -125,6 +126,6 @@
             self._settings.control_timeout_ms,
         )
 
-    def _hand_back(self, generation: int, message: Message) -> None:
+    def _deliver(self, generation: int, message: Message) -> None:
         if generation == self._generation:
             self._handle(message)
--- a/waxwingford/batch/_fleet.py
+++ b/waxwingford/batch/_fleet.py
@@ -1,4 +1,4 @@
-"""The backend servers of a failure domain, and which of them are due."""
+"""The backend servers of a failure domain, and when to contact them."""
 
 import heapq
 from collections.abc import Iterable, Iterator, Mapping
@@ -14,8 +14,8 @@
 )
 from waxwingford.ports import Resources, Vm
 
-#: Daemons of a lower rank leave a server alone.
-LOWEST_RANK = 2
+#: Highest rank at which a daemon acquires the lease of a server.
+MAX_ACQUIRE_RANK = 2
 
 
 class _Due(NamedTuple):
@@ -24,33 +24,37 @@
 
 
 class Fleet:
-    """Backend servers, this daemon's rank for each, and when each is due.
-
-    :ivar server_by_id: every server ever listed that still matters.
-    :ivar alive: daemons that seem alive, this one among them.
-    :ivar knows_alive: whether anything was heard of the other daemons; until
-        then no lease is acquired, lest a daemon that starts takes them all.
-    :ivar is_ready: whether the stream was read to its head; a daemon that does
-        not know the claims could only let the tasks of a server lapse.
-    :ivar room_changed: whether a server may have more room than before.
-    :ivar pace: interval of exchanges and leases, by what was held lately.
-    :ivar released: servers given up, until somebody takes the names.
-    :ivar draining: gives up what it holds.
-    :ivar reserved_by_service: set aside on each VM for its service.
+    """Backend servers, this daemon's rank for each, and their due times.
+
+    :ivar server_by_id: listed servers, and unlisted ones that are still held or
+        contacted.
+    :ivar live_daemon_ids: daemons that appear to be alive, including this one.
+    :ivar knows_peers: whether the live daemons are known; until then no lease
+        is acquired, so that a daemon that starts does not acquire them all.
+    :ivar is_ready: whether the stream was read to its head; without the claims
+        this daemon could not renew the task leases of a server.
+    :ivar room_changed: whether a server may have more free resources.
+    :ivar lease_timing: interval of exchanges and durations of leases, for the
+        number of servers held at present.
+    :ivar released: servers whose leases were released since the last call of
+        ``BatchQueries.take_released``.
+    :ivar draining: whether this daemon releases its leases to stop.
+    :ivar reserved_by_service: resources reserved on each VM for its service,
+        by service.
     """
 
     def __init__(self, settings: BatchSettings) -> None:
-        """Start without servers.
+        """Create a fleet without servers.
 
-        :param settings: of the controller.
+        :param settings: settings of the controller.
         """
         self.server_by_id: dict[str, ServerControl] = {}
-        self.alive = frozenset((settings.daemon_id,))
-        self.knows_alive = False
+        self.live_daemon_ids = frozenset((settings.daemon_id,))
+        self.knows_peers = False
         self.is_ready = False
         self.room_changed = False
         self.released: list[str] = []
-        self.pace = settings.pace(0)
+        self.lease_timing = settings.lease_timing(0)
         self.draining = False
         self.reserved_by_service: Mapping[str, Resources] = {}
         self._settings = settings
@@ -58,20 +62,20 @@
         self._rank_by_server: dict[str, int] = {}
 
     def update_list(self, vms: Iterable[Vm], now_ms: int) -> None:
-        """Take the platform's list, a hint.
+        """Update from the platform's list of VMs, which is a hint.
 
-        :param vms: of this failure domain.
-        :param now_ms: monotonic time.
+        :param vms: listed VMs of this failure domain.
+        :param now_ms: monotonic time, in milliseconds.
         """
         listed = {vm.server_id: vm for vm in vms}
         if listed.keys() - self.server_by_id.keys():
             self._rank_servers(listed.keys() | self.server_by_id.keys())
         for vm in listed.values():
-            self._list(vm, now_ms)
+            self._update_listed(vm, now_ms)
         for server_id in self.server_by_id.keys() - listed.keys():
-            self._unlist(server_id, now_ms)
+            self._mark_unlisted(server_id, now_ms)
 
-    def _list(self, vm: Vm, now_ms: int) -> None:
+    def _update_listed(self, vm: Vm, now_ms: int) -> None:
         server = self.server_by_id.get(vm.server_id)
         if server is None:
             self._add(vm, now_ms)
@@ -79,65 +83,65 @@
             server.vm = vm
             server.listed = True
             server.view = None
-            self.mark_due(vm.server_id, now_ms)
+            self.schedule_exchange(vm.server_id, now_ms)
 
-    def _unlist(self, server_id: str, now_ms: int) -> None:
+    def _mark_unlisted(self, server_id: str, now_ms: int) -> None:
         server = self.server_by_id[server_id]
         server.listed = False
         if not server.lease.is_valid(now_ms) and server.in_flight is None:
             self.server_by_id.pop(server_id)
 
     def update_alive(self, daemon_ids: Iterable[str], now_ms: int) -> None:
-        """Take the daemons that seem alive and rank the servers anew.
+        """Update the daemons that appear to be alive, and the ranks.
 
-        :param daemon_ids: their names.
-        :param now_ms: monotonic time.
+        :param daemon_ids: ids of the daemons.
+        :param now_ms: monotonic time, in milliseconds.
         """
-        alive = frozenset(daemon_ids) | {self._settings.daemon_id}
-        if alive == self.alive and self.knows_alive:
+        live_daemon_ids = frozenset(daemon_ids) | {self._settings.daemon_id}
+        if live_daemon_ids == self.live_daemon_ids and self.knows_peers:
             return
-        self.alive = alive
-        self.knows_alive = True
+        self.live_daemon_ids = live_daemon_ids
+        self.knows_peers = True
         self._rank_servers(self.server_by_id)
         for server_id, server in self.server_by_id.items():
             server.preference.update(self.rank(server_id), now_ms)
             if not server.lease.is_valid(now_ms):
-                self.mark_try(server, now_ms)
+                self.schedule_acquisition(server, now_ms)
 
     @property
     def may_acquire(self) -> bool:
-        """Tell whether leases may be acquired at all.
+        """Return whether this daemon may acquire leases.
 
-        :returns: whether this daemon knows enough and goes on.
+        :returns: true if it is ready, knows its peers and is not draining.
         """
-        return self.knows_alive and self.is_ready and not self.draining
+        return self.knows_peers and self.is_ready and not self.draining
 
-    def note_ready(self, now_ms: int) -> None:
-        """Note that the stream was read to its head.
+    def mark_ready(self, now_ms: int) -> None:
+        """Record that the stream was read to its head.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         if self.is_ready:
             return
         self.is_ready = True
         for server in self.server_by_id.values():
-            self.mark_try(server, now_ms)
+            self.schedule_acquisition(server, now_ms)
 
     def rank(self, subject: str) -> int:
-        """Rank this daemon for a subject.
+        """Return the rank of this daemon for a subject.
 
-        :param subject: a server or task.
-        :returns: 0 for the first choice.
+        :param subject: id of a server, task or stream.
+        :returns: the rank, 0 for the preferred daemon.
         """
         rank = self._rank_by_server.get(subject)
         if rank is not None:
             return rank
-        return rank_of(self._settings.daemon_id, self.alive, subject)
+        return rank_of(self._settings.daemon_id, self.live_daemon_ids, subject)
 
     def held(self, now_ms: int) -> dict[str, ServerControl]:
-        """List the servers that this daemon may rely on now.
+        """Return the servers whose control lease is valid.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         :returns: servers by id.
         """
         held = {
@@ -145,23 +149,23 @@
             for server_id, server in self.server_by_id.items()
             if server.lease.is_valid(now_ms)
         }
-        self.pace = self._settings.pace(len(held))
+        self.lease_timing = self._settings.lease_timing(len(held))
         return held
 
-    def mark_due(self, server_id: str, due_ms: int) -> None:
-        """Let the next exchange with a server come no later than given.
+    def schedule_exchange(self, server_id: str, due_ms: int) -> None:
+        """Schedule the next exchange with a server for a time or earlier.
 
-        :param server_id: which server.
-        :param due_ms: monotonic time.
+        :param server_id: id of the backend server.
+        :param due_ms: monotonic time, in milliseconds.
         """
         server = self.server_by_id.get(server_id)
         if server is not None and (due_ms < server.due_ms or not server.due_ms):
-            self.push_due(server, due_ms)
+            self.reschedule(server, due_ms)
 
-    def touch(self, server_id: str) -> None:
-        """Note that a server's claims or condition changed.
+    def invalidate_view(self, server_id: str) -> None:
+        """Drop the cached view of a server whose claims or state changed.
 
-        :param server_id: which server; one that is not known is passed over.
+        :param server_id: id of the server; ignored if unknown.
         """
         server = self.server_by_id.get(server_id)
         if server is not None:
@@ -169,7 +173,7 @@
             self.room_changed = True
 
     def _rank_servers(self, server_ids: Iterable[str]) -> None:
-        orders = shared_out(self.alive, server_ids)
+        orders = shared_out(self.live_daemon_ids, server_ids)
         self._rank_by_server = {
             server_id: order.index(self._settings.daemon_id)
             for server_id, order in orders.items()
@@ -183,13 +187,13 @@
             Preference(settings.times, self.rank(vm.server_id), now_ms),
         )
         self.server_by_id[vm.server_id] = server
-        self.mark_try(server, now_ms)
+        self.schedule_acquisition(server, now_ms)
 
-    def take_due(self, now_ms: int) -> Iterator[ServerControl]:
-        """Take the servers whose exchange is due.
+    def pop_due(self, now_ms: int) -> Iterator[ServerControl]:
+        """Remove and return the servers whose exchange is due.
 
-        :param now_ms: monotonic time.
-        :returns: servers; one is not due again until it is marked so.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: servers; each needs to be scheduled again.
         """
         while self._due and self._due[0].due_ms <= now_ms:
             due = heapq.heappop(self._due)
@@ -198,22 +202,24 @@
                 server.due_ms = 0
                 yield server
 
-    def push_due(self, server: ServerControl, due_ms: int) -> None:
+    def reschedule(self, server: ServerControl, due_ms: int) -> None:
         """Set when the next exchange with a server is due.
 
-        :param server: which server.
-        :param due_ms: monotonic time.
+        :param server: the backend server.
+        :param due_ms: monotonic time, in milliseconds.
         """
         server.due_ms = max(1, due_ms)
         heapq.heappush(self._due, _Due(server.due_ms, server.vm.server_id))
 
-    def mark_try(self, server: ServerControl, now_ms: int) -> None:
-        """Let this daemon try for a lease when it is its turn.
+    def schedule_acquisition(self, server: ServerControl, now_ms: int) -> None:
+        """Schedule an attempt to acquire the lease, if the rank allows it.
 
-        :param server: which server.
-        :param now_ms: monotonic time.
+        :param server: the backend server.
+        :param now_ms: monotonic time, in milliseconds.
         """
-        tries = server.preference.rank <= LOWEST_RANK and self.may_acquire
-        if tries:
+        may_try = (
+            server.preference.rank <= MAX_ACQUIRE_RANK and self.may_acquire
+        )
+        if may_try:
             next_try_ms = max(now_ms, server.preference.next_try_ms())
-            self.push_due(server, next_try_ms)
+            self.reschedule(server, next_try_ms)
--- a/waxwingford/batch/_placer.py
+++ b/waxwingford/batch/_placer.py
@@ -1,9 +1,8 @@
-"""Rounds of placement with the policy that the bundle names."""
+"""Placement rounds with the policy that the bundle names."""
 
 from collections.abc import Mapping
 
-from waxwingford.batch._checked import CheckedPlacements
-from waxwingford.batch._effects import Note
+from waxwingford.batch._effects import EmitEvent
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._messages import BundleSettings
 from waxwingford.batch._placing import (
@@ -14,12 +13,13 @@
     view_pending,
     view_server,
 )
-from waxwingford.batch._queue import PendingQueue, ViewTask
-from waxwingford.batch._quotas import Limits
-from waxwingford.batch._reactions import take_reaction
+from waxwingford.batch._queue import PendingQueue, PendingViewFactory
+from waxwingford.batch._quotas import TeamLimits
+from waxwingford.batch._reactions import apply_reaction
 from waxwingford.batch._server import ServerControl
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.batch._trackers import Trackers
+from waxwingford.batch._validation import PlacementValidator
 from waxwingford.placement import (
     ColocationPolicy,
     PendingTask,
@@ -33,31 +33,30 @@
     TaskState,
 )
 
-#: Pending tasks shown to the policy in one round.
-_ROUND_TASKS = 128
-#: A round that placed nothing is followed by one without a change after this.
-_FRUITLESS_ROUND_MS = 5000
-_NOTHING = Resources(0, 0, 0)
+_MAX_ROUND_TASKS = 128
+#: Interval of rounds while nothing changes.
+_IDLE_ROUND_INTERVAL_MS = 5000
+_NO_RESOURCES = Resources(0, 0, 0)
 _EMPTY_BUNDLE = BundleSettings({}, {}, {})
 
 
-#: Tasks of this priority or more are claimed by lower ranks sooner.
+#: Priority from which daemons of lower rank claim a task sooner.
 URGENT_PRIORITY = 80
 
 
 class Placer:
-    """Chooses what to claim where, and how to react to interference.
+    """Chooses which tasks to claim, and how to react to interference.
 
-    :ivar bundle: settings in force.
+    :ivar bundle: batch settings in force.
     :ivar trackers: shares, sizes and failures.
     :ivar queue: pending tasks.
     """
 
     def __init__(self, settings: BatchSettings, fleet: Fleet) -> None:
-        """Start with nothing pending.
+        """Create without pending tasks.
 
-        :param settings: of the controller.
-        :param fleet: servers.
+        :param settings: settings of the controller.
+        :param fleet: servers of the failure domain.
         """
         self.bundle = _EMPTY_BUNDLE
         self._settings = settings
@@ -69,19 +68,19 @@
         self._next_round_ms = 0
 
     def use_bundle(self, bundle: BundleSettings, seed: int) -> None:
-        """Put a bundle in force.
+        """Apply the settings of a bundle.
 
-        :param bundle: its settings.
-        :param seed: for the policy's random numbers.
+        :param bundle: batch settings of the bundle.
+        :param seed: seed of the policy's random numbers.
         :raises UnknownPlugin: if no policy has the name.
         """
         factory = policies.get(bundle.policy)
-        same = (bundle.policy, bundle.weights_by_service) == (
+        is_same_policy = (bundle.policy, bundle.weights_by_service) == (
             self.bundle.policy,
             self.bundle.weights_by_service,
         )
-        # A policy that is kept keeps what it learned.
-        if self._policy is None or not same:
+        # An unchanged policy is kept with what it has learned.
+        if self._policy is None or not is_same_policy:
             self._policy = factory(bundle.weights_by_service, seed)
         self.bundle = bundle
         self._fleet.room_changed = True
@@ -91,59 +90,58 @@
             server.view = None
 
     def add(self, task: TaskState, now_ms: int) -> None:
-        """Enter a task that became pending.
+        """Add a task that became pending.
 
         :param task: the task.
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         rank = self._fleet.rank(task.task_id)
-        due_ms = now_ms + rank * self._steal_ms(task)
+        due_ms = now_ms + rank * self._rank_delay_ms(task)
         self.queue.add(task, now_ms, due_ms)
 
-    def _steal_ms(self, task: TaskState) -> int:
-        # The daemon ranked first may hold no server, or none with room: urgent
-        # work then waited three seconds for the next one.  A lost race costs
-        # one claim that is not valid, which few urgent tasks can afford.
+    def _rank_delay_ms(self, task: TaskState) -> int:
+        # The daemon ranked first may hold no server with room; urgent tasks
+        # wait less for it, at the cost of more conflicting claims.
         if task.job.spec.priority >= URGENT_PRIORITY:
-            return self._settings.urgent_steal_ms
-        return self._settings.steal_ms
+            return self._settings.urgent_rank_delay_ms
+        return self._settings.rank_delay_ms
 
-    def round(
+    def place_round(
         self, state: DomainState, now_ms: int, wall_ms: int
-    ) -> tuple[list[TasksClaimed], list[Note]]:
-        """Choose what to claim now.
+    ) -> tuple[list[TasksClaimed], list[EmitEvent]]:
+        """Choose the tasks to claim now.
 
-        :param state: fold of the domain's stream.
-        :param now_ms: monotonic time.
-        :param wall_ms: wall time.
-        :returns: claims, checked against capacity, and notes.
+        :param state: state replayed from the domain's stream.
+        :param now_ms: monotonic time, in milliseconds.
+        :param wall_ms: Unix time, in milliseconds.
+        :returns: claims, checked against capacity, and events.
         """
-        # Without a change, what found no place before finds none now; rounds
-        # over a long queue would cost most of the daemon's processor time.
-        if not self._may_place_more(now_ms):
+        # Tasks that were not placed cannot be placed until something changes;
+        # further rounds over a long queue would waste processor time.
+        if not self._is_round_due(now_ms):
             return [], []
-        limits = Limits(state, self.bundle)
+        limits = TeamLimits(state, self.bundle)
         view = self._view_pending(wall_ms)
-        offers = self.queue.take(_ROUND_TASKS, now_ms, limits, view)
+        offers = self.queue.take(_MAX_ROUND_TASKS, now_ms, limits, view)
         if not offers or self._policy is None:
             return [], []
-        held = self._placeable(state, now_ms)
+        held = self._eligible_servers(state, now_ms)
         views = self.views(state, held, wall_ms)
         pending = [offer.view for offer in offers]
         quarantine = self.trackers.quarantine
-        checked = CheckedPlacements(views, limits, quarantine, now_ms)
-        checked.take_all(self._policy.place(pending, views, now_ms), offers)
-        self.queue.put_back(checked.left, now_ms, view)
-        for placement, _ in checked.placed:
+        validator = PlacementValidator(views, limits, quarantine, now_ms)
+        validator.validate(self._policy.place(pending, views, now_ms), offers)
+        self.queue.record_unplaced(validator.unplaced, now_ms, view)
+        for placement, _ in validator.placed:
             self.queue.drop(placement.key, now_ms, view)
-        if checked.placed:
+        if validator.placed:
             self._next_round_ms = now_ms
-        claims = build_claims(checked.placed, held, self._settings)
+        claims = build_claims(validator.placed, held, self._settings)
         for claim in claims:
             require_held(held[claim.server_id], now_ms)
         reserved = self.bundle.reserved_by_service
         require_capacity(claims, state, held, reserved)
-        return claims, checked.notes
+        return claims, validator.events
 
     def observe(
         self,
@@ -152,12 +150,12 @@
         state: DomainState,
         now_ms: int,
     ) -> None:
-        """Show samples to the policy and the sizes.
+        """Pass usage samples to the policy and the trackers.
 
-        :param server_id: where they were taken.
+        :param server_id: id of the server that they were taken on.
         :param samples: the samples.
-        :param state: fold of the domain's stream.
-        :param now_ms: monotonic time.
+        :param state: state replayed from the domain's stream.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.trackers.observe(samples)
         if self._policy is None:
@@ -171,13 +169,13 @@
 
     def react(
         self, state: DomainState, now_ms: int, wall_ms: int
-    ) -> list[Note]:
-        """Let the policy relieve services.
+    ) -> list[EmitEvent]:
+        """Apply the policy's reactions to interference.
 
-        :param state: fold of the domain's stream.
-        :param now_ms: monotonic time.
-        :param wall_ms: wall time.
-        :returns: notes on what was decided.
+        :param state: state replayed from the domain's stream.
+        :param now_ms: monotonic time, in milliseconds.
+        :param wall_ms: Unix time, in milliseconds.
+        :returns: events about the reactions.
         """
         if self._policy is None:
             return []
@@ -185,9 +183,9 @@
         views = self.views(state, held, wall_ms)
         reactions = self._policy.react(views, now_ms)
         return [
-            note
+            event
             for reaction in reactions
-            for note in take_reaction(
+            for event in apply_reaction(
                 self._fleet, state, held, reaction, now_ms
             )
         ]
@@ -198,26 +196,26 @@
         held: Mapping[str, ServerControl],
         wall_ms: int,
     ) -> list[ServerView]:
-        """View servers, from the cache where nothing changed.
+        """Build views of servers, from the cache where nothing changed.
 
-        :param state: fold of the domain's stream.
+        :param state: state replayed from the domain's stream.
         :param held: servers by id.
-        :param wall_ms: wall time.
-        :returns: views in order of ids.
+        :param wall_ms: Unix time, in milliseconds.
+        :returns: views in order of server ids.
         """
-        quarantined = self.in_quarantine()
+        quarantined = self.quarantined_servers()
         for server_id in quarantined ^ self._quarantined:
-            self._fleet.touch(server_id)
+            self._fleet.invalidate_view(server_id)
         self._quarantined = quarantined
         return [
             self._view(server_id, held[server_id], state, wall_ms)
             for server_id in sorted(held)
         ]
 
-    def in_quarantine(self) -> frozenset[str]:
-        """List the servers that get at most probation tasks.
+    def quarantined_servers(self) -> frozenset[str]:
+        """Return the servers that get at most probation tasks.
 
-        :returns: their names; none where the bundle switches it off.
+        :returns: ids of the servers; empty if the bundle disables quarantine.
         """
         if self.bundle.quarantine is None:
             return frozenset()
@@ -226,12 +224,12 @@
     def predicted_ms(
         self, server: ServerControl, state: DomainState, wall_ms: int
     ) -> float:
-        """Ask the policy for a service's latency.
+        """Return the policy's prediction of a service's latency.
 
         :param server: a held server.
-        :param state: fold of the domain's stream.
-        :param wall_ms: wall time.
-        :returns: milliseconds, 0 without a policy.
+        :param state: state replayed from the domain's stream.
+        :param wall_ms: Unix time, in milliseconds.
+        :returns: latency in milliseconds; 0 without a policy.
         """
         if self._policy is None:
             return 0
@@ -249,7 +247,7 @@
     ) -> ServerView:
         if server.view is None:
             reserved = self.bundle.reserved_by_service.get(
-                server.vm.service, _NOTHING
+                server.vm.service, _NO_RESOURCES
             )
             is_quarantined = server_id in self._quarantined
             server.view = view_server(
@@ -257,7 +255,7 @@
             )
         return server.view
 
-    def _placeable(
+    def _eligible_servers(
         self, state: DomainState, now_ms: int
     ) -> dict[str, ServerControl]:
         return {
@@ -271,11 +269,11 @@
 
     def _may_use(self, server_id: str, now_ms: int) -> bool:
         return (
-            server_id not in self.in_quarantine()
+            server_id not in self.quarantined_servers()
             or self.trackers.quarantine.may_probe(server_id, now_ms)
         )
 
-    def _view_pending(self, wall_ms: int) -> ViewTask:
+    def _view_pending(self, wall_ms: int) -> PendingViewFactory:
         servers = len(self._fleet.server_by_id)
 
         def _view(task: TaskState, waiting_ms: int) -> PendingTask:
@@ -285,10 +283,10 @@
 
         return _view
 
-    def _may_place_more(self, now_ms: int) -> bool:
+    def _is_round_due(self, now_ms: int) -> bool:
         has_new = self.queue.has_due(now_ms) or self._fleet.room_changed
         if not has_new and now_ms < self._next_round_ms:
             return False
         self._fleet.room_changed = False
-        self._next_round_ms = now_ms + _FRUITLESS_ROUND_MS
+        self._next_round_ms = now_ms + _IDLE_ROUND_INTERVAL_MS
         return True
--- a/waxwingford/batch/_queries.py
+++ b/waxwingford/batch/_queries.py
@@ -1,7 +1,8 @@
-"""What the batch task answers from its controller without changing it."""
+"""Read-only queries of the batch task."""
 
 from waxwingford.batch._controller import DomainController
 from waxwingford.batch._messages import BundleSettings, VmListRead
+from waxwingford.batch._pending_reason import pending_reason
 from waxwingford.batch._status import (
     ServerStatus,
     TaskCounts,
@@ -13,72 +14,71 @@
     find_job,
     list_jobs,
 )
-from waxwingford.batch._waits import why_waits
 from waxwingford.kernel import Clock
 from waxwingford.routing import HeldServer
 
 
 class BatchQueries:
-    """Read-only side of the batch task."""
+    """Answers queries from the state of the controller."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without a controller.
+        """Create without a controller.
 
         :param clock: source of time.
         """
         self._clock = clock
         self._controller: DomainController | None = None
         self._bundle: BundleSettings | None = None
-        self._list_read: VmListRead | None = None
-        self._load_problem = 'snapshot not looked for yet'
+        self._last_vm_list: VmListRead | None = None
+        self._load_problem = 'snapshot not loaded yet'
 
-    def _lack(self, problem: str) -> None:
+    def _record_load_problem(self, problem: str) -> None:
         self._load_problem = problem
 
     def jobs(self, member: str) -> list[JobView]:
         """List a member's jobs.
 
-        :param member: whose.
-        :returns: views without single tasks; finished jobs last.
+        :param member: member that owns the jobs.
+        :returns: views without their tasks; finished jobs last.
         """
         if self._controller is None:
             return []
         return list_jobs(self._controller.state, member)
 
     def job(self, job_id: str, member: str) -> JobView | None:
-        """Show one job with its tasks and why they wait.
+        """Return one job with its tasks and why they are pending.
 
-        :param job_id: which job.
-        :param member: who asks.
-        :returns: the view; nothing if the member has no such job.
+        :param job_id: id of the job.
+        :param member: member that makes the request.
+        :returns: the view; None if the member has no such job.
         """
         controller = self._controller
         if controller is None:
             return None
-        return find_job(controller.state, job_id, member, self.why)
+        return find_job(controller.state, job_id, member, self.pending_reason)
 
-    def why(self, task_id: str) -> str:
-        """Say why a task waits.
+    def pending_reason(self, task_id: str) -> str:
+        """Explain why a task is pending.
 
-        :param task_id: which task.
-        :returns: for people; empty if it does not wait.
+        :param task_id: id of the task.
+        :returns: human-readable reason; empty if it is not pending.
         """
         controller = self._controller
         task = controller.state.task(task_id) if controller else None
         if controller is None or task is None:
             return ''
-        return why_waits(
+        return pending_reason(
             task,
             controller.state,
             controller.fleet,
             controller.placer,
-            controller.stream.log_away,
+            controller.stream.log_error,
         )
 
     def held_servers(self) -> tuple[HeldServer, ...]:
-        """List the servers whose control lease is held now.
+        """List the servers whose control lease is held.
 
-        :returns: what routing needs of them.
+        :returns: the servers, as routing uses them.
         """
         controller = self._controller
         if controller is None:
@@ -105,9 +105,9 @@
         )
 
     def readiness(self) -> list[str]:
-        """Say what is missing before this daemon can do its batch work.
+        """List what is missing before this daemon can control batch work.
 
-        :returns: for people; empty when it is ready.
+        :returns: human-readable reasons; empty when it is ready.
         """
         controller = self._controller
         if controller is None:
@@ -119,14 +119,14 @@
                 'log not read to its head yet',
             ),
             (self._bundle is None, 'no bundle is in force'),
-            (self._list_read is None, 'list of VMs not read yet'),
+            (self._last_vm_list is None, 'list of VMs not read yet'),
         )
         return [missing for is_missing, missing in checks if is_missing]
 
     def server_status(self) -> list[ServerStatus]:
         """Describe the held servers, for the daemon's status.
 
-        :returns: one line for each.
+        :returns: one entry for each held server.
         """
         if self._controller is None:
             return []
@@ -135,16 +135,16 @@
     def task_counts(self) -> TaskCounts:
         """Count the tasks of the failure domain.
 
-        :returns: pending and claimed ones.
+        :returns: numbers of pending and claimed tasks.
         """
         if self._controller is None:
             return TaskCounts(0, 0)
         return task_counts(self._controller)
 
     def take_released(self) -> tuple[str, ...]:
-        """Take the names of servers given up since the last call.
+        """Return the servers released since the last call.
 
-        :returns: for an immediate heartbeat to the peers.
+        :returns: ids of the servers, for an immediate heartbeat to peers.
         """
         if self._controller is None:
             return ()
--- a/waxwingford/batch/_queue.py
+++ b/waxwingford/batch/_queue.py
@@ -1,4 +1,4 @@
-"""Pending tasks in the order in which this daemon tries to place them."""
+"""Queue of pending tasks, in the order in which they are placed."""
 
 import collections
 import dataclasses
@@ -7,32 +7,32 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from waxwingford.batch._quotas import Limits
+from waxwingford.batch._quotas import TeamLimits
 from waxwingford.placement import PendingTask, QuotaTracker, TeamName
 from waxwingford.ports import Resources, TaskKey
 from waxwingford.records import TaskStage, TaskState
 
-#: A task that found no place so often goes behind the others of its team.
-_OFFERS_IN_TURN = 8
-#: Tasks of one team tried in one round, so that a team whose tasks fit
-#: nowhere does not use up the whole round.
-_TEAM_ROUND = 64
+#: Unsuccessful rounds after which a task is queued behind its team's others.
+_OFFERS_BEFORE_DEMOTION = 8
+#: Bounds the tasks of one team in a round, so that a team whose tasks fit
+#: nowhere does not use up the round.
+_MAX_TEAM_TASKS_PER_ROUND = 64
 
-ViewTask = Callable[[TaskState, int], PendingTask]
+PendingViewFactory = Callable[[TaskState, int], PendingTask]
 
 
 class Offer(NamedTuple):
-    """A task taken for a round.
+    """A task that is offered to the policy in a round.
 
     :ivar task: the task.
-    :ivar view: what the policy is shown of it.
+    :ivar view: view of the task for the policy.
     """
 
     task: TaskState
     view: PendingTask
 
 
-class _Later(NamedTuple):
+class _DeferredTask(NamedTuple):
     due_ms: int
     order: int
     task: TaskState
@@ -42,160 +42,176 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Entry:
-    """A task whose turn here has come.
+    """A pending task that this daemon may claim.
 
     :ivar task: the task.
-    :ivar since_ms: monotonic time since which it waits.
-    :ivar offers: rounds in which it found no place.
-    :ivar is_aside: out of the tracker until its team has nothing else.
+    :ivar since_ms: monotonic time at which it became pending, in
+        milliseconds.
+    :ivar offers: number of rounds in which it was not placed.
+    :ivar is_demoted: whether it is removed from the tracker until its team
+        has no other tasks there.
     """
 
     task: TaskState
     since_ms: int
     offers: int = 0
-    is_aside: bool = False
+    is_demoted: bool = False
 
 
 class PendingQueue:
-    """Pending tasks in the quota tracker; a task of another daemon's comes later.
+    """Pending tasks in the quota tracker, delayed by this daemon's rank.
 
-    The tracker says who deserves most; here is only what is this daemon's own:
-    whose turn has come, and which tasks found no place.
+    The tracker orders the tasks; the queue adds when this daemon may claim a
+    task and how often it was not placed.
 
-    :ivar tracker: order by shares, ageing and slack.
+    :ivar tracker: tracker that orders tasks by shares, ageing and slack.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self.tracker = QuotaTracker(Resources(1, 1, 1))
-        self._later: list[_Later] = []
+        self._deferred: list[_DeferredTask] = []
         self._order = itertools.count()
         self._entry_by_key: dict[TaskKey, _Entry] = {}
-        self._in_tracker: collections.Counter[TeamName] = collections.Counter()
-        self._aside_by_team: dict[TeamName, list[TaskKey]] = {}
+        self._tracked_by_team: collections.Counter[TeamName] = (
+            collections.Counter()
+        )
+        self._demoted_by_team: dict[TeamName, list[TaskKey]] = {}
 
     def add(self, task: TaskState, now_ms: int, due_ms: int) -> None:
-        """Enter a pending task.
+        """Add a pending task.
 
         :param task: the task.
-        :param now_ms: monotonic time.
-        :param due_ms: monotonic time from which this daemon may claim it.
+        :param now_ms: monotonic time, in milliseconds.
+        :param due_ms: monotonic time from which this daemon may claim it, in
+            milliseconds.
         """
         order = next(self._order)
-        later = _Later(due_ms, order, task, task.attempt, now_ms)
-        heapq.heappush(self._later, later)
+        deferred = _DeferredTask(due_ms, order, task, task.attempt, now_ms)
+        heapq.heappush(self._deferred, deferred)
 
     def has_due(self, now_ms: int) -> bool:
-        """Tell whether a task has come in, or its turn here has come.
+        """Return whether a deferred task may be claimed by now.
 
-        :param now_ms: monotonic time.
-        :returns: whether ``take`` would bring one in.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: whether ``take`` would add a task to the tracker.
         """
-        return bool(self._later) and self._later[0].due_ms <= now_ms
+        return bool(self._deferred) and self._deferred[0].due_ms <= now_ms
 
     def offers(self, key: TaskKey) -> int | None:
-        """Count the rounds in which a task found no place here.
+        """Return the number of rounds in which a task was not placed.
 
-        :param key: its next attempt.
-        :returns: the count; None before its turn here has come.
+        :param key: key of its next attempt.
+        :returns: the number; None before this daemon may claim it.
         """
         entry = self._entry_by_key.get(key)
         return entry.offers if entry else None
 
     def take(
-        self, limit: int, now_ms: int, limits: Limits, view: ViewTask
+        self,
+        limit: int,
+        now_ms: int,
+        limits: TeamLimits,
+        view: PendingViewFactory,
     ) -> list[Offer]:
-        """List the most deserving tasks that are still pending.
+        """Return the pending tasks that come first by the tracker's order.
 
-        They stay in the tracker until they are dropped or put back.
+        They stay in the tracker until they are dropped.
 
-        :param limit: tasks at most.
-        :param now_ms: monotonic time.
+        :param limit: most tasks to return.
+        :param now_ms: monotonic time, in milliseconds.
         :param limits: hard limits of teams.
-        :param view: shows a task, given how long it waits.
-        :returns: tasks, most deserving first.
+        :param view: builds the view of a task from its waiting time.
+        :returns: tasks in the tracker's order.
         """
-        self._bring_in(now_ms, view)
+        self._admit_due(now_ms, view)
         while True:
-            counted = _Counted(limits.copy(), self._entry_by_key)
-            ordered = self.tracker.order(limit, now_ms, counted.take)
-            over = [one.key for one in ordered if not self._is_open(one.key)]
-            if not over:
+            limit_filter = _LimitFilter(limits.copy(), self._entry_by_key)
+            ordered = self.tracker.order(limit, now_ms, limit_filter.accepts)
+            closed = [
+                ordered_task.key
+                for ordered_task in ordered
+                if not self._is_still_pending(ordered_task.key)
+            ]
+            if not closed:
                 break
-            # Each task that was cancelled costs one look, not one a round.
-            for key in over:
+            # Cancelled tasks are dropped, so that each is checked only once.
+            for key in closed:
                 self.drop(key, now_ms, view)
-        tasks = [self._entry_by_key[one.key].task for one in ordered]
+        tasks = [
+            self._entry_by_key[ordered_task.key].task
+            for ordered_task in ordered
+        ]
         return [
-            Offer(task, view(task, one.waiting_ms))
-            for task, one in zip(tasks, ordered, strict=True)
+            Offer(task, view(task, ordered_task.waiting_ms))
+            for task, ordered_task in zip(tasks, ordered, strict=True)
         ]
 
-    def drop(self, key: TaskKey, now_ms: int, view: ViewTask) -> None:
-        """Forget a task that is claimed or over.
+    def drop(self, key: TaskKey, now_ms: int, view: PendingViewFactory) -> None:
+        """Remove a task that is claimed or over.
 
-        :param key: the attempt under which it was pending.
-        :param now_ms: monotonic time.
-        :param view: as for ``take``.
+        :param key: key of the attempt under which it was pending.
+        :param now_ms: monotonic time, in milliseconds.
+        :param view: builds the view of a task, as for ``take``.
         """
         entry = self._entry_by_key.pop(key, None)
-        if entry is not None and not entry.is_aside:
-            self._leave_tracker(key, entry, now_ms, view)
+        if entry is not None and not entry.is_demoted:
+            self._untrack(key, entry, now_ms, view)
 
-    def put_back(
-        self, keys: Iterable[TaskKey], now_ms: int, view: ViewTask
+    def record_unplaced(
+        self, keys: Iterable[TaskKey], now_ms: int, view: PendingViewFactory
     ) -> None:
-        """Note tasks that found no place in this round.
+        """Count a round in which tasks were not placed.
 
-        :param keys: as taken.
-        :param now_ms: monotonic time.
-        :param view: as for ``take``.
+        :param keys: keys of the tasks.
+        :param now_ms: monotonic time, in milliseconds.
+        :param view: builds the view of a task, as for ``take``.
         """
         for key in keys:
             entry = self._entry_by_key[key]
             entry.offers += 1
-            if entry.offers % _OFFERS_IN_TURN == 0:
-                # Without this, tasks that fit nowhere at present would hold up
-                # the smaller ones of their team for ever.
-                entry.is_aside = True
+            if entry.offers % _OFFERS_BEFORE_DEMOTION == 0:
+                # Tasks that fit nowhere must not starve the smaller ones of
+                # their team.
+                entry.is_demoted = True
                 team = _team_of(entry.task)
-                self._aside_by_team.setdefault(team, []).append(key)
-                self._leave_tracker(key, entry, now_ms, view)
+                self._demoted_by_team.setdefault(team, []).append(key)
+                self._untrack(key, entry, now_ms, view)
 
-    def _bring_in(self, now_ms: int, view: ViewTask) -> None:
+    def _admit_due(self, now_ms: int, view: PendingViewFactory) -> None:
         while self.has_due(now_ms):
-            later = heapq.heappop(self._later)
-            task = later.task
-            key = TaskKey(task.task_id, later.attempt + 1)
+            deferred = heapq.heappop(self._deferred)
+            task = deferred.task
+            key = TaskKey(task.task_id, deferred.attempt + 1)
             is_open = task.stage == TaskStage.pending and task.next_key == key
             if is_open and key not in self._entry_by_key:
-                entry = _Entry(task, later.since_ms)
+                entry = _Entry(task, deferred.since_ms)
                 self._entry_by_key[key] = entry
-                self._enter_tracker(entry, now_ms, view)
+                self._track(entry, now_ms, view)
 
-    def _enter_tracker(
-        self, entry: _Entry, now_ms: int, view: ViewTask
+    def _track(
+        self, entry: _Entry, now_ms: int, view: PendingViewFactory
     ) -> None:
         self.tracker.add(view(entry.task, now_ms - entry.since_ms), now_ms)
-        self._in_tracker[_team_of(entry.task)] += 1
+        self._tracked_by_team[_team_of(entry.task)] += 1
 
-    def _leave_tracker(
-        self, key: TaskKey, entry: _Entry, now_ms: int, view: ViewTask
+    def _untrack(
+        self, key: TaskKey, entry: _Entry, now_ms: int, view: PendingViewFactory
     ) -> None:
         self.tracker.remove(key)
         team = _team_of(entry.task)
-        self._in_tracker[team] -= 1
-        if self._in_tracker[team]:
+        self._tracked_by_team[team] -= 1
+        if self._tracked_by_team[team]:
             return
-        self._in_tracker.pop(team)
-        for aside in self._aside_by_team.pop(team, ()):
-            if self._is_open(aside):
-                self._entry_by_key[aside].is_aside = False
-                self._enter_tracker(self._entry_by_key[aside], now_ms, view)
+        self._tracked_by_team.pop(team)
+        for demoted in self._demoted_by_team.pop(team, ()):
+            if self._is_still_pending(demoted):
+                self._entry_by_key[demoted].is_demoted = False
+                self._track(self._entry_by_key[demoted], now_ms, view)
             else:
-                self._entry_by_key.pop(aside, None)
+                self._entry_by_key.pop(demoted, None)
 
-    def _is_open(self, key: TaskKey) -> bool:
+    def _is_still_pending(self, key: TaskKey) -> bool:
         entry = self._entry_by_key.get(key)
         return (
             entry is not None
@@ -204,23 +220,27 @@
         )
 
 
-class _Counted:
-    """Hard limits and tasks of each team, counting what is listed."""
+class _LimitFilter:
+    """Accepts tasks within the limits of their teams, counting each."""
 
     def __init__(
-        self, limits: Limits, entry_by_key: dict[TaskKey, _Entry]
+        self, limits: TeamLimits, entry_by_key: dict[TaskKey, _Entry]
     ) -> None:
         self._limits = limits
         self._entry_by_key = entry_by_key
-        self._taken: collections.Counter[TeamName] = collections.Counter()
+        self._accepted_by_team: collections.Counter[TeamName] = (
+            collections.Counter()
+        )
 
-    def take(self, view: PendingTask) -> bool:
+    def accepts(self, view: PendingTask) -> bool:
         task = self._entry_by_key[view.key].task
         team = TeamName(view.member, view.team)
-        if self._taken[team] >= _TEAM_ROUND or not self._limits.has_room(task):
+        if self._accepted_by_team[
+            team
+        ] >= _MAX_TEAM_TASKS_PER_ROUND or not self._limits.has_room(task):
             return False
-        self._taken[team] += 1
-        self._limits.note_claimed(task)
+        self._accepted_by_team[team] += 1
+        self._limits.count_claim(task)
         return True
 
 
--- a/waxwingford/batch/_reactions.py
+++ b/waxwingford/batch/_reactions.py
@@ -1,8 +1,8 @@
-"""What a policy decides about running attempts, noted at their servers."""
+"""Applies the reactions of a policy to running attempts."""
 
 from collections.abc import Mapping
 
-from waxwingford.batch._effects import Note
+from waxwingford.batch._effects import EmitEvent
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._server import ServerControl
 from waxwingford.placement import Evict, Stop, Throttle
@@ -10,21 +10,21 @@
 from waxwingford.records import DomainState
 
 
-def take_reaction(
+def apply_reaction(
     fleet: Fleet,
     state: DomainState,
     held: Mapping[str, ServerControl],
     reaction: Throttle | Evict | Stop,
     now_ms: int,
-) -> list[Note]:
-    """Let the next exchange carry a reaction.
+) -> list[EmitEvent]:
+    """Schedule a reaction for the next exchange with the server.
 
-    :param fleet: servers.
-    :param state: fold of the domain's stream.
+    :param fleet: servers of the failure domain.
+    :param state: state replayed from the domain's stream.
     :param held: held servers by id.
-    :param reaction: the policy's decision.
-    :param now_ms: monotonic time.
-    :returns: a note; nothing if the attempt is over or not held here.
+    :param reaction: reaction that the policy returned.
+    :param now_ms: monotonic time, in milliseconds.
+    :returns: an event; empty if the attempt is over or its server not held.
     """
     key = reaction.key
     server = _server_of(state, held, key)
@@ -32,15 +32,15 @@
         return []
     match reaction:
         case Throttle(percent=percent):
-            server.percent_by_key[key] = percent
+            server.throttle_percent_by_key[key] = percent
         case Evict():
             server.evicting.add(key)
         case Stop():
             server.stopping.add(key)
-    fleet.mark_due(server.vm.server_id, now_ms)
+    fleet.schedule_exchange(server.vm.server_id, now_ms)
     kind = f'policy.{type(reaction).__name__.lower()}'
     detail = f'attempt {key.attempt} at {server.vm.server_id}'
-    return [Note(kind, f'task:{key.task_id}', detail)]
+    return [EmitEvent(kind, f'task:{key.task_id}', detail)]
 
 
 def _server_of(
--- a/waxwingford/batch/_replies.py
+++ b/waxwingford/batch/_replies.py
@@ -1,4 +1,4 @@
-"""Callers that wait for the outcome of a submission or cancellation."""
+"""Pending replies to submissions and cancellations."""
 
 import asyncio
 import itertools
@@ -7,39 +7,39 @@
 from waxwingford.batch._effects import JobUnknown, SubmissionOutcome
 
 
-class Reply(NamedTuple):
-    """A caller's wait.
+class PendingReply(NamedTuple):
+    """A reply that a caller waits for.
 
-    :ivar submission_id: names it.
-    :ivar outcome: set once it is known.
+    :ivar submission_id: id of the submission or cancellation.
+    :ivar outcome: future of the outcome.
     """
 
     submission_id: int
     outcome: asyncio.Future[SubmissionOutcome]
 
 
-class Replies:
-    """Waits by submission id; how many is bounded by the outbox."""
+class PendingReplies:
+    """Pending replies by submission id; the outbox bounds their number."""
 
     def __init__(self) -> None:
-        """Start without waits."""
-        self._reply_by_id: dict[int, Reply] = {}
+        """Create without pending replies."""
+        self._reply_by_id: dict[int, PendingReply] = {}
         self._ids = itertools.count(1)
 
-    def open(self) -> Reply:
-        """Begin a wait.
+    def create(self) -> PendingReply:
+        """Create a pending reply.
 
-        :returns: the wait, under a new id.
+        :returns: the pending reply, with a new id.
         """
         outcome = asyncio.get_running_loop().create_future()
-        reply = Reply(next(self._ids), outcome)
+        reply = PendingReply(next(self._ids), outcome)
         self._reply_by_id[reply.submission_id] = reply
         return reply
 
-    async def wait(self, reply: Reply) -> SubmissionOutcome:
-        """Wait for the outcome.
+    async def wait(self, reply: PendingReply) -> SubmissionOutcome:
+        """Wait for the outcome of a reply.
 
-        :param reply: the wait.
+        :param reply: the pending reply.
         :returns: the outcome.
         """
         try:
@@ -47,21 +47,21 @@
         finally:
             self._reply_by_id.pop(reply.submission_id, None)
 
-    def take(self, submission_id: int, outcome: SubmissionOutcome) -> None:
-        """Give a caller its outcome; one that went away is passed over.
+    def resolve(self, submission_id: int, outcome: SubmissionOutcome) -> None:
+        """Set the outcome of a reply; ignored if no caller waits for it.
 
-        :param submission_id: names the wait.
+        :param submission_id: id of the pending reply.
         :param outcome: the outcome.
         """
         reply = self._reply_by_id.pop(submission_id, None)
         if reply is not None and not reply.outcome.done():
             reply.outcome.set_result(outcome)
 
-    def give_up(self, reason: str, retry_after_ms: int) -> None:
-        """Answer all callers that what they asked for may still happen.
+    def resolve_all_unknown(self, reason: str, retry_after_ms: int) -> None:
+        """Resolve all pending replies with an unknown outcome.
 
-        :param reason: for people.
-        :param retry_after_ms: when to come back, in milliseconds.
+        :param reason: human-readable reason.
+        :param retry_after_ms: time before a retry, in milliseconds.
         """
         for submission_id in list(self._reply_by_id):
-            self.take(submission_id, JobUnknown(reason, retry_after_ms))
+            self.resolve(submission_id, JobUnknown(reason, retry_after_ms))
--- a/waxwingford/batch/_server.py
+++ b/waxwingford/batch/_server.py
@@ -1,9 +1,9 @@
-"""What this daemon knows of one backend server, and what it does there."""
+"""State of one backend server as seen and controlled by this daemon."""
 
 import dataclasses
 from collections.abc import Iterable
 
-from waxwingford.batch._effects import Control, Note
+from waxwingford.batch._effects import Control, EmitEvent
 from waxwingford.ownership import ControlLease, Preference
 from waxwingford.placement import ServerView
 from waxwingford.ports import (
@@ -24,36 +24,42 @@
 class ServerControl:
     """One backend server of the failure domain.
 
-    :ivar vm: as last listed.
+    :ivar vm: VM of the server, as last listed.
     :ivar lease: the control lease.
-    :ivar preference: whether this daemon wants the lease.
-    :ivar report_by_key: attempts that the server named in its last answer.
-    :ivar known: version of that answer, 0 if the server does not count.
-    :ivar whole_answers_ago: answers since one that named every attempt.
-    :ivar report_offset: records before this offset were applied when the
-        exchange of that answer was decided.
-    :ivar unclaimed_since_ms: by attempt that runs without a known claim, when
-        it was first reported so.
+    :ivar preference: decides whether and when to acquire or hand over the
+        lease.
+    :ivar report_by_key: reports on attempts in the last answer, by attempt.
+    :ivar known: version of that answer; 0 if the server has none.
+    :ivar answers_since_full_report: number of answers since the last that
+        reported every attempt.
+    :ivar report_offset: offset of the stream up to which records were
+        replayed when the exchange of that answer was planned.
+    :ivar unclaimed_since_ms: monotonic time of the first report of each
+        attempt that runs without a known claim, in milliseconds.
     :ivar started: attempts whose start was sent under the present epoch.
-    :ivar given_up_by_key: ends of claims of the present epoch that were not
-        and will not be started.
+    :ivar abandoned_by_key: end records of claims of the present epoch that
+        were never started and must not be, by attempt.
     :ivar evicting: attempts to checkpoint.
     :ivar stopping: attempts to stop without a checkpoint.
-    :ivar percent_by_key: throttles to command.
-    :ivar commanded_ms: when a stop or checkpoint was last commanded.
-    :ivar in_flight: exchange that has no outcome yet.
-    :ivar in_flight_offset: next offset of the state when it was decided.
-    :ivar is_dirty: commands came up while an exchange was in flight.
-    :ivar due_ms: when the next exchange is due.
-    :ivar listed: whether the platform's list names it.
-    :ivar says_leaving: the server's own word.
-    :ivar unreachable_since_ms: first exchange without an answer since the last
-        answer; None while it answers.
-    :ivar routed_share: busy service slots at present, 0 to 1, as this daemon's
-        routing sees them; None if it routes nothing there.
-    :ivar sampled_share: the same in the last usage sample, which is older.
-    :ivar predicted_ms: cached prediction of its service's latency; None after
-        a usage sample.
+    :ivar throttle_percent_by_key: throttles to send, in percent, by attempt.
+    :ivar commanded_ms_by_key: monotonic time of the last stop or checkpoint
+        command, in milliseconds, by attempt.
+    :ivar in_flight: exchange without an outcome yet; None if there is none.
+    :ivar in_flight_offset: offset of the stream up to which records were
+        replayed when that exchange was planned.
+    :ivar exchange_requested: whether another exchange became due while one was
+        in flight.
+    :ivar due_ms: monotonic time at which the next exchange is due, in
+        milliseconds; 0 if none is scheduled.
+    :ivar listed: whether the platform lists it.
+    :ivar reported_leaving: whether the server reported that it is leaving.
+    :ivar unreachable_since_ms: monotonic time of the first unanswered exchange
+        since the last answer, in milliseconds; None while it answers.
+    :ivar routed_share: present share of busy service slots, 0 to 1, measured
+        by this daemon's routing; None if it routes nothing there.
+    :ivar sampled_share: share of busy service slots in the last usage sample.
+    :ivar predicted_ms: cached prediction of the service's latency, in
+        milliseconds; None after a usage sample.
     :ivar view: cached view for policies; None after a change.
     """
 
@@ -64,27 +70,29 @@
         default_factory=dict,
     )
     known: int = 0
-    whole_answers_ago: int = 0
+    answers_since_full_report: int = 0
     report_offset: int = -1
     unclaimed_since_ms: dict[TaskKey, int] = dataclasses.field(
         default_factory=dict,
     )
     started: set[TaskKey] = dataclasses.field(default_factory=set)
-    given_up_by_key: dict[TaskKey, AttemptEnded] = dataclasses.field(
+    abandoned_by_key: dict[TaskKey, AttemptEnded] = dataclasses.field(
         default_factory=dict,
     )
     evicting: set[TaskKey] = dataclasses.field(default_factory=set)
     stopping: set[TaskKey] = dataclasses.field(default_factory=set)
-    percent_by_key: dict[TaskKey, int] = dataclasses.field(
+    throttle_percent_by_key: dict[TaskKey, int] = dataclasses.field(
         default_factory=dict,
     )
-    commanded_ms: dict[TaskKey, int] = dataclasses.field(default_factory=dict)
+    commanded_ms_by_key: dict[TaskKey, int] = dataclasses.field(
+        default_factory=dict
+    )
     in_flight: Control | None = None
     in_flight_offset: int = 0
-    is_dirty: bool = False
+    exchange_requested: bool = False
     due_ms: int = 0
     listed: bool = True
-    says_leaving: bool = False
+    reported_leaving: bool = False
     unreachable_since_ms: int | None = None
     routed_share: float | None = None
     sampled_share: float = 0
@@ -93,17 +101,18 @@
 
     @property
     def leaving(self) -> bool:
-        """Tell whether it leaves, by the list or by its own word.
+        """Return whether the server is leaving.
 
-        :returns: true if it must get no new work.
+        :returns: true if the list or the server says so; it then gets no new
+            work.
         """
-        return self.says_leaving or self.vm.state == VmState.leaving
+        return self.reported_leaving or self.vm.state == VmState.leaving
 
     @property
     def busy_share(self) -> float:
-        """Tell how busy the service there is.
+        """Return the utilization of the service on the VM.
 
-        :returns: share of busy slots, the newest that is known.
+        :returns: newest known share of busy slots, 0 to 1.
         """
         if self.routed_share is None:
             return self.sampled_share
@@ -115,54 +124,53 @@
         answer: ControlGranted,
         epoch_changed: bool,
     ) -> None:
-        """Take what the server said.
+        """Update from a granted control request.
 
-        :param request: what it answers.
-        :param answer: its answer.
-        :param epoch_changed: whether epoch or boot differ from before.
+        :param request: the request.
+        :param answer: answer of the server.
+        :param epoch_changed: whether its epoch or boot id changed.
         """
         if answer.is_delta:
-            self._drop_forgotten(request)
+            self._remove_forgotten(request)
         else:
             self.report_by_key.clear()
-            self.whole_answers_ago = 0
+            self.answers_since_full_report = 0
         self.report_by_key.update(
             (report.key, report) for report in answer.tasks
         )
         self.known = answer.version
-        self.whole_answers_ago += 1
+        self.answers_since_full_report += 1
         self.report_offset = self.in_flight_offset
-        self.says_leaving = answer.leaving
+        self.reported_leaving = answer.leaving
         self.unreachable_since_ms = None
         self.view = None
         if epoch_changed:
             self.started.clear()
-            self.given_up_by_key.clear()
-            self.commanded_ms.clear()
+            self.abandoned_by_key.clear()
+            self.commanded_ms_by_key.clear()
         self._forget_absent()
         if answer.usage:
             self.predicted_ms = None
             self.sampled_share = answer.usage[-1].service_load
 
-    def _drop_forgotten(self, request: ControlRequest) -> None:
-        # A forget that the server refused was carried out before, and its
-        # answer was lost.
+    def _remove_forgotten(self, request: ControlRequest) -> None:
+        # A refused forget was executed before, and its answer was lost.
         for command in request.commands:
             if isinstance(command, ForgetTask):
                 self.report_by_key.pop(command.key, None)
 
     def _forget_absent(self) -> None:
-        for kept in (self.unclaimed_since_ms, self.commanded_ms):
-            for key in kept.keys() - self.report_by_key.keys():
-                kept.pop(key)
+        for by_key in (self.unclaimed_since_ms, self.commanded_ms_by_key):
+            for key in by_key.keys() - self.report_by_key.keys():
+                by_key.pop(key)
         self.evicting &= self.report_by_key.keys()
         self.stopping &= self.report_by_key.keys()
 
-    def not_in(self, renew: Iterable[TaskKey]) -> tuple[TaskKey, ...]:
-        """List running attempts that are not to be renewed.
+    def running_except(self, renew: Iterable[TaskKey]) -> tuple[TaskKey, ...]:
+        """List running attempts whose leases are not to be renewed.
 
-        :param renew: those that are.
-        :returns: the other ones that the server named.
+        :param renew: attempts to renew.
+        :returns: the other running attempts that the server reported.
         """
         renewed = set(renew)
         return tuple(
@@ -172,10 +180,10 @@
         )
 
     def is_running(self, key: TaskKey) -> bool:
-        """Tell whether the server named an attempt as running.
+        """Return whether the server reported an attempt as running.
 
-        :param key: which attempt.
-        :returns: true if it ran at the last answer.
+        :param key: key of the attempt.
+        :returns: true if it was running in the last report.
         """
         report = self.report_by_key.get(key)
         return report is not None and report.phase == TaskPhase.running
@@ -184,7 +192,7 @@
 def started_keys(request: ControlRequest) -> list[TaskKey]:
     """List the attempts that a request starts.
 
-    :param request: of an exchange.
+    :param request: request of an exchange.
     :returns: keys of its start commands.
     """
     return [
@@ -194,12 +202,12 @@
     ]
 
 
-def note_server(kind: str, server: ServerControl, detail: str) -> Note:
-    """Write an event about a server.
+def server_event(kind: str, server: ServerControl, detail: str) -> EmitEvent:
+    """Build a time-line event about a server.
 
-    :param kind: what happened.
-    :param server: which server.
-    :param detail: for people.
+    :param kind: kind of the event.
+    :param server: the backend server.
+    :param detail: human-readable detail.
     :returns: the effect.
     """
-    return Note(kind, f'server:{server.vm.server_id}', detail)
+    return EmitEvent(kind, f'server:{server.vm.server_id}', detail)
--- a/waxwingford/batch/_shell.py
+++ b/waxwingford/batch/_shell.py
@@ -1,4 +1,4 @@
-"""The task that owns the batch controller and carries out its effects."""
+"""The asyncio task that runs the batch controller."""
 
 import asyncio
 import dataclasses
@@ -10,9 +10,9 @@
     Control,
     Drained,
     Effect,
+    EmitEvent,
     JobRefused,
     JobUnknown,
-    Note,
     ReplySubmission,
     SubmissionOutcome,
     WriteSnapshot,
@@ -29,7 +29,7 @@
     VmListRead,
 )
 from waxwingford.batch._reader import StreamReader, away_pause_ms
-from waxwingford.batch._replies import Replies, Reply
+from waxwingford.batch._replies import PendingReplies, PendingReply
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.batch._snapshots import load_newest
 from waxwingford.kernel import Clock
@@ -47,20 +47,20 @@
 _LIST_EVERY_MS = 1000
 _GAP_RETRY_MS = 1000
 _NOT_READY_RETRY_MS = 1000
-#: A pause is up to so much shorter or longer.
+#: Largest relative deviation of a pause.
 _LIST_JITTER = 0.25
-#: A submitter comes back after up to so many times the least time.
+#: Largest ratio of a retry delay to the shortest one.
 _RETRY_SPREAD = 4
 
 
 def list_pause_ms(rng: random.Random) -> int:
-    """Choose the pause between two readings of the platform's list.
+    """Choose the pause before the next read of the platform's list.
 
-    Daemons that start together, or whose calls fail together, would read the
-    list in step for ever; a random part of each pause parts them.
+    The pause has jitter, so that daemons that start together do not read the
+    list in step.
 
-    :param rng: source of the random part.
-    :returns: milliseconds.
+    :param rng: source of the jitter.
+    :returns: pause, in milliseconds.
     """
     share = rng.uniform(1 - _LIST_JITTER, 1 + _LIST_JITTER)
     return round(_LIST_EVERY_MS * share)
@@ -69,14 +69,14 @@
 def spread_retry(
     outcome: SubmissionOutcome, rng: random.Random
 ) -> SubmissionOutcome:
-    """Let submitters that are sent away at once come back one by one.
+    """Add jitter to the retry delay of a refused or unknown submission.
 
-    A log that goes away is answered to all that wait in the same moment; told
-    the same time, they would come back in step until it answers again.
+    Submitters that are refused together, as when the log becomes unavailable,
+    must not retry in step.
 
-    :param outcome: as the controller decided it, with the least time.
-    :param rng: source of the random part.
-    :returns: the same outcome, with a later time if it names one.
+    :param outcome: outcome with the shortest retry delay.
+    :param rng: source of the jitter.
+    :returns: the outcome, with a longer retry delay if it has one.
     """
     if not isinstance(outcome, JobRefused | JobUnknown):
         return outcome
@@ -86,10 +86,10 @@
 
 
 class BatchTask(BatchHints):
-    """Owns the controller of one daemon; everything it does is by messages.
+    """Runs the controller of one daemon and executes its effects.
 
-    Messages are handled one at a time on the event loop, without a wait in
-    between, so that the state needs no lock.
+    Messages are handled one at a time on the event loop without awaiting, so
+    the state needs no lock.
     """
 
     def __init__(
@@ -102,14 +102,14 @@
         clock: Clock,
         time_line: TimeLine,
     ) -> None:
-        """Bind the ports; nothing runs yet.
+        """Create a task that is not running yet.
 
-        :param settings: figures.
-        :param log: the platform's log.
-        :param servers: control of backend servers.
-        :param directory: the platform's list.
+        :param settings: settings of the controller.
+        :param log: port of the platform's log.
+        :param servers: port that controls backend servers.
+        :param directory: port of the platform's list of VMs.
         :param clock: source of time.
-        :param time_line: where events go.
+        :param time_line: time line that records events.
         """
         super().__init__(clock)
         self._settings = settings
@@ -119,7 +119,7 @@
         self._executor = EffectExecutor(
             settings, log, servers, clock, self._handle
         )
-        self._replies = Replies()
+        self._replies = PendingReplies()
         self._rng = random.Random()
         self._generation = 0
         self._drained = asyncio.Event()
@@ -128,47 +128,49 @@
     async def run(self) -> None:
         """Load the state, then follow the stream until cancelled.
 
-        A daemon that fell behind what the log retains starts anew from a
-        newer snapshot, under a new incarnation: the leases that it held are
-        acquired anew too.
+        A daemon that falls behind the entries that the log retains restarts
+        from a newer snapshot under a new incarnation, and acquires its leases
+        again.
 
-        :raises ExceptionGroup: with a broken invariant or programming error
-            of any of its parts, which all stop then.
+        :raises ExceptionGroup: if an invariant is broken or another error
+            occurs in any subtask; all subtasks are cancelled then.
         """
         stream = f'snapshots/{self._settings.failure_domain}'
         async with asyncio.TaskGroup() as group:
             self._group = group
-            group.create_task(self._follow_list())
+            group.create_task(self._poll_vm_list())
             group.create_task(self._tick())
             while True:
-                self._begin(await self._load(stream))
+                self._start_controller(await self._load(stream))
                 await self._follow_stream()
 
     async def submit(self, job: JobSpec) -> SubmissionOutcome:
         """Submit a job.
 
-        :param job: the job; it is stamped with this daemon's wall time.
+        :param job: the job; its submission time is set by this daemon.
         :returns: accepted, refused, unknown or rejected.
         """
-        reply = self._replies.open()
-        return await self._ask(reply, SubmitJob(reply.submission_id, job))
+        reply = self._replies.create()
+        return await self._send_submission(
+            reply, SubmitJob(reply.submission_id, job)
+        )
 
     async def cancel(self, job_id: str, member: str) -> SubmissionOutcome:
-        """Give a job up.
+        """Cancel a job.
 
-        :param job_id: which job.
-        :param member: who asks; must own the job.
+        :param job_id: id of the job.
+        :param member: member that makes the request and must own the job.
         :returns: cancelled, refused, unknown or rejected.
         """
-        reply = self._replies.open()
+        reply = self._replies.create()
         message = CancelJob(reply.submission_id, job_id, member)
-        return await self._ask(reply, message)
+        return await self._send_submission(reply, message)
 
     def evict(self, task_id: str) -> bool:
         """Checkpoint a task that runs on a server held here.
 
-        :param task_id: which task.
-        :returns: whether it does, and so was asked.
+        :param task_id: id of the task.
+        :returns: whether its server is held here.
         """
         controller = self._controller
         task = controller.state.task(task_id) if controller else None
@@ -178,27 +180,27 @@
         self._handle(EvictTask(task_id))
         return task.server_id in held
 
-    async def drain(self, bounded_ms: int) -> bool:
-        """Take nothing new, and give the leases up so that peers adopt.
+    async def drain(self, timeout_ms: int) -> bool:
+        """Stop accepting work and release the leases for peers to acquire.
 
-        :param bounded_ms: give up waiting after this time, in milliseconds.
+        :param timeout_ms: timeout, in milliseconds.
         :returns: whether everything was handed over in time.
         """
         self._handle(Drain())
         try:
-            await asyncio.wait_for(self._drained.wait(), bounded_ms / _MS_IN_S)
+            await asyncio.wait_for(self._drained.wait(), timeout_ms / _MS_IN_S)
         except TimeoutError:
             return False
         return True
 
-    async def _ask(
-        self, reply: Reply, message: SubmitJob | CancelJob
+    async def _send_submission(
+        self, reply: PendingReply, message: SubmitJob | CancelJob
     ) -> SubmissionOutcome:
         if self._controller is None:
             refusal = spread_retry(
                 JobRefused(self._load_problem, _NOT_READY_RETRY_MS), self._rng
             )
-            self._replies.take(reply.submission_id, refusal)
+            self._replies.resolve(reply.submission_id, refusal)
         self._handle(message)
         return await self._replies.wait(reply)
 
@@ -209,22 +211,24 @@
             if not isinstance(outcome, LogUnavailable):
                 return outcome or DomainState()
             failures += 1
-            self._lack(f'snapshot not read: {outcome.reason}')
+            self._record_load_problem(f'snapshot not read: {outcome.reason}')
             pause_ms = away_pause_ms(failures, self._rng)
             await asyncio.sleep(pause_ms / _MS_IN_S)
 
-    def _begin(self, state: DomainState) -> None:
+    def _start_controller(self, state: DomainState) -> None:
         self._generation += 1
         name = f'{self._settings.incarnation}.{self._generation}'
         settings = self._settings._replace(incarnation=name)
         now_ms = self._clock.monotonic_ms()
-        self._replies.give_up('this daemon starts anew', _NOT_READY_RETRY_MS)
-        self._executor.begin(self._generation)
+        self._replies.resolve_all_unknown(
+            'this daemon is reloading its state', _NOT_READY_RETRY_MS
+        )
+        self._executor.start_generation(self._generation)
         self._controller = DomainController(settings, state, now_ms)
         self._time_line.note(
             'batch.loaded', 'stream', f'from offset {state.next_offset}'
         )
-        for message in (self._bundle, self._alive, self._list_read):
+        for message in (self._bundle, self._alive, self._last_vm_list):
             if message is not None:
                 self._handle(message)
 
@@ -235,14 +239,14 @@
             message = await reader.read(controller.state.next_offset)
             self._handle(message)
             await reader.pause(message)
-        # A gap is met by all daemons at once; they must not load in step.
+        # All daemons may find a gap at once; they must not reload in step.
         pause_ms = self._rng.randint(_GAP_RETRY_MS // 2, _GAP_RETRY_MS)
         await asyncio.sleep(pause_ms / _MS_IN_S)
 
-    async def _follow_list(self) -> None:
+    async def _poll_vm_list(self) -> None:
         while True:
             message = VmListRead(await self._directory.read())
-            self._list_read = message
+            self._last_vm_list = message
             self._handle(message)
             await asyncio.sleep(list_pause_ms(self._rng) / _MS_IN_S)
 
@@ -264,8 +268,8 @@
         match effect:
             case ReplySubmission(submission_id=submission_id, outcome=outcome):
                 spread = spread_retry(outcome, self._rng)
-                self._replies.take(submission_id, spread)
-            case Note(kind=kind, subject=subject, detail=detail):
+                self._replies.resolve(submission_id, spread)
+            case EmitEvent(kind=kind, subject=subject, detail=detail):
                 self._time_line.note(kind, subject, detail)
             case Control():
                 self._group.create_task(self._executor.control(effect))
--- a/waxwingford/batch/_submissions.py
+++ b/waxwingford/batch/_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions and cancellations: which go to the log, what is answered."""
+"""Admission of submissions and cancellations, and replies to them."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
     SubmissionOutcome,
 )
 from waxwingford.batch._fleet import Fleet
-from waxwingford.batch._views import never_fits
+from waxwingford.batch._views import oversize_reason
 from waxwingford.kernel import Invariant, require
 from waxwingford.records import (
     DomainState,
@@ -24,27 +24,27 @@
     refuse_job,
 )
 
-#: When members may come back after a refusal, in milliseconds.
+#: Retry delay for members after a refusal.
 RETRY_AFTER_MS = 2000
-#: Longest payload of a job; keeps a group below the log's 1 MiB.
+#: Longest payload of a job; keeps a record group below the log's 1 MiB.
 PAYLOAD_CHARACTERS = 16_384
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToAppend:
-    """Goes to the log.
+class RecordToAppend:
+    """A submission or cancellation to append to the log.
 
-    :ivar record: what to append.
+    :ivar record: record to append.
     """
 
     record: JobAccepted | JobCancelled
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToAnswer:
-    """Is answered at once.
+class ImmediateReply:
+    """A submission or cancellation that is answered without the log.
 
-    :ivar outcome: the answer.
+    :ivar outcome: outcome for the member.
     """
 
     outcome: SubmissionOutcome
@@ -52,11 +52,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admission:
-    """What decides on a submission.
+    """State that admission depends on.
 
-    :ivar state: fold of the domain's stream.
+    :ivar state: state replayed from the domain's stream.
     :ivar fleet: servers of the failure domain.
-    :ivar refusal: why nothing can be appended now; empty if it can.
+    :ivar refusal: reason why nothing can be appended now; empty if it can.
     """
 
     state: DomainState
@@ -64,61 +64,63 @@
     refusal: str
 
 
-def submission(
+def admit_submission(
     admission: Admission, spec: JobSpec, wall_ms: int
-) -> ToAppend | ToAnswer:
+) -> RecordToAppend | ImmediateReply:
     """Check a submission.
 
-    :param admission: what decides.
+    :param admission: state that admission depends on.
     :param spec: the job.
-    :param wall_ms: wall time, which the job is stamped with.
+    :param wall_ms: Unix time of the submission, in milliseconds.
     :returns: the record to append, or the answer.
     """
-    reason = _refuse_spec(spec) or never_fits(spec, admission.fleet)
+    reason = _validate_spec(spec) or oversize_reason(spec, admission.fleet)
     if reason:
-        return ToAnswer(JobRejected(reason))
+        return ImmediateReply(JobRejected(reason))
     state = admission.state
     if spec.job_id in state.jobs_by_id or spec.job_id in state.finished:
-        return ToAnswer(_answer_duplicate(state, spec))
+        return ImmediateReply(_answer_duplicate(state, spec))
     if admission.refusal:
-        return ToAnswer(JobRefused(admission.refusal, RETRY_AFTER_MS))
+        return ImmediateReply(JobRefused(admission.refusal, RETRY_AFTER_MS))
     stamped = msgspec.structs.replace(spec, submitted_wall_ms=wall_ms)
-    return ToAppend(JobAccepted(stamped))
+    return RecordToAppend(JobAccepted(stamped))
 
 
-def cancellation(
+def admit_cancellation(
     admission: Admission, job_id: str, member: str
-) -> ToAppend | ToAnswer:
+) -> RecordToAppend | ImmediateReply:
     """Check a cancellation.
 
-    :param admission: what decides.
-    :param job_id: which job.
-    :param member: who asks.
+    :param admission: state that admission depends on.
+    :param job_id: id of the job.
+    :param member: member that makes the request.
     :returns: the record to append, or the answer.
     """
     job = admission.state.jobs_by_id.get(job_id)
-    # A job of another member is answered like one that does not exist, lest
-    # members learn of each other's jobs.
+    # A job of another member is answered like one that does not exist, so that
+    # members do not learn of each other's jobs.
     if job is None or job.spec.member != member:
-        return ToAnswer(JobRejected(f'no open job {job_id!r} of yours'))
+        return ImmediateReply(
+            JobRejected(f'no open job {job_id!r} for this member')
+        )
     if job.cancelled:
-        return ToAnswer(JobCancelledOutcome(job_id))
+        return ImmediateReply(JobCancelledOutcome(job_id))
     if admission.refusal:
-        return ToAnswer(JobRefused(admission.refusal, RETRY_AFTER_MS))
+        return ImmediateReply(JobRefused(admission.refusal, RETRY_AFTER_MS))
     require(
         job.spec.member == member,
         Invariant.member_isolation,
         f'{member} cancels {job_id}',
     )
-    return ToAppend(JobCancelled(job_id, member))
+    return RecordToAppend(JobCancelled(job_id, member))
 
 
-def reply_to(verdict: Verdict, state: DomainState) -> SubmissionOutcome:
-    """Answer a submission or cancellation that was read back.
+def reply_for(verdict: Verdict, state: DomainState) -> SubmissionOutcome:
+    """Build the reply to a submission or cancellation read from the log.
 
-    :param verdict: of its record.
-    :param state: fold of the domain's stream.
-    :returns: the answer.
+    :param verdict: verdict on its record.
+    :param state: state replayed from the domain's stream.
+    :returns: outcome for the member.
     """
     reason = '' if isinstance(verdict, Valid) else verdict.reason
     match verdict.record:
@@ -134,7 +136,7 @@
 _CANCELLED = frozenset(('', 'already cancelled'))
 
 
-def _refuse_spec(spec: JobSpec) -> str:
+def _validate_spec(spec: JobSpec) -> str:
     if len(spec.payload) > PAYLOAD_CHARACTERS:
         return f'payload must have at most {PAYLOAD_CHARACTERS} characters'
     return refuse_job(spec)
--- a/waxwingford/batch/_trackers.py
+++ b/waxwingford/batch/_trackers.py
@@ -1,4 +1,4 @@
-"""What the stream and usage samples tell the placement trackers."""
+"""Feeds the placement trackers from the stream and from usage samples."""
 
 from collections.abc import Iterable, Mapping
 from typing import TypeVar
@@ -28,98 +28,97 @@
     Valid,
 )
 
-#: Weight of a quota or share of 0: such a team gets only what is idle.
-_LEAST_WEIGHT = 0.001
-#: A change of capacity below this does not change the weights of quotas.
-_CAPACITY_CHANGE = 0.1
-_NO_LIMITS = QuarantineLimits()
+#: Weight of a quota or share of 0; such a team gets only idle capacity.
+_MIN_WEIGHT = 0.001
+#: Relative change of capacity from which the weights of quotas are updated.
+_MIN_CAPACITY_CHANGE = 0.1
+_DEFAULT_LIMITS = QuarantineLimits()
 _Name = TypeVar('_Name')
 
 
 class Trackers:
-    """Shares, sizes and failures, kept up with each record that is read.
+    """Shares, sizes and failures, updated with each record that is read.
 
-    The fold decides alone what every daemon must decide alike: which claim
-    wins, and that a task which failed on too many servers is over.  The trackers
-    steer only what this daemon proposes; daemons that differ in them for a
-    moment differ in taste, never in state.  So a verdict of the quarantine
-    tracker on a task is not used: the fold's limit ends it, for all at once.
+    Decisions that all daemons must share, such as which claim wins and when a
+    task has failed for good, are made when the stream is replayed.  The
+    trackers only affect what this daemon proposes and may differ between
+    daemons; the quarantine tracker's verdict on a task is therefore not used.
 
-    :ivar quotas: order of pending tasks.
-    :ivar sizes: corrections of declarations.
-    :ivar quarantine: failures.
+    :ivar quotas: shares of teams, which order the pending tasks.
+    :ivar sizes: measured corrections of declared sizes and run times.
+    :ivar quarantine: failures by server and task.
     """
 
     def __init__(self, fleet: Fleet, quotas: QuotaTracker) -> None:
-        """Start with nothing known.
+        """Create trackers without observations.
 
-        :param fleet: servers.
-        :param quotas: order of pending tasks.
+        :param fleet: servers of the failure domain.
+        :param quotas: shares of teams, which order the pending tasks.
         """
         self.quotas = quotas
         self.sizes = SizeTracker()
         self.quarantine = Quarantine()
         self._fleet = fleet
-        self._offers: frozenset[Resources] = frozenset()
-        self._offer = NOTHING
-        self._capacity = NOTHING
+        self._capacities: frozenset[Resources] = frozenset()
+        self._largest_capacity = NOTHING
+        self._total_capacity = NOTHING
         self._weighed_capacity = NOTHING
         self._running_by_id: dict[str, TaskState] = {}
         self._peak_by_key: dict[TaskKey, Resources] = {}
 
-    def start(self, state: DomainState, now_ms: int) -> None:
-        """Take what a snapshot's state says; costs O(state), once.
+    def restore(self, state: DomainState, now_ms: int) -> None:
+        """Initialize from a snapshot's state, in time linear in its size.
 
-        :param state: fold of the domain's stream.
-        :param now_ms: monotonic time.
+        :param state: state replayed from the domain's stream.
+        :param now_ms: monotonic time, in milliseconds.
         """
         for attempts in state.index.attempts_by_server.values():
             for task_id in attempts:
-                self._sync(task_id, state)
-        # Failures of tasks that are over are not in a snapshot: a daemon that
-        # starts knows a bad server by the tasks that still wait.
+                self._sync_charges(task_id, state)
+        # A snapshot holds no failures of tasks that are over; failed servers
+        # are known from the tasks that are still pending.
         for task in state.index.pending_by_id.values():
             for server_id in task.failed_on:
-                self._note_failed(task.task_id, server_id, now_ms)
+                self._record_failure(task.task_id, server_id, now_ms)
 
     def use_bundle(self, bundle: BundleSettings) -> None:
-        """Put quotas and limits in force.
+        """Apply the quotas and limits of a bundle.
 
-        :param bundle: settings.
+        :param bundle: batch settings of the bundle.
         """
-        self.quarantine.limits = bundle.quarantine or _NO_LIMITS
+        self.quarantine.limits = bundle.quarantine or _DEFAULT_LIMITS
         self._measure_fleet()
-        self._weigh(bundle)
+        self._update_weights(bundle)
 
-    def note_list(self, bundle: BundleSettings) -> None:
-        """Take that the list of servers was read.
+    def update_servers(self, bundle: BundleSettings) -> None:
+        """Update for a new list of servers.
 
-        :param bundle: settings in force.
+        :param bundle: batch settings in force.
         """
         self.quarantine.keep_servers(self._fleet.server_by_id)
         self._measure_fleet()
-        # Shares compare dimensions, so a server more or less hardly matters;
-        # weighing anew costs as much as all pending tasks.
-        is_near = all(
-            abs(now - then) <= _CAPACITY_CHANGE * then
+        # Small changes of capacity hardly affect the shares, and an update
+        # costs time linear in the number of pending tasks.
+        is_similar = all(
+            abs(now - then) <= _MIN_CAPACITY_CHANGE * then
             for now, then in zip(
-                self._capacity, self._weighed_capacity, strict=True
+                self._total_capacity, self._weighed_capacity, strict=True
             )
         )
-        if not is_near:
-            self._weigh(bundle)
+        if not is_similar:
+            self._update_weights(bundle)
 
-    def note(self, verdict: Valid, state: DomainState, now_ms: int) -> None:
-        """Take a record that took effect.
+    def apply(self, verdict: Valid, state: DomainState, now_ms: int) -> None:
+        """Update for a record that took effect.
 
         :param verdict: the record and the attempts that it changed.
-        :param state: fold after it.
-        :param now_ms: monotonic time.
+        :param state: state after the record.
+        :param now_ms: monotonic time, in milliseconds.
         """
-        tasks = [self._sync(key.task_id, state) for key in verdict.keys]
+        tasks = [self._sync_charges(key.task_id, state) for key in verdict.keys]
         match verdict.record:
             case AttemptEnded() as record:
-                self._note_end(record, tasks[0], now_ms)
+                self._record_end(record, tasks[0], now_ms)
             case JobCancelled(job_id=job_id) if job_id not in state.jobs_by_id:
                 self.quarantine.forget_job(job_id)
         for task in tasks:
@@ -127,9 +126,9 @@
                 self._forget(task)
 
     def observe(self, samples: Iterable[UsageSample]) -> None:
-        """Take measured sizes of running tasks.
+        """Record the measured sizes of running tasks.
 
-        :param samples: of one server.
+        :param samples: usage samples of one server.
         """
         for sample in samples:
             for key in sample.running:
@@ -138,37 +137,39 @@
                     before = self._peak_by_key.get(key, NOTHING)
                     self._peak_by_key[key] = largest(before, used)
 
-    def given(self, spec: JobSpec) -> Resources:
-        """Compute what is set aside for a task of a job.
+    def allocation(self, spec: JobSpec) -> Resources:
+        """Compute the resources to allocate to a task of a job.
 
-        A correction that no server offers in one piece is left out: the task
-        would wait for ever.
+        A corrected size that exceeds every server is not used, since the task
+        could never be placed.
 
         :param spec: the job.
-        :returns: the declared size, or more.
+        :returns: the declared or the corrected size.
         """
         size = self.sizes.given(
-            spec.member, spec.kind, spec.resources, self._offer
+            spec.member, spec.kind, spec.resources, self._largest_capacity
         )
         if size == spec.resources or any(
-            fits(size, offer) for offer in self._offers
+            fits(size, capacity) for capacity in self._capacities
         ):
             return size
         return spec.resources
 
-    def run_left_ms(self, task: TaskState) -> int:
-        """Estimate what a task still has to run.
+    def remaining_run_ms(self, task: TaskState) -> int:
+        """Estimate the remaining run time of a task.
 
         :param task: the task.
-        :returns: corrected run time less what it ran, in milliseconds.
+        :returns: corrected run time less the time it ran, in milliseconds.
         """
         spec = task.job.spec
         run_ms = self.sizes.run_ms(spec.member, spec.kind, spec.run_ms)
         return max(0, run_ms - task.ran_ms)
 
-    def _sync(self, task_id: str, state: DomainState) -> TaskState | None:
-        # By state, not by record, so that nothing is counted twice.  What is
-        # charged is the declared size, which is the same for all daemons.
+    def _sync_charges(
+        self, task_id: str, state: DomainState
+    ) -> TaskState | None:
+        # Derived from the state, so that no record is counted twice.  The
+        # declared size is charged, since it is the same for all daemons.
         running = self._running_by_id.get(task_id)
         task = running or state.task(task_id)
         if task is None:
@@ -184,7 +185,7 @@
             self.quotas.release(team, spec.resources)
         return task
 
-    def _note_end(
+    def _record_end(
         self, record: AttemptEnded, task: TaskState | None, now_ms: int
     ) -> None:
         task_id = record.key.task_id
@@ -195,14 +196,16 @@
         if peak is not None:
             self.sizes.observe_use(spec.member, spec.kind, peak)
         if record.how == 'failed':
-            self._note_failed(task_id, record.server_id, now_ms)
+            self._record_failure(task_id, record.server_id, now_ms)
         elif record.how == 'done':
             self.sizes.observe_run(
                 spec.member, spec.kind, spec.run_ms, task.ran_ms
             )
             self.quarantine.succeeded(task_id, record.server_id)
 
-    def _note_failed(self, task_id: str, server_id: str, now_ms: int) -> None:
+    def _record_failure(
+        self, task_id: str, server_id: str, now_ms: int
+    ) -> None:
         count = len(self._fleet.server_by_id)
         self.quarantine.failed(task_id, server_id, now_ms, count)
 
@@ -220,35 +223,37 @@
             )
             for server in self._fleet.server_by_id.values()
         ]
-        self._offers = frozenset(rooms)
-        self._offer = NOTHING
-        for offer in self._offers:
-            self._offer = largest(self._offer, offer)
-        self._capacity = total_of(rooms)
-
-    def _weigh(self, bundle: BundleSettings) -> None:
-        self._weighed_capacity = self._capacity
+        self._capacities = frozenset(rooms)
+        self._largest_capacity = NOTHING
+        for capacity in self._capacities:
+            self._largest_capacity = largest(self._largest_capacity, capacity)
+        self._total_capacity = total_of(rooms)
+
+    def _update_weights(self, bundle: BundleSettings) -> None:
+        self._weighed_capacity = self._total_capacity
         quota_by_team = {
             TeamName(*name.split('/', 1)): max(
-                amount / max(whole, 1)
-                for amount, whole in zip(quota, self._capacity, strict=True)
+                amount / max(total, 1)
+                for amount, total in zip(
+                    quota, self._total_capacity, strict=True
+                )
             )
             for name, quota in bundle.quota_by_team.items()
         }
         self.quotas.reweigh(
-            self._capacity,
+            self._total_capacity,
             _weights(bundle.share_by_member),
             _weights(quota_by_team),
         )
 
 
 def _weights(share_by_name: Mapping[_Name, float]) -> dict[_Name, float]:
-    # The mean weighs 1, as does a name without a share.
+    # Normalized to a mean of 1, the weight of a name without a share.
     total = sum(share_by_name.values())
     if not total:
         return {}
     mean = total / len(share_by_name)
     return {
-        name: max(share / mean, _LEAST_WEIGHT)
+        name: max(share / mean, _MIN_WEIGHT)
         for name, share in share_by_name.items()
     }
--- a/waxwingford/batch/_checked.py
+++ b/waxwingford/batch/_validation.py
@@ -1,11 +1,11 @@
-"""Checks a policy's placements before they become claims."""
+"""Validates a policy's placements before they become claims."""
 
 from collections.abc import Iterable
 
-from waxwingford.batch._effects import Note
+from waxwingford.batch._effects import EmitEvent
 from waxwingford.batch._placing import room_for_claims
 from waxwingford.batch._queue import Offer
-from waxwingford.batch._quotas import Limits
+from waxwingford.batch._quotas import TeamLimits
 from waxwingford.placement import Placement, Quarantine, ServerView
 from waxwingford.ports import (
     Resources,
@@ -16,47 +16,47 @@
 from waxwingford.records import TaskState
 
 
-class CheckedPlacements:
-    """Placements of one round that hold.
+class PlacementValidator:
+    """Validates the placements of one round.
 
-    The policy is a plug-in: a wrong decision of it must neither over-commit a
-    VM nor stop the daemon, so it is left out and noted.
+    The policy is a plug-in; an invalid placement must neither over-commit a VM
+    nor stop the daemon, so it is skipped and reported.
 
-    :ivar placed: placements with their tasks.
-    :ivar left: attempts that found no place.
-    :ivar notes: on placements that were left out.
+    :ivar placed: valid placements with their tasks.
+    :ivar unplaced: keys of tasks that were not placed.
+    :ivar events: events about placements without room.
     """
 
     def __init__(
         self,
         views: list[ServerView],
-        limits: Limits,
+        limits: TeamLimits,
         quarantine: Quarantine,
         now_ms: int,
     ) -> None:
-        """Start a round.
+        """Create a validator for a round.
 
-        :param views: servers as the policy sees them.
+        :param views: servers as shown to the policy.
         :param limits: hard limits of teams.
-        :param quarantine: says when a server in quarantine may get a task.
-        :param now_ms: monotonic time.
+        :param quarantine: decides when a quarantined server may get a task.
+        :param now_ms: monotonic time, in milliseconds.
         """
-        self.left: list[TaskKey] = []
+        self.unplaced: list[TaskKey] = []
         self.placed: list[tuple[Placement, TaskState]] = []
-        self.notes: list[Note] = []
+        self.events: list[EmitEvent] = []
         self._view_by_id = {view.server_id: view for view in views}
         self._room_by_id: dict[str, Resources] = {}
         self._limits = limits
         self._quarantine = quarantine
         self._now_ms = now_ms
 
-    def take_all(
+    def validate(
         self, placements: Iterable[Placement], offers: Iterable[Offer]
     ) -> None:
-        """Check the policy's decisions.
+        """Validate the policy's placements.
 
-        :param placements: decisions.
-        :param offers: tasks that were shown to the policy.
+        :param placements: placements that the policy returned.
+        :param offers: tasks that were offered to the policy.
         """
         offer_by_key = {offer.view.key: offer for offer in offers}
         for placement in placements:
@@ -65,7 +65,7 @@
             if offer is not None and view is not None:
                 if self._take(placement, offer, view):
                     offer_by_key.pop(placement.key)
-        self.left = list(offer_by_key)
+        self.unplaced = list(offer_by_key)
 
     def _take(
         self, placement: Placement, offer: Offer, view: ServerView
@@ -75,11 +75,13 @@
             room = room_for_claims(view)
         if not fits_resources(offer.view.resources, room):
             subject = f'task:{placement.key.task_id}'
-            self.notes.append(Note('policy.no_room', subject, view.server_id))
+            self.events.append(
+                EmitEvent('policy.no_room', subject, view.server_id)
+            )
             return False
         if not self._may_place(offer.task, view):
             return False
-        self._limits.note_claimed(offer.task)
+        self._limits.count_claim(offer.task)
         room = subtract_resources(room, offer.view.resources)
         self._room_by_id[view.server_id] = room
         self.placed.append((placement, offer.task))
--- a/waxwingford/batch/_views.py
+++ b/waxwingford/batch/_views.py
@@ -1,4 +1,4 @@
-"""What members are shown of their jobs, and why a task waits."""
+"""Views of jobs for their members."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -13,20 +13,19 @@
     TaskStage,
 )
 
-_NOTHING = Resources(0, 0, 0)
-#: Tasks shown of one job.
-_TASKS_SHOWN = 200
+_NO_RESOURCES = Resources(0, 0, 0)
+_MAX_TASKS_SHOWN = 200
 _DIMENSIONS = ('processors_milli', 'memory_mb', 'accelerators')
 
 
 class TaskView(NamedTuple):
-    """One task as its member sees it.
+    """One task as shown to its member.
 
-    :ivar task_id: which task.
-    :ivar stage: its stage.
+    :ivar task_id: id of the task.
+    :ivar stage: name of its stage.
     :ivar attempt: number of its newest attempt.
-    :ivar server_id: where that was claimed, empty before the first.
-    :ivar detail: result or last reason.
+    :ivar server_id: id of the server of that attempt; empty before the first.
+    :ivar detail: result, or reason of the last end of an attempt.
     :ivar waits_for: why it is pending; empty if it is not.
     """
 
@@ -39,14 +38,14 @@
 
 
 class JobView(NamedTuple):
-    """One job as its member sees it.
+    """One job as shown to its member.
 
-    :ivar job_id: which job.
-    :ivar member: its owner.
+    :ivar job_id: id of the job.
+    :ivar member: member that owns it.
     :ivar state: ``open``, ``cancelling`` or ``finished``.
-    :ivar count_by_stage: tasks by the name of their stage.
-    :ivar tasks: single tasks; empty in listings and for finished jobs.
-    :ivar reasons: some reasons of failed tasks.
+    :ivar count_by_stage: number of tasks by name of their stage.
+    :ivar tasks: views of tasks; empty in listings and for finished jobs.
+    :ivar reasons: some reasons why tasks failed.
     """
 
     job_id: str
@@ -58,9 +57,9 @@
 
 
 def view_finished(job: FinishedJob) -> JobView:
-    """View a finished job.
+    """Build the view of a finished job.
 
-    :param job: what is kept of it.
+    :param job: summary of the job.
     :returns: the view.
     """
     counts = {
@@ -74,10 +73,10 @@
 
 
 def view_job(job: JobState, tasks: tuple[TaskView, ...] = ()) -> JobView:
-    """View a job that is not finished.
+    """Build the view of a job that is not finished.
 
     :param job: the job.
-    :param tasks: single tasks to show.
+    :param tasks: views of tasks to include.
     :returns: the view.
     """
     counts = {stage.name: 0 for stage in TaskStage}
@@ -90,9 +89,9 @@
 def list_jobs(state: DomainState, member: str) -> list[JobView]:
     """List a member's jobs.
 
-    :param state: fold of the domain's stream.
-    :param member: whose.
-    :returns: views without single tasks; finished jobs last.
+    :param state: state replayed from the domain's stream.
+    :param member: member that owns the jobs.
+    :returns: views without their tasks; finished jobs last.
     """
     return [
         *(
@@ -112,16 +111,16 @@
     state: DomainState,
     job_id: str,
     member: str,
-    why: Callable[[str], str],
+    explain: Callable[[str], str],
 ) -> JobView | None:
-    """Show one job.
-
-    :param state: fold of the domain's stream.
-    :param job_id: which job.
-    :param member: who asks.
-    :param why: says why a task waits, by its id.
-    :returns: the view with its first tasks; nothing if the member has no
-        such job.
+    """Return the view of one job.
+
+    :param state: state replayed from the domain's stream.
+    :param job_id: id of the job.
+    :param member: member that makes the request.
+    :param explain: explains why a task is pending, by its id.
+    :returns: the view with its first tasks; None if the member has no such
+        job.
     """
     job = state.jobs_by_id.get(job_id)
     if job is None:
@@ -138,24 +137,25 @@
             task.attempt,
             task.server_id,
             task.detail,
-            why(task.task_id),
+            explain(task.task_id),
         )
-        for task in job.tasks[:_TASKS_SHOWN]
+        for task in job.tasks[:_MAX_TASKS_SHOWN]
     )
     return view_job(job, tasks)
 
 
-def never_fits(spec: JobSpec, fleet: Fleet) -> str:
-    """Tell whether a task is larger than every server that exists.
+def oversize_reason(spec: JobSpec, fleet: Fleet) -> str:
+    """Explain why the tasks of a job fit on no listed server.
 
-    :param spec: the job.
-    :param fleet: all servers listed; while none is, nothing is said.
-    :returns: which dimension and the largest server; empty if it may fit.
+    :param spec: specification of the job.
+    :param fleet: servers of the failure domain.
+    :returns: the dimensions that are too large and the largest server; empty
+        if a task may fit or no server is listed.
     """
     rooms = [
         subtract_resources(
             server.vm.resources,
-            fleet.reserved_by_service.get(server.vm.service, _NOTHING),
+            fleet.reserved_by_service.get(server.vm.service, _NO_RESOURCES),
         )
         for server in fleet.server_by_id.values()
         if server.listed
@@ -170,5 +170,7 @@
         )
         if needed > most
     ]
-    reason = ', '.join(too_large) or 'no single server has all of it'
+    reason = (
+        ', '.join(too_large) or 'no single server has enough of every resource'
+    )
     return f'larger than any server: {reason}'
