--- a/waxwingford_bench/colocation/_ablations.py
+++ b/waxwingford_bench/colocation/_ablations.py
@@ -1,4 +1,4 @@
-"""Learned policy without attribution by sample time, to show what it buys."""
+"""Ablation of the learned policy: no attribution by sample time."""
 
 import dataclasses
 
@@ -8,12 +8,12 @@
 
 
 class ArrivalAttribution(LearnedPolicy):
-    """Takes every sample to be about what runs when it arrives."""
+    """Attributes every sample to the tasks that run when it arrives."""
 
     def __init__(self, *arguments: object) -> None:
-        """Set up as the learned policy.
+        """Initialise the learned policy.
 
-        :param arguments: see :class:`LearnedPolicy`.
+        :param arguments: passed on to :class:`LearnedPolicy`.
         """
         super().__init__(*arguments)
         self._running_by_server: dict[str, tuple[RunningTask, ...]] = {}
@@ -25,12 +25,12 @@
         received_ms: int,
         kind_by_task_id: dict[str, str],
     ) -> None:
-        """Learn from a sample as if it were of now.
+        """Learn from a sample as if it had been taken on arrival.
 
-        :param server_id: where it was taken.
-        :param sample: the sample.
-        :param received_ms: when it arrived.
-        :param kind_by_task_id: batch kind of the tasks in it.
+        :param server_id: server on which the sample was taken.
+        :param sample: usage of the server and its tasks.
+        :param received_ms: monotonic time of its arrival, in milliseconds.
+        :param kind_by_task_id: batch kind of each task in the sample.
         """
         running = self._running_by_server.get(server_id, ())
         present = dataclasses.replace(
@@ -41,11 +41,11 @@
         super().observe(server_id, present, received_ms, kind_by_task_id)
 
     def react(self, servers: list[ServerView], now_ms: int) -> list[Reaction]:
-        """Remember what runs, and react.
+        """Record the running tasks, then react as the learned policy.
 
-        :param servers: the servers that this daemon holds.
-        :param now_ms: monotonic time.
-        :returns: decisions about running attempts.
+        :param servers: servers that this daemon holds.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: reactions for running attempts.
         """
         for server in servers:
             self._running_by_server[server.server_id] = server.running
--- a/waxwingford_bench/colocation/_attempts.py
+++ b/waxwingford_bench/colocation/_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on emulated servers and what they use."""
+"""Attempts on emulated servers and their resource usage."""
 
 import dataclasses
 from typing import NamedTuple
@@ -7,54 +7,56 @@
 from waxwingford_bench.colocation._truth import KINDS
 from waxwingford_bench.colocation._workload import Task
 
-#: Length of a window of samples.
+#: Length of a sampling window.
 WINDOW_S = 5
-#: What of a run is done again after a checkpoint.
-_REDONE_S = 4
+#: Run time that is repeated after resuming from a checkpoint, in seconds.
+_REWORK_S = 4
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """An attempt on a server.
-
-    :ivar task: what runs.
-    :ivar key: which attempt.
-    :ivar given: what it was given.
-    :ivar started_s: when.
-    :ivar ran_s: run time done in this attempt.
-    :ivar percent: throttle, 100 for none.
-    :ivar leaves_s: when a checkpoint is done; None without one.
-    :ivar ended_s: when it was over; None while it runs.
+    """A running or ended attempt at a task.
+
+    :ivar task: task that the attempt runs.
+    :ivar key: identifier of the attempt.
+    :ivar allocated: resources reserved for it.
+    :ivar started_s: virtual time of its start, in seconds.
+    :ivar ran_s: run time completed in this attempt, in seconds; negative
+        while its checkpoint is fetched.
+    :ivar percent: throttled processor share in percent; 100 if unthrottled.
+    :ivar checkpoint_done_s: virtual time at which its checkpoint completes;
+        None if none was requested.
+    :ivar ended_s: virtual time of its end; None while it runs.
     """
 
     task: Task
     key: TaskKey
-    given: Resources
+    allocated: Resources
     started_s: int
     ran_s: float = 0
     percent: int = 100
-    leaves_s: int | None = None
+    checkpoint_done_s: int | None = None
     ended_s: int | None = None
 
 
 class Ended(NamedTuple):
-    """An attempt that is over.
+    """An ended attempt with its outcome.
 
-    :ivar attempt: which one.
-    :ivar server: index of the server.
-    :ivar how: ``done``, ``failed``, ``checkpointed``, ``stopped``, ``lost``.
+    :ivar attempt: the attempt.
+    :ivar server: index of its server.
+    :ivar outcome: ``done``, ``failed``, ``checkpointed``, ``stopped``, ``lost``.
     """
 
     attempt: Attempt
     server: int
-    how: str
+    outcome: str
 
 
 def cores_by_kind(attempts: dict[TaskKey, Attempt]) -> list[float]:
-    """Add up the cores that attempts use now.
+    """Sum the cores in use by batch kind.
 
-    :param attempts: on one server, by key.
-    :returns: cores in the order of the kinds.
+    :param attempts: attempts on one server, by key.
+    :returns: cores in the order of ``KINDS``.
     """
     cores = dict.fromkeys(KINDS, float(0))
     for attempt in attempts.values():
@@ -63,11 +65,11 @@
 
 
 def mean_use(attempt: Attempt, now_s: int) -> Resources:
-    """Compute what an attempt used over the last window.
+    """Compute the mean usage of an attempt over the last window.
 
-    :param attempt: which one.
-    :param now_s: end of the window.
-    :returns: mean use.
+    :param attempt: running or ended attempt.
+    :param now_s: end of the window, in seconds.
+    :returns: mean usage.
     """
     end_s = now_s if attempt.ended_s is None else attempt.ended_s
     ran_s = end_s - max(attempt.started_s, now_s - WINDOW_S)
@@ -76,10 +78,10 @@
     return used._replace(processors_milli=int(used.processors_milli * share))
 
 
-def redone_s(attempt: Attempt) -> float:
-    """Compute how much of a checkpointed attempt is done again.
+def rework_s(attempt: Attempt) -> float:
+    """Compute the run time that is repeated after a checkpoint.
 
-    :param attempt: which one.
-    :returns: seconds of its run time.
+    :param attempt: checkpointed attempt.
+    :returns: repeated run time, in seconds.
     """
-    return min(_REDONE_S, max(attempt.ran_s, 0))
+    return min(_REWORK_S, max(attempt.ran_s, 0))
--- a/waxwingford_bench/colocation/_backlog.py
+++ b/waxwingford_bench/colocation/_backlog.py
@@ -1,4 +1,4 @@
-"""Pending tasks of an emulated failure domain, kept by the product's trackers."""
+"""Pending tasks of a failure domain, managed by the production trackers."""
 
 from waxwingford.placement import (
     PendingTask,
@@ -22,31 +22,31 @@
 class Backlog:
     """Pending tasks with quotas and corrected sizes.
 
-    :ivar quotas: order of the pending tasks.
+    :ivar quotas: quota tracker, which orders the pending tasks.
     """
 
     def __init__(self, servers: int) -> None:
-        """Start empty.
+        """Create an empty backlog.
 
-        :param servers: servers of the failure domain.
+        :param servers: number of servers in the failure domain.
         """
         self.quotas = QuotaTracker(total_of(_OFFER for _ in range(servers)))
         self._sizes = SizeTracker()
         self._task_by_key: dict[TaskKey, Task] = {}
 
     def can_run(self, task: Task) -> bool:
-        """Tell whether some server is large enough.
+        """Check whether a task fits on an empty server.
 
-        :param task: which one.
-        :returns: False for a task to be refused.
+        :param task: submitted task.
+        :returns: False if the task must be refused.
         """
         return never_fits(task.declared, [_OFFER]) is None
 
     def add(self, task: Task, now_s: int) -> None:
-        """Take a task in, unless it was cancelled.
+        """Add a pending task unless it was cancelled.
 
-        :param task: which one.
-        :param now_s: time of the run, in seconds.
+        :param task: task to add.
+        :param now_s: virtual time, in seconds.
         """
         if task.cancelled:
             return
@@ -73,11 +73,11 @@
         self.quotas.add(pending, now_s * _MS_IN_S)
 
     def take(self, pending: PendingTask, now_s: int) -> Attempt | None:
-        """Take a task out that was placed.
+        """Remove a placed task and charge its quota.
 
-        :param pending: which one.
-        :param now_s: time of the run, in seconds.
-        :returns: its attempt, or None if it was cancelled meanwhile.
+        :param pending: placed task.
+        :param now_s: virtual time, in seconds.
+        :returns: new attempt, or None if the task was cancelled meanwhile.
         """
         task = self._task_by_key.pop(pending.key)
         self.quotas.remove(pending.key)
@@ -87,19 +87,19 @@
         self.quotas.charge(name, pending.resources)
         return Attempt(task, pending.key, pending.resources, now_s)
 
-    def note_over(self, attempt: Attempt) -> None:
-        """Give back what an attempt had, and learn what it used.
+    def record_end(self, attempt: Attempt) -> None:
+        """Release the quota of an ended attempt and record its usage.
 
-        :param attempt: which one.
+        :param attempt: ended attempt.
         """
         task = attempt.task
-        self.quotas.release(TeamName(task.member, task.team), attempt.given)
+        self.quotas.release(TeamName(task.member, task.team), attempt.allocated)
         self._sizes.observe_use(task.member, task.kind, task.used)
 
-    def note_done(self, task: Task) -> None:
-        """Learn the run time of a task that came to its end.
+    def record_completion(self, task: Task) -> None:
+        """Record the run time of a completed task.
 
-        :param task: which one.
+        :param task: completed task.
         """
         declared_ms = int(task.declared_run_s * _MS_IN_S)
         ran_ms = int(task.run_s * _MS_IN_S)
--- a/waxwingford_bench/colocation/_counts.py
+++ b/waxwingford_bench/colocation/_counts.py
@@ -1,4 +1,4 @@
-"""Counters of a run."""
+"""Counters of a benchmark run."""
 
 import dataclasses
 
@@ -7,16 +7,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Counts:
-    """What the report counts.
+    """Counters behind the figures of the report.
 
     :ivar evictions: attempts evicted by the policy.
     :ivar stops: attempts stopped by the policy without a checkpoint.
-    :ivar throttles: throttle commands, lifts included.
-    :ivar refused: tasks that can never run or were given up as bad.
-    :ivar done_core_s: work of tasks that came to their end.
-    :ivar lost_core_s: work done and not kept.
-    :ivar done: tasks done.
-    :ivar done_by_member: work done by member, core seconds.
+    :ivar throttles: throttle commands, including those that lift a throttle.
+    :ivar refused: tasks that fit on no server or were stopped after failures.
+    :ivar done_core_s: work of completed tasks, in core seconds.
+    :ivar lost_core_s: work discarded or repeated, in core seconds.
+    :ivar done: completed tasks.
+    :ivar done_by_member: work of completed tasks by member, in core seconds.
     """
 
     evictions: int = 0
@@ -28,9 +28,9 @@
     done: int = 0
     done_by_member: dict[str, float] = dataclasses.field(default_factory=dict)
 
-    def lose(self, attempt: Attempt) -> None:
-        """Count what an attempt did and nobody kept.
+    def add_lost_work(self, attempt: Attempt) -> None:
+        """Count the work of an attempt that ended without keeping it.
 
-        :param attempt: which one.
+        :param attempt: failed, stopped or lost attempt.
         """
         self.lost_core_s += max(attempt.ran_s, 0) * attempt.task.cores
--- a/waxwingford_bench/colocation/_deployments.py
+++ b/waxwingford_bench/colocation/_deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of the users and the faults that are put to them."""
+"""Emulated deployments, scenarios and injected faults."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 from waxwingford.placement import PolicyWeights
 from waxwingford.ports import Resources
 
-#: Size of every VM and what the service keeps of it.
+#: Size of every VM and the part of it reserved for the service.
 VM_TOTAL = Resources(32_000, 128_000, 0)
 VM_RESERVED = Resources(10_000, 32_000, 0)
 SLOTS = 8
@@ -15,15 +15,15 @@
 
 
 class Deployment(NamedTuple):
-    """One user's machines.
+    """Machines and latency target of one user.
 
-    :ivar name: of the user.
+    :ivar name: name of the user.
     :ivar service: its latency-critical service.
-    :ivar servers: backend servers.
-    :ivar domains: failure domains.
-    :ivar rack_size: servers in a rack.
-    :ivar median_ms: median of the service's run time alone, in milliseconds.
-    :ivar weights: what its bundle sets.
+    :ivar servers: number of backend servers.
+    :ivar domains: number of failure domains.
+    :ivar rack_size: servers per rack.
+    :ivar median_ms: median service time without colocated tasks, in milliseconds.
+    :ivar weights: policy weights set in its bundle.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 
 class Fault(enum.Enum):
-    """What goes wrong in a scenario."""
+    """Fault injected in a scenario."""
 
     none = 'none'
     load_shift = 'load_shift'
@@ -72,10 +72,11 @@
 class Scenario:
     """Conditions of a run.
 
-    :ivar name: for the report.
-    :ivar fault: what goes wrong.
-    :ivar lag_s: age of a sample when it arrives, in seconds.
-    :ivar load: offered load of the service alone, share of its slots.
+    :ivar name: name in the report.
+    :ivar fault: injected fault.
+    :ivar lag_s: age of a sample on arrival, in seconds.
+    :ivar load: offered load of the service without colocated tasks, as a
+        share of its slots.
     """
 
     name: str
--- a/waxwingford_bench/colocation/_matrix.py
+++ b/waxwingford_bench/colocation/_matrix.py
@@ -1,4 +1,4 @@
-"""All runs of a report, spread over processes."""
+"""Matrix of benchmark runs, executed in a pool of processes."""
 
 import functools
 import itertools
@@ -20,23 +20,23 @@
 
 BASELINES = ('random', 'least_loaded', 'best_fit', 'evict_at_once')
 LEARNED = 'learned'
-#: Marks a learned policy with one mechanism off.
-WITHOUT = 'learned without '
+#: Prefix in the name of a learned policy with one mechanism disabled.
+ABLATION_PREFIX = 'learned without '
 _ATTRIBUTION = 'attribution'
-#: Seeds that the policy's constants were chosen with.
+#: Seeds used to tune the constants of the learned policy.
 TUNING_SEEDS = (1, 2, 3, 4)
 REPORTING_SEEDS = (101, 102, 103, 104, 105)
-#: Scenarios in which mechanisms are switched off one by one.
-_ABLATED = ('load_shift', 'lag_30s')
+#: Scenarios in which each mechanism is disabled in turn.
+_ABLATION_SCENARIOS = ('load_shift', 'lag_30s')
 
 
 class Run(NamedTuple):
-    """What is run.
+    """Parameters of one run.
 
-    :ivar deployment: whose machines.
-    :ivar scenario: conditions.
-    :ivar policy: registered name, or a learned one without a mechanism.
-    :ivar seed: of truth, work and noise.
+    :ivar deployment: emulated deployment.
+    :ivar scenario: conditions of the run.
+    :ivar policy: registered name, or the name of an ablation.
+    :ivar seed: seed of interference, jobs and noise.
     """
 
     deployment: Deployment
@@ -46,44 +46,50 @@
 
 
 class Outcome(NamedTuple):
-    """What a run gave.
+    """Figures of one run.
 
-    :ivar run: which.
-    :ivar figures: what was measured.
+    :ivar run: parameters of the run.
+    :ivar figures: measured figures.
     """
 
     run: Run
     figures: Figures
 
 
-def plan(seeds: Iterable[int], quick: bool, ablations: bool) -> list[Run]:
-    """List all runs.
+def list_runs(seeds: Iterable[int], quick: bool, ablations: bool) -> list[Run]:
+    """List the runs of the report.
 
     :param seeds: reporting seeds.
-    :param quick: only one scenario of each deployment and no ablations.
-    :param ablations: whether mechanisms are switched off one by one.
-    :returns: runs.
+    :param quick: whether to run one scenario per deployment, no ablations.
+    :param ablations: whether to disable each mechanism in turn as well.
+    :returns: parameters of each run.
     """
     scenarios = SCENARIOS[1:2] if quick else SCENARIOS
     names = (LEARNED, *BASELINES)
     runs = list(itertools.product(DEPLOYMENTS, scenarios, names, seeds))
     if ablations and not quick:
-        ablated = [entry for entry in SCENARIOS if entry.name in _ABLATED]
-        switched = (_ATTRIBUTION, *Mechanisms._fields)
-        without = [f'{WITHOUT}{name}' for name in switched]
-        runs += itertools.product(DEPLOYMENTS, ablated, without, seeds)
+        ablation_scenarios = [
+            entry for entry in SCENARIOS if entry.name in _ABLATION_SCENARIOS
+        ]
+        mechanism_names = (_ATTRIBUTION, *Mechanisms._fields)
+        ablated_policies = [
+            f'{ABLATION_PREFIX}{name}' for name in mechanism_names
+        ]
+        runs += itertools.product(
+            DEPLOYMENTS, ablation_scenarios, ablated_policies, seeds
+        )
     return list(itertools.starmap(Run, runs))
 
 
 def run_all(runs: list[Run], processes: int) -> list[Outcome]:
-    """Run everything.
+    """Execute runs in parallel.
 
-    :param runs: what to run.
-    :param processes: how many at once.
+    :param runs: runs to execute.
+    :param processes: number of worker processes.
     :returns: outcomes in the order of the runs.
     """
-    # Started afresh, not forked: forked children would share the state of
-    # this process's random numbers and libraries.
+    # Forked workers would inherit the state of random generators and
+    # libraries.
     context = multiprocessing.get_context('spawn')
     with context.Pool(processes) as pool:
         return pool.map(_run, runs, chunksize=4)
@@ -100,9 +106,9 @@
 def _factory(
     name: str,
 ) -> Callable[[Mapping[str, PolicyWeights], int], ColocationPolicy]:
-    if not name.startswith(WITHOUT):
+    if not name.startswith(ABLATION_PREFIX):
         return policies.get(name)
-    mechanism = name.removeprefix(WITHOUT)
+    mechanism = name.removeprefix(ABLATION_PREFIX)
     if mechanism == _ATTRIBUTION:
         return ArrivalAttribution
     off = {mechanism: False}
--- a/waxwingford_bench/colocation/_plots.py
+++ b/waxwingford_bench/colocation/_plots.py
@@ -1,4 +1,4 @@
-"""Pictures of the report: tail against work, and evictions."""
+"""Bar charts of tail latency, completed work and evictions."""
 
 import itertools
 import pathlib
@@ -7,7 +7,7 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from waxwingford_bench.colocation._matrix import WITHOUT
+from waxwingford_bench.colocation._matrix import ABLATION_PREFIX
 from waxwingford_bench.colocation._report import Cell
 
 use_backend('Agg')
@@ -17,13 +17,15 @@
 
 
 def draw(cells: list[Cell], output: pathlib.Path) -> list[pathlib.Path]:
-    """Draw one picture for each deployment and figure.
+    """Draw one chart for each deployment and figure.
 
-    :param cells: all cells.
-    :param output: an existing directory.
-    :returns: files written.
+    :param cells: cells of the report.
+    :param output: existing output directory.
+    :returns: paths of the charts.
     """
-    shown = [cell for cell in cells if not cell.policy.startswith(WITHOUT)]
+    shown = [
+        cell for cell in cells if not cell.policy.startswith(ABLATION_PREFIX)
+    ]
     names = dict.fromkeys(cell.deployment for cell in shown)
     return [
         _draw_one(
--- a/waxwingford_bench/colocation/_report.py
+++ b/waxwingford_bench/colocation/_report.py
@@ -1,4 +1,4 @@
-"""Report of all runs: medians and spread by cell, verdicts, text and JSON."""
+"""Text and JSON report: medians, ranges and comparison with baselines."""
 
 import itertools
 import json
@@ -14,7 +14,11 @@
     TUNING_SEEDS,
     Outcome,
 )
-from waxwingford_bench.colocation._run import DECIDE_S, LENGTH_S, Figures
+from waxwingford_bench.colocation._run import (
+    DECISION_INTERVAL_S,
+    DURATION_S,
+    Figures,
+)
 
 _COLUMNS = (
     ('p50_ms', 'p50', '{:6.0f}'),
@@ -31,13 +35,13 @@
 
 
 class Cell(NamedTuple):
-    """All seeds of one policy under one scenario.
+    """Figures of one policy under one scenario, for all seeds.
 
-    :ivar deployment: name.
-    :ivar scenario: name.
-    :ivar policy: name.
-    :ivar target_ms: target of the service's 99th percentile.
-    :ivar figures_by_seed: figures.
+    :ivar deployment: name of the deployment.
+    :ivar scenario: name of the scenario.
+    :ivar policy: name of the policy.
+    :ivar target_ms: target for the 99th percentile of response times.
+    :ivar figures_by_seed: figures by seed.
     """
 
     deployment: str
@@ -47,17 +51,17 @@
     figures_by_seed: dict[int, Figures]
 
     def median(self, field: str) -> float:
-        """Compute a median over the seeds.
+        """Compute the median of a figure over the seeds.
 
-        :param field: of the figures.
+        :param field: field of the figures.
         :returns: the median.
         """
         return statistics.median(self.column(field))
 
     def column(self, field: str) -> list[float]:
-        """List a figure by seed.
+        """List the values of a figure.
 
-        :param field: of the figures.
+        :param field: field of the figures.
         :returns: values in order of the seeds.
         """
         return [
@@ -66,17 +70,18 @@
 
 
 class Verdict(NamedTuple):
-    """Learned against the baselines in one scenario.
-
-    :ivar deployment: name.
-    :ivar scenario: name.
-    :ivar seeds: how many.
-    :ivar met: seeds in which learned meets the target.
-    :ivar baseline_met: seeds in which some baseline meets it.
-    :ivar missed: seeds in which a baseline meets it and learned does not.
-    :ivar work_ratio: median of learned work by that of the best baseline
-        that meets the target; None if none does in any seed.
-    :ivar eviction_ratio: learned evictions by those of evict_at_once.
+    """Comparison of the learned policy with the baselines in one scenario.
+
+    :ivar deployment: name of the deployment.
+    :ivar scenario: name of the scenario.
+    :ivar seeds: number of seeds.
+    :ivar met: seeds in which the learned policy meets the target.
+    :ivar baseline_met: seeds in which some baseline meets the target.
+    :ivar missed: seeds in which a baseline meets the target and the learned
+        policy does not.
+    :ivar work_ratio: median over seeds of learned work divided by that of
+        the best baseline within the target; None if no baseline meets it.
+    :ivar eviction_ratio: learned evictions divided by those of evict_at_once.
     """
 
     deployment: str
@@ -92,7 +97,7 @@
 def group(outcomes: Iterable[Outcome]) -> list[Cell]:
     """Group runs by deployment, scenario and policy.
 
-    :param outcomes: of all runs.
+    :param outcomes: outcomes of all runs.
     :returns: cells in the order of the runs.
     """
     cell_by_name: dict[tuple[str, str, str], Cell] = {}
@@ -104,15 +109,15 @@
     return list(cell_by_name.values())
 
 
-def judge(cells: list[Cell]) -> list[Verdict]:
-    """Compare learned with the baselines of the same seeds.
+def compare_with_baselines(cells: list[Cell]) -> list[Verdict]:
+    """Compare the learned policy with the baselines, seed by seed.
 
-    :param cells: all cells.
+    :param cells: cells of all policies.
     :returns: one verdict for each deployment and scenario.
     """
     cell_by_name = {cell[:3]: cell for cell in cells}
     return [
-        _judge_one(
+        _compare_cell(
             cell,
             [cell_by_name[(*cell[:2], name)] for name in BASELINES],
         )
@@ -121,31 +126,33 @@
     ]
 
 
-def _judge_one(learned: Cell, baselines: list[Cell]) -> Verdict:
-    meets = _meeting_seeds(learned)
+def _compare_cell(learned: Cell, baselines: list[Cell]) -> Verdict:
+    met_seeds = _seeds_within_target(learned)
     best_by_seed = {
         seed: max(works)
         for seed in learned.figures_by_seed
-        if (works := _meeting_works(baselines, seed))
+        if (works := _work_within_target(baselines, seed))
     }
     ratios = [
         learned.figures_by_seed[seed].core_h / best
         for seed, best in best_by_seed.items()
     ]
-    at_once = next(cell for cell in baselines if cell.policy == 'evict_at_once')
+    evict_at_once = next(
+        cell for cell in baselines if cell.policy == 'evict_at_once'
+    )
     return Verdict(
         learned.deployment,
         learned.scenario,
         len(learned.figures_by_seed),
-        len(meets),
+        len(met_seeds),
         len(best_by_seed),
-        len(best_by_seed.keys() - meets),
+        len(best_by_seed.keys() - met_seeds),
         statistics.median(ratios) if ratios else None,
-        learned.median('evictions') / max(at_once.median('evictions'), 1),
+        learned.median('evictions') / max(evict_at_once.median('evictions'), 1),
     )
 
 
-def _meeting_seeds(cell: Cell) -> set[int]:
+def _seeds_within_target(cell: Cell) -> set[int]:
     return {
         seed
         for seed, figures in cell.figures_by_seed.items()
@@ -153,25 +160,25 @@
     }
 
 
-def _meeting_works(cells: list[Cell], seed: int) -> list[float]:
+def _work_within_target(cells: list[Cell], seed: int) -> list[float]:
     return [
         cell.figures_by_seed[seed].core_h
         for cell in cells
-        if seed in _meeting_seeds(cell)
+        if seed in _seeds_within_target(cell)
     ]
 
 
 def format_text(cells: list[Cell], seeds: list[int]) -> str:
-    """Write the report for people.
+    """Format the report as text.
 
-    :param cells: all cells.
+    :param cells: cells of the report.
     :param seeds: reporting seeds.
-    :returns: text.
+    :returns: text of the report.
     """
     lines = [
         'Colocation policies in virtual time',
         f'reporting seeds {seeds}; tuning seeds {list(TUNING_SEEDS)}',
-        f'{LENGTH_S} s a run, decisions each {DECIDE_S} s; medians over seeds',
+        f'{DURATION_S} s a run, decisions each {DECISION_INTERVAL_S} s; medians over seeds',
         'p50, p99, p99.9: response times of the service, ms; [..]: p99 range;',
         'met: seeds with p99 within target; over: share of 10 s windows of',
         'servers over target; work, lost: core hours; unfair: largest by',
@@ -186,7 +193,7 @@
         lines += ['', f'{deployment} / {scenario}, {target}', _header()]
         lines += map(_row, block)
     lines += ['', 'Learned against baselines, by seed']
-    lines += map(_verdict_row, judge(cells))
+    lines += map(_verdict_row, compare_with_baselines(cells))
     return '\n'.join([*lines, ''])
 
 
@@ -202,7 +209,7 @@
         shape.format(cell.median(field)) for field, _, shape in _COLUMNS
     )
     p99s = cell.column('p99_ms')
-    met = f'{len(_meeting_seeds(cell))}/{len(p99s)}'
+    met = f'{len(_seeds_within_target(cell))}/{len(p99s)}'
     spread = f'[{min(p99s):.0f}-{max(p99s):.0f}]'
     return f'{cell.policy:30}{figures}  {met}  {spread}'
 
@@ -223,12 +230,12 @@
 def write_report(
     cells: list[Cell], seeds: list[int], output: pathlib.Path
 ) -> str:
-    """Write text and JSON into a directory.
+    """Write the report as text and JSON.
 
-    :param cells: all cells.
+    :param cells: cells of the report.
     :param seeds: reporting seeds.
-    :param output: an existing directory.
-    :returns: the text.
+    :param output: existing output directory.
+    :returns: text of the report.
     """
     text = format_text(cells, seeds)
     (output / 'colocation.txt').write_text(text)
@@ -237,7 +244,9 @@
         'default_reporting_seeds': list(REPORTING_SEEDS),
         'tuning_seeds': list(TUNING_SEEDS),
         'cells': [_as_json(cell) for cell in cells],
-        'verdicts': [verdict._asdict() for verdict in judge(cells)],
+        'verdicts': [
+            verdict._asdict() for verdict in compare_with_baselines(cells)
+        ],
     }
     (output / 'colocation.json').write_text(json.dumps(document, indent=1))
     return text
--- a/waxwingford_bench/colocation/_run.py
+++ b/waxwingford_bench/colocation/_run.py
@@ -1,4 +1,4 @@
-"""One run of one policy under one scenario and seed."""
+"""Simulation of one policy under one scenario and seed."""
 
 import functools
 import itertools
@@ -14,38 +14,38 @@
     Deployment,
     Scenario,
 )
-from waxwingford_bench.colocation._faults import offered_load, strike
+from waxwingford_bench.colocation._faults import apply_fault, offered_load
 from waxwingford_bench.colocation._scheduler import Domain
 from waxwingford_bench.colocation._truth import draw_kinds
 from waxwingford_bench.colocation._workload import Job, draw_jobs
 from waxwingford_bench.colocation._world import World
 
-LENGTH_S = 600
-#: Windows over which a server is or is not over its target.
+DURATION_S = 600
+#: Window over which each server is compared with its latency target.
 _WINDOW_S = 10
 _BIN_EDGES_MS = np.geomspace(1, 20_000, 2000)
 _QUANTILES = (0.5, 0.99, 0.999)
-#: Time between rounds of decisions of a daemon.
-DECIDE_S = 2
+#: Time between two decision rounds of a daemon.
+DECISION_INTERVAL_S = 2
 
 Factory = Callable[[Mapping[str, PolicyWeights], int], ColocationPolicy]
 
 
 class Figures(NamedTuple):
-    """What one run measured.
+    """Figures measured in one run.
 
     :ivar p50_ms: median response time of the service.
     :ivar p99_ms: 99th percentile over all servers and the whole run.
-    :ivar p999_ms: 99.9th percentile.
-    :ivar over_share: share of 10 s windows of servers over the target.
-    :ivar core_h: batch work done to its end, core hours.
-    :ivar lost_core_h: batch work done and not kept, core hours.
-    :ivar evictions: attempts evicted.
+    :ivar p999_ms: 99.9th percentile of the same.
+    :ivar over_share: share of 10 s server windows with p99 over the target.
+    :ivar core_h: work of completed tasks, in core hours.
+    :ivar lost_core_h: work discarded or repeated, in core hours.
+    :ivar evictions: evicted attempts.
     :ivar throttles: throttle commands.
-    :ivar refused: tasks refused or given up.
-    :ivar unfairness: largest by smallest share of members in work done
-        against what they submitted, at most their equal quota.
-    :ivar violations: decisions that would have over-committed a VM.
+    :ivar refused: tasks refused, or stopped after failures.
+    :ivar unfairness: largest divided by smallest of the members' ratios of
+        completed work to submitted work, the latter capped at equal quota.
+    :ivar violations: rejected placements that would over-commit a VM.
     """
 
     p50_ms: float
@@ -61,8 +61,8 @@
     violations: int
 
 
-class _Tail:
-    """Histogram of response times and share of time over target."""
+class _ResponseTimes:
+    """Histogram of response times and share of windows over target."""
 
     def __init__(self, target_ms: float) -> None:
         self._target_ms = target_ms
@@ -77,7 +77,7 @@
             return
         window = np.concatenate(self._window, axis=1)
         self._window = []
-        # A server that went down within the window has no complete figure.
+        # Excludes servers that were down during part of the window.
         window = window[~np.isnan(window).any(axis=1)]
         p99s = np.percentile(window, 99, axis=1)
         self._over += int((p99s > self._target_ms).sum())
@@ -104,73 +104,77 @@
         scenario: Scenario,
         factory: Factory,
         seed: int,
-        length_s: int,
+        duration_s: int,
     ) -> None:
-        self._length_s = length_s
+        self._duration_s = duration_s
         kinds = draw_kinds(np.random.default_rng([seed, 1]))
         self.jobs = draw_jobs(
             deployment,
             scenario.fault,
             kinds,
-            length_s,
+            duration_s,
             np.random.default_rng([seed, 2]),
         )
         self.counts = Counts()
-        self.tail = _Tail(deployment.weights.target_p99_ms)
+        self.response_times = _ResponseTimes(deployment.weights.target_p99_ms)
         self._scenario = scenario
-        self._waiting = list(reversed(self.jobs))
+        self._future_jobs = list(reversed(self.jobs))
         noise = np.random.default_rng([seed, 3])
         self._world = World(deployment, scenario, kinds, noise)
         self.domains = [
-            self._domain(part, deployment, factory, seed)
-            for part in range(deployment.domains)
+            self._make_domain(domain_index, deployment, factory, seed)
+            for domain_index in range(deployment.domains)
         ]
 
     def step(self, now_s: int) -> None:
         self._submit(now_s)
-        offered = offered_load(self._scenario, now_s, self._length_s)
+        offered = offered_load(self._scenario, now_s, self._duration_s)
         times, ended = self._world.step(offered, now_s)
-        self.tail.add(times)
-        lost = strike(
+        self.response_times.add(times)
+        lost = apply_fault(
             self._scenario.fault,
-            now_s / self._length_s,
+            now_s / self._duration_s,
             self._world,
             self.domains,
             self.jobs,
         )
         for end in itertools.chain(ended, lost):
-            part = end.server * len(self.domains) // len(self._world.up)
-            self.domains[part].ended(end, now_s)
-        samples = self._world.arrived(now_s)
+            domain_index = end.server * len(self.domains) // len(self._world.up)
+            self.domains[domain_index].handle_end(end, now_s)
+        samples = self._world.take_arrived_samples(now_s)
         for domain in self.domains:
             domain.observe(samples, now_s)
-            if now_s % DECIDE_S == 0:
+            if now_s % DECISION_INTERVAL_S == 0:
                 domain.decide(now_s)
 
     def _submit(self, now_s: int) -> None:
-        while self._waiting and self._waiting[-1].at_s < now_s:
-            job = self._waiting.pop()
+        while self._future_jobs and self._future_jobs[-1].submit_s < now_s:
+            job = self._future_jobs.pop()
             for task in job.tasks:
                 self.domains[job.domain].submit(task, now_s)
 
-    def _domain(
+    def _make_domain(
         self,
-        part: int,
+        domain_index: int,
         deployment: Deployment,
         factory: Factory,
         seed: int,
     ) -> Domain:
         weights = {deployment.service: deployment.weights}
         size = deployment.servers // deployment.domains
-        makers = [
-            functools.partial(_make, factory, weights, seed * 1000 + daemon)
-            for daemon in range(part, DAEMONS, deployment.domains)
+        policy_factories = [
+            functools.partial(
+                _make_policy, factory, weights, seed * 1000 + daemon
+            )
+            for daemon in range(domain_index, DAEMONS, deployment.domains)
         ]
-        servers = list(range(part * size, (part + 1) * size))
-        return Domain(deployment, self._world, servers, makers, self.counts)
+        servers = list(range(domain_index * size, (domain_index + 1) * size))
+        return Domain(
+            deployment, self._world, servers, policy_factories, self.counts
+        )
 
 
-def _make(
+def _make_policy(
     factory: Factory,
     weights: Mapping[str, PolicyWeights],
     seed: int,
@@ -184,40 +188,42 @@
     scenario: Scenario,
     factory: Factory,
     seed: int,
-    length_s: int = LENGTH_S,
+    duration_s: int = DURATION_S,
 ) -> Figures:
-    """Run a policy in virtual time.
+    """Simulate a policy in virtual time.
 
-    :param deployment: whose machines.
-    :param scenario: conditions.
-    :param factory: makes a policy for each daemon.
-    :param seed: of truth, work and noise; the same for every policy.
-    :param length_s: length of the run, in seconds.
+    :param deployment: emulated deployment.
+    :param scenario: conditions of the run.
+    :param factory: creates the policy of each daemon.
+    :param seed: seed of interference, jobs and noise.
+    :param duration_s: length of the run, in seconds.
     :returns: figures of the run.
     """
-    run = _Run(deployment, scenario, factory, seed, length_s)
-    for second in range(length_s):
+    run = _Run(deployment, scenario, factory, seed, duration_s)
+    for second in range(duration_s):
         run.step(second + 1)
-    return _figures(run.tail, run.counts, run.domains, run.jobs)
+    return _make_figures(run.response_times, run.counts, run.domains, run.jobs)
 
 
-def _figures(
-    tail: _Tail,
+def _make_figures(
+    response_times: _ResponseTimes,
     counts: Counts,
     domains: list[Domain],
     jobs: list[Job],
 ) -> Figures:
-    asked: dict[str, float] = {}
+    submitted_work: dict[str, float] = {}
     for task in itertools.chain.from_iterable(job.tasks for job in jobs):
-        asked[task.member] = asked.get(task.member, 0) + task.cores * task.run_s
-    quota = sum(asked.values()) / len(asked)
+        submitted_work[task.member] = (
+            submitted_work.get(task.member, 0) + task.cores * task.run_s
+        )
+    quota = sum(submitted_work.values()) / len(submitted_work)
     shares = [
         counts.done_by_member.get(member, 0) / min(work, quota)
-        for member, work in asked.items()
+        for member, work in submitted_work.items()
     ]
     return Figures(
-        *(tail.quantile_ms(share) for share in _QUANTILES),
-        tail.over_share,
+        *(response_times.quantile_ms(share) for share in _QUANTILES),
+        response_times.over_share,
         counts.done_core_s / 3600,
         counts.lost_core_s / 3600,
         counts.evictions,
--- a/waxwingford_bench/colocation/_scheduler.py
+++ b/waxwingford_bench/colocation/_scheduler.py
@@ -1,7 +1,6 @@
-"""Daemons of a failure domain around the policy under test.
+"""Emulated daemons that run the policy under test.
 
-Imitates what ``waxwingford.batch`` does around a policy: quotas, corrected
-sizes and quarantine are the product's own, the same for every policy.
+Quotas, size correction and quarantine are those of ``waxwingford.placement``.
 """
 
 from collections.abc import Callable
@@ -20,7 +19,7 @@
     subtract,
 )
 from waxwingford.ports import UsageSample
-from waxwingford_bench.colocation._attempts import Attempt, Ended, redone_s
+from waxwingford_bench.colocation._attempts import Attempt, Ended, rework_s
 from waxwingford_bench.colocation._backlog import Backlog
 from waxwingford_bench.colocation._counts import Counts
 from waxwingford_bench.colocation._deployments import (
@@ -39,101 +38,108 @@
 _OFFER = subtract(VM_TOTAL, VM_RESERVED)
 _ORDER_LIMIT = 16
 _SMALLEST_MILLI = 2000
-#: Attempts of a lost server are proved over after so long.
-_PROVED_OVER_S = 20
+#: Delay until attempts of a lost server are known to have ended.
+_LOSS_CONFIRMED_S = 20
 
-PolicyMaker = Callable[[int], ColocationPolicy]
+PolicyFactory = Callable[[int], ColocationPolicy]
 
 
 class Domain:
-    """A failure domain: its pending tasks, its servers and its daemons."""
+    """A failure domain: pending tasks, servers and daemons.
+
+    :ivar policies: policy of each daemon.
+    :ivar violations: rejected placements that would over-commit a VM.
+    """
 
     def __init__(
         self,
         deployment: Deployment,
         world: World,
         servers: list[int],
-        makers: list[PolicyMaker],
+        policy_factories: list[PolicyFactory],
         counts: Counts,
     ) -> None:
-        """Set up.
+        """Create the policies of all daemons.
 
-        :param deployment: whose machines.
-        :param world: the servers.
+        :param deployment: emulated deployment.
+        :param world: all emulated servers.
         :param servers: indexes of the servers of this failure domain.
-        :param makers: one for each daemon.
-        :param counts: shared by all failure domains of the run.
+        :param policy_factories: policy factory of each daemon.
+        :param counts: counters shared by all failure domains of the run.
         """
         self._deployment = deployment
         self._world = world
-        self._makers = makers
+        self._policy_factories = policy_factories
         self._counts = counts
-        self.policies = [maker(0) for maker in makers]
+        self.policies = [
+            policy_factory(0) for policy_factory in policy_factories
+        ]
         self._servers_by_daemon = [
-            servers[index :: len(makers)] for index in range(len(makers))
+            servers[index :: len(policy_factories)]
+            for index in range(len(policy_factories))
         ]
         self._backlog = Backlog(len(servers))
         self._quarantine = Quarantine()
         self._server_count = len(servers)
         self._kind_by_task_id: dict[str, str] = {}
-        self._returning: list[tuple[int, Task]] = []
-        self._tried_by_daemon: dict[int, object] = {}
-        self._changes = 0
+        self._delayed_tasks: list[tuple[int, Task]] = []
+        self._placed_revision_by_daemon: dict[int, object] = {}
+        self._revision = 0
         self.violations = 0
 
     def restart(self, generation: int) -> None:
-        """Restart every second daemon: its policy forgets what it learned.
+        """Restart every second daemon with a fresh policy.
 
-        :param generation: makes the new seed differ.
+        :param generation: number of the restart, part of the new seed.
         """
         for index in range(0, len(self.policies), 2):
-            self.policies[index] = self._makers[index](generation)
+            self.policies[index] = self._policy_factories[index](generation)
 
     def submit(self, task: Task, now_s: int) -> None:
-        """Take a task in, or refuse it if it can never run.
+        """Enqueue a task, or refuse it if it fits on no server.
 
-        :param task: the task.
-        :param now_s: time of the run, in seconds.
+        :param task: submitted task.
+        :param now_s: virtual time, in seconds.
         """
         self._kind_by_task_id[task.task_id] = task.kind
         if self._backlog.can_run(task):
-            self._pend(task, now_s)
+            self._enqueue(task, now_s)
         else:
             self._counts.refused += 1
 
-    def ended(self, end: Ended, now_s: int) -> None:
-        """Take note of an attempt that is over.
+    def handle_end(self, end: Ended, now_s: int) -> None:
+        """Account for an ended attempt and enqueue its task if needed.
 
-        :param end: which one and how.
-        :param now_s: time of the run, in seconds.
+        :param end: ended attempt with its outcome.
+        :param now_s: virtual time, in seconds.
         """
         attempt = end.attempt
         task = attempt.task
         server_id = f'w{end.server}'
-        self._backlog.note_over(attempt)
+        self._backlog.record_end(attempt)
         task.attempt += 1
-        self._changes += 1
-        match end.how:
+        self._revision += 1
+        match end.outcome:
             case 'done':
-                self._done(task, server_id)
+                self._record_done(task, server_id)
             case 'checkpointed':
-                self._checkpointed(attempt, server_id, now_s)
+                self._record_checkpoint(attempt, server_id, now_s)
             case 'failed':
-                self._failed(attempt, server_id, now_s)
+                self._record_failure(attempt, server_id, now_s)
             case _:
-                self._counts.lose(attempt)
-                late = 0 if end.how == 'stopped' else _PROVED_OVER_S
-                self._returning.append((now_s + late, task))
+                self._counts.add_lost_work(attempt)
+                delay_s = 0 if end.outcome == 'stopped' else _LOSS_CONFIRMED_S
+                self._delayed_tasks.append((now_s + delay_s, task))
 
     def observe(self, samples: list[UsageSample | None], now_s: int) -> None:
-        """Hand samples to the daemons that hold their servers.
+        """Pass samples to the daemons that hold the servers.
 
-        :param samples: one for each server of the deployment, or none.
-        :param now_s: time of the run, in seconds.
+        :param samples: one per server of the deployment, or an empty list.
+        :param now_s: virtual time, in seconds.
         """
         if not samples:
             return
-        self._changes += 1
+        self._revision += 1
         for policy, servers in zip(
             self.policies,
             self._servers_by_daemon,
@@ -150,24 +156,27 @@
                     )
 
     def decide(self, now_s: int) -> None:
-        """Let every daemon react and place.
+        """Run one decision round of every daemon.
 
-        :param now_s: time of the run, in seconds.
+        :param now_s: virtual time, in seconds.
         """
-        due = [task for at_s, task in self._returning if at_s <= now_s]
-        self._returning = [
-            entry for entry in self._returning if entry[0] > now_s
+        due = [task for due_s, task in self._delayed_tasks if due_s <= now_s]
+        self._delayed_tasks = [
+            entry for entry in self._delayed_tasks if entry[0] > now_s
         ]
         for task in due:
-            self._pend(task, now_s)
+            self._enqueue(task, now_s)
         daemons = list(zip(self.policies, self._servers_by_daemon, strict=True))
-        turn = now_s // 2 % len(daemons)
-        for policy, servers in daemons[turn:] + daemons[:turn]:
-            self._react_of(policy, servers, now_s)
-            # Nothing changed since the last round: it would decide the same.
-            if self._tried_by_daemon.get(servers[0]) != self._changes:
-                self._tried_by_daemon[servers[0]] = self._changes
-                self._place_of(policy, servers, now_s)
+        first = now_s // 2 % len(daemons)
+        for policy, servers in daemons[first:] + daemons[:first]:
+            self._react(policy, servers, now_s)
+            # Skips placement if nothing changed since the last attempt.
+            if (
+                self._placed_revision_by_daemon.get(servers[0])
+                != self._revision
+            ):
+                self._placed_revision_by_daemon[servers[0]] = self._revision
+                self._place(policy, servers, now_s)
 
     def _views(self, servers: list[int], now_s: int) -> list[ServerView]:
         return [
@@ -182,7 +191,7 @@
             if self._world.up[server]
         ]
 
-    def _react_of(
+    def _react(
         self,
         policy: ColocationPolicy,
         servers: list[int],
@@ -190,9 +199,9 @@
     ) -> None:
         views = self._views(servers, now_s)
         for reaction in policy.react(views, now_s * _MS_IN_S):
-            self._carry_out(reaction, servers, now_s)
+            self._apply(reaction, servers, now_s)
 
-    def _place_of(
+    def _place(
         self,
         policy: ColocationPolicy,
         servers: list[int],
@@ -219,11 +228,11 @@
             if attempt is not None:
                 self._world.start(int(server_id[1:]), attempt)
 
-    def _pend(self, task: Task, now_s: int) -> None:
+    def _enqueue(self, task: Task, now_s: int) -> None:
         self._backlog.add(task, now_s)
-        self._changes += 1
+        self._revision += 1
 
-    def _carry_out(
+    def _apply(
         self,
         reaction: Reaction,
         servers: list[int],
@@ -240,38 +249,40 @@
                 attempt.percent = percent
                 self._counts.throttles += 1
             case Evict():
-                self._counts.evictions += attempt.leaves_s is None
+                self._counts.evictions += attempt.checkpoint_done_s is None
                 self._world.checkpoint(server, reaction.key, now_s)
             case Stop():
                 self._counts.stops += 1
                 self._world.attempts[server].pop(reaction.key)
-                self.ended(Ended(attempt, server, 'stopped'), now_s)
+                self.handle_end(Ended(attempt, server, 'stopped'), now_s)
 
-    def _done(self, task: Task, server_id: str) -> None:
+    def _record_done(self, task: Task, server_id: str) -> None:
         self._quarantine.succeeded(task.task_id, server_id)
-        self._backlog.note_done(task)
+        self._backlog.record_completion(task)
         work = task.cores * task.run_s
         self._counts.done += 1
         self._counts.done_core_s += work
         by_member = self._counts.done_by_member
         by_member[task.member] = by_member.get(task.member, 0) + work
 
-    def _checkpointed(
+    def _record_checkpoint(
         self,
         attempt: Attempt,
         server_id: str,
         now_s: int,
     ) -> None:
         task = attempt.task
-        again_s = redone_s(attempt)
-        self._counts.lost_core_s += again_s * task.cores
-        task.progress_s += max(attempt.ran_s, 0) - again_s
+        repeated_s = rework_s(attempt)
+        self._counts.lost_core_s += repeated_s * task.cores
+        task.progress_s += max(attempt.ran_s, 0) - repeated_s
         task.checkpoint_server = server_id
-        self._pend(task, now_s)
+        self._enqueue(task, now_s)
 
-    def _failed(self, attempt: Attempt, server_id: str, now_s: int) -> None:
+    def _record_failure(
+        self, attempt: Attempt, server_id: str, now_s: int
+    ) -> None:
         task = attempt.task
-        self._counts.lose(attempt)
+        self._counts.add_lost_work(attempt)
         task.failed_on = (*task.failed_on, server_id)
         verdict = self._quarantine.failed(
             task.task_id,
@@ -283,4 +294,4 @@
             self._counts.refused += 1
         else:
             task.failed_on = self._quarantine.failed_on(task.task_id)
-            self._pend(task, now_s)
+            self._enqueue(task, now_s)
--- a/waxwingford_bench/colocation/_truth.py
+++ b/waxwingford_bench/colocation/_truth.py
@@ -1,4 +1,4 @@
-"""What is true of the emulated servers; policies never see this module."""
+"""Ground truth of interference and queueing, hidden from the policies."""
 
 from typing import NamedTuple
 
@@ -14,80 +14,82 @@
     'stock_sync',
     'live_update',
 )
-#: Spread of service times: standard deviation of their logarithm.
+#: Standard deviation of the logarithm of service times.
 SERVICE_SIGMA = 0.5
-#: Lower and upper end of the slowdown by four cores of a kind.
+#: Smallest and largest slowdown caused by the reference cores of a kind.
 _EFFECT_RANGE = (0.008, 0.12)
-#: Load at which the effects are stated.
+#: Load at which the effects are defined.
 _REFERENCE_LOAD = 0.5
-_UNIT_CORES = 4
-#: How much worse two neighbours are together than one by one.
+_REFERENCE_CORES = 4
+#: Coefficient of the quadratic term of combined interference.
 _SYNERGY = 0.3
-_SAKASEGAWA = (2 * (SLOTS + 1)) ** 0.5 - 1
-#: Seconds of queue after which requests are refused.
-_BACKLOG_S = 0.25
-_FULL = 0.98
+_SAKASEGAWA_EXPONENT = (2 * (SLOTS + 1)) ** 0.5 - 1
+#: Queue length in seconds beyond which requests are dropped.
+_MAX_BACKLOG_S = 0.25
+_MAX_UTILISATION = 0.98
 #: Half of one plus the squared coefficient of variation of service times.
-_WAIT_SHAPE = np.exp(SERVICE_SIGMA**2) / 2
+_VARIABILITY_FACTOR = np.exp(SERVICE_SIGMA**2) / 2
 
 
 class Kind(NamedTuple):
-    """Ground truth of a batch kind beside the service.
+    """Interference between a batch kind and the service.
 
-    :ivar name: of the kind.
-    :ivar effect: slowdown of the service by four cores of it.
-    :ivar load_power: how the effect grows with the service's load.
-    :ivar own_slowdown: slowdown of the task itself at full load.
+    :ivar name: name of the kind.
+    :ivar effect: relative slowdown of the service by the reference cores.
+    :ivar load_exponent: exponent of the effect in the service's load.
+    :ivar task_slowdown: relative slowdown of the task at full service load.
     """
 
     name: str
     effect: float
-    load_power: float
-    own_slowdown: float
+    load_exponent: float
+    task_slowdown: float
 
 
-def draw_kinds(random: np.random.Generator) -> dict[str, Kind]:
-    """Draw the hidden interference of every kind.
+def draw_kinds(rng: np.random.Generator) -> dict[str, Kind]:
+    """Draw the interference of every kind.
 
-    :param random: of the run's seed.
-    :returns: truth by kind.
+    :param rng: seeded generator.
+    :returns: interference by name of the kind.
     """
     low, high = np.log(_EFFECT_RANGE)
     grid = np.linspace(low, high, len(KINDS))
-    effects = np.exp(
-        random.permutation(grid) + random.normal(0, 0.2, len(KINDS))
-    )
+    effects = np.exp(rng.permutation(grid) + rng.normal(0, 0.2, len(KINDS)))
     return {
         name: Kind(
             name,
             float(effect),
-            float(random.choice([0, 1, 2])),
-            float(random.uniform(0.05, 0.5)),
+            float(rng.choice([0, 1, 2])),
+            float(rng.uniform(0.05, 0.5)),
         )
         for name, effect in zip(KINDS, effects, strict=True)
     }
 
 
-def pressures_by_kind(kinds: dict[str, Kind], load: np.ndarray) -> np.ndarray:
-    """Compute what one core of each kind adds to each server.
+def interference_per_core(
+    kinds: dict[str, Kind], load: np.ndarray
+) -> np.ndarray:
+    """Compute the interference of one core of each kind on each server.
 
-    :param kinds: hidden truth.
-    :param load: present share of busy slots, by server.
-    :returns: share of slowdown, (servers, kinds).
+    :param kinds: interference by name of the kind.
+    :param load: share of busy slots by server.
+    :returns: relative slowdown per core, of shape (servers, kinds).
     """
-    effects = np.array([kinds[name].effect for name in KINDS]) / _UNIT_CORES
-    powers = np.array([kinds[name].load_power for name in KINDS])
+    effects = (
+        np.array([kinds[name].effect for name in KINDS]) / _REFERENCE_CORES
+    )
+    exponents = np.array([kinds[name].load_exponent for name in KINDS])
     relative = np.maximum(load, 0.05) / _REFERENCE_LOAD
-    return effects * _column(relative) ** powers
+    return effects * _column(relative) ** exponents
 
 
-def slowdown(pressures: np.ndarray) -> np.ndarray:
-    """Compute how much slower the service runs.
+def slowdown(interference: np.ndarray) -> np.ndarray:
+    """Compute the slowdown of the service.
 
-    :param pressures: sum over the tasks, by server.
-    :returns: factor on service times, 1 or more.
+    :param interference: sum over the tasks by server.
+    :returns: factor on service times, at least 1.
     """
-    return 1 + pressures + _SYNERGY * pressures * pressures
+    return 1 + interference + _SYNERGY * interference * interference
 
 
 def _column(by_server: np.ndarray) -> np.ndarray:
@@ -95,13 +97,17 @@
 
 
 class Queue:
-    """Queues of the service on all servers, advanced by one second each."""
+    """Request queues of the service on all servers, in steps of one second.
+
+    :ivar utilisation: share of busy slots by server.
+    """
 
     def __init__(self, servers: int, median_ms: float) -> None:
-        """Start empty.
+        """Create empty queues.
 
-        :param servers: how many.
-        :param median_ms: median service time alone, in milliseconds.
+        :param servers: number of servers.
+        :param median_ms: median service time without colocated tasks, in
+            milliseconds.
         """
         self.utilisation = np.zeros(servers)
         self._backlog_s = np.zeros(servers)
@@ -112,26 +118,30 @@
         self,
         offered: np.ndarray,
         factor: np.ndarray,
-        random: np.random.Generator,
+        rng: np.random.Generator,
         requests: int,
     ) -> np.ndarray:
-        """Let a second pass.
+        """Advance by one second and draw response times.
 
-        :param offered: load alone, share of the slots.
+        :param offered: load without colocated tasks, as a share of the slots.
         :param factor: slowdown by server.
-        :param random: of the run's seed.
-        :param requests: response times to draw for each server.
-        :returns: response times in milliseconds, (servers, requests).
+        :param rng: seeded generator.
+        :param requests: number of response times to draw per server.
+        :returns: response times in milliseconds, of shape (servers, requests).
         """
-        wanted = offered * factor
-        self._backlog_s = np.clip(self._backlog_s + wanted - 1, 0, _BACKLOG_S)
-        used = np.minimum(wanted, _FULL)
+        demand = offered * factor
+        self._backlog_s = np.clip(
+            self._backlog_s + demand - 1, 0, _MAX_BACKLOG_S
+        )
+        used = np.minimum(demand, _MAX_UTILISATION)
         self.utilisation = np.where(self._backlog_s > 0, 1.0, used)
-        waits = used**_SAKASEGAWA
-        mean_wait = _WAIT_SHAPE * self._mean_ms * factor / (SLOTS * (1 - used))
+        wait_probability = used**_SAKASEGAWA_EXPONENT
+        mean_wait = (
+            _VARIABILITY_FACTOR * self._mean_ms * factor / (SLOTS * (1 - used))
+        )
         shape = (len(offered), requests)
-        service = np.exp(random.normal(0, SERVICE_SIGMA, shape))
+        service = np.exp(rng.normal(0, SERVICE_SIGMA, shape))
         service *= _column(self._median_ms * factor)
-        waited = random.random(shape) < _column(waits)
-        queued = random.exponential(1.0, shape) * _column(mean_wait)
-        return service + waited * queued + _column(self._backlog_s) * 1000
+        has_waited = rng.random(shape) < _column(wait_probability)
+        queued = rng.exponential(1.0, shape) * _column(mean_wait)
+        return service + has_waited * queued + _column(self._backlog_s) * 1000
--- a/waxwingford_bench/colocation/_views.py
+++ b/waxwingford_bench/colocation/_views.py
@@ -1,4 +1,4 @@
-"""What the daemons of the emulator show to a policy."""
+"""Views of emulated servers and attempts that are passed to a policy."""
 
 from waxwingford.placement import RunningTask, ServerView, free_on
 from waxwingford_bench.colocation._attempts import Attempt
@@ -22,14 +22,14 @@
     is_quarantined: bool,
     now_s: int,
 ) -> ServerView:
-    """View a server as its holder sees it.
+    """Build the view of a server that its holder passes to a policy.
 
-    :param deployment: whose machines.
-    :param world: servers.
+    :param deployment: emulated deployment.
+    :param world: emulated servers.
     :param server: index of the server.
-    :param is_quarantined: whether it gets only probation work.
-    :param now_s: time of the run, in seconds.
-    :returns: the view.
+    :param is_quarantined: whether the server is in quarantine.
+    :param now_s: virtual time, in seconds.
+    :returns: view for the policy.
     """
     return ServerView(
         f'w{server}',
@@ -38,7 +38,7 @@
         VM_TOTAL,
         VM_RESERVED,
         tuple(
-            running(attempt, now_s)
+            view_attempt(attempt, now_s)
             for attempt in world.attempts[server].values()
         ),
         quarantined=is_quarantined,
@@ -46,33 +46,33 @@
     )
 
 
-def running(attempt: Attempt, now_s: int) -> RunningTask:
-    """View an attempt.
+def view_attempt(attempt: Attempt, now_s: int) -> RunningTask:
+    """Build the view of a running attempt.
 
-    :param attempt: which one.
-    :param now_s: time of the run, in seconds.
-    :returns: the view.
+    :param attempt: running attempt.
+    :param now_s: virtual time, in seconds.
+    :returns: view for the policy.
     """
     task = attempt.task
-    left_s = task.declared_run_s - task.progress_s - max(attempt.ran_s, 0)
-    left_ms = int(max(left_s, 0) * _MS_IN_S)
+    remaining_s = task.declared_run_s - task.progress_s - max(attempt.ran_s, 0)
+    remaining_ms = int(max(remaining_s, 0) * _MS_IN_S)
     return RunningTask(
         attempt.key,
         task.member,
         task.team,
         task.kind,
-        attempt.given,
+        attempt.allocated,
         int(max(attempt.ran_s, 0) * _MS_IN_S),
         attempt.percent < _FULL_PERCENT,
-        slack_ms(task, left_ms, now_s),
+        slack_ms(task, remaining_ms, now_s),
     )
 
 
 def has_room(views: list[ServerView]) -> bool:
-    """Tell whether the smallest task would fit on a server.
+    """Check whether some server has processors free for the smallest task.
 
-    :param views: of the servers.
-    :returns: whether placing is worth a try.
+    :param views: views of the servers.
+    :returns: whether placement can succeed.
     """
     return any(
         free.processors_milli >= _SMALLEST_MILLI for free in map(free_on, views)
@@ -80,12 +80,13 @@
 
 
 def slack_ms(task: Task, run_ms: int, now_s: int) -> int | None:
-    """Compute a task's slack.
+    """Compute the slack of a task.
 
-    :param task: which one.
-    :param run_ms: run time left, in milliseconds.
-    :param now_s: time of the run, in seconds.
-    :returns: time to its deadline less that, in milliseconds.
+    :param task: pending or running task.
+    :param run_ms: remaining run time, in milliseconds.
+    :param now_s: virtual time, in seconds.
+    :returns: time to the deadline minus the remaining run time, in
+        milliseconds; None without a deadline.
     """
     if task.deadline_s is None:
         return None
--- a/waxwingford_bench/colocation/_workload.py
+++ b/waxwingford_bench/colocation/_workload.py
@@ -1,4 +1,4 @@
-"""Batch jobs that come in: true sizes and what their members declare."""
+"""Random batch jobs with true and declared resource usage."""
 
 import dataclasses
 from typing import NamedTuple
@@ -15,10 +15,10 @@
 from waxwingford_bench.colocation._truth import KINDS, Kind
 
 MEMBERS = ('north', 'south', 'west')
-#: Share of the work that each member submits; quotas are equal.
+#: Share of the jobs that each member submits; quotas are equal.
 _MEMBER_SHARES = (0.5, 0.3, 0.2)
 _TEAMS = ('night', 'day')
-#: Work submitted against what all cores left to batch could do.
+#: Submitted work relative to the capacity left for batch.
 _DEMAND = 1.15
 _MEAN_RUN_S = 110
 _MEAN_CORES = 4.2
@@ -33,24 +33,25 @@
 
 @dataclasses.dataclass(slots=True)
 class Task:
-    """A task with its truth and its declaration.
+    """A task with its true and declared resource usage.
 
     :ivar task_id: ``<member>.<job>/<index>``.
-    :ivar member: owner.
-    :ivar team: team of the owner.
+    :ivar member: member that owns it.
+    :ivar team: team of the member.
     :ivar kind: batch kind.
     :ivar declared: declared size.
-    :ivar declared_run_s: declared run time.
-    :ivar used: what it really uses.
-    :ivar run_s: true run time alone and unthrottled.
+    :ivar declared_run_s: declared run time, in seconds.
+    :ivar used: true resource usage.
+    :ivar run_s: true run time without interference or throttling, in seconds.
     :ivar priority: 0 to 100.
-    :ivar deadline_s: when it should be done; None without a deadline.
-    :ivar submitted_s: when it came.
-    :ivar progress_s: part of the run time that is done and kept.
+    :ivar deadline_s: virtual time of its deadline; None without one.
+    :ivar submitted_s: virtual time of its submission.
+    :ivar progress_s: run time kept in its last checkpoint, in seconds.
     :ivar attempt: number of the next attempt.
-    :ivar checkpoint_server: where its last checkpoint was taken.
+    :ivar checkpoint_server: server that took its last checkpoint; empty
+        without one.
     :ivar failed_on: servers on which attempts failed.
-    :ivar cancelled: its member gave it up.
+    :ivar cancelled: whether its member cancelled it.
     """
 
     task_id: str
@@ -72,7 +73,7 @@
 
     @property
     def cores(self) -> float:
-        """Compute the cores that it really uses.
+        """Return the true processor usage.
 
         :returns: cores.
         """
@@ -82,12 +83,12 @@
 class Job(NamedTuple):
     """Tasks submitted together.
 
-    :ivar at_s: when.
-    :ivar domain: to which failure domain.
-    :ivar tasks: its tasks.
+    :ivar submit_s: virtual time of submission, in seconds.
+    :ivar domain: index of the failure domain that receives it.
+    :ivar tasks: tasks of the job.
     """
 
-    at_s: int
+    submit_s: int
     domain: int
     tasks: list[Task]
 
@@ -96,58 +97,58 @@
     deployment: Deployment,
     fault: Fault,
     kinds: dict[str, Kind],
-    length_s: int,
-    random: np.random.Generator,
+    duration_s: int,
+    rng: np.random.Generator,
 ) -> list[Job]:
     """Draw all jobs of a run.
 
-    :param deployment: whose machines.
-    :param fault: what goes wrong.
-    :param kinds: truth, to choose the noisiest kind for a wave.
-    :param length_s: length of the run, in seconds.
-    :param random: of the run's seed.
-    :returns: jobs in order of time.
+    :param deployment: emulated deployment.
+    :param fault: injected fault.
+    :param kinds: interference, which decides the kind of a noisy wave.
+    :param duration_s: length of the run, in seconds.
+    :param rng: seeded generator.
+    :returns: jobs in order of submission.
     """
     cores = VM_TOTAL.processors_milli - VM_RESERVED.processors_milli
-    work = deployment.servers * cores / _MILLI * length_s * _DEMAND
+    work = deployment.servers * cores / _MILLI * duration_s * _DEMAND
     count = int(work / (_MEAN_RUN_S * _MEAN_CORES * _MEAN_TASKS))
     spread = 1.0 if fault is Fault.wrong_declarations else 0.4
-    times = np.sort(random.integers(0, length_s, count))
-    # A backlog stands at the start, as at the beginning of a night.
+    times = np.sort(rng.integers(0, duration_s, count))
+    # A quarter of the jobs is submitted at the start as an initial backlog.
     times = np.where(np.arange(count) < count // 4, 0, times)
     jobs = [
         _draw_job(
             str(index),
-            int(at_s),
+            int(submit_s),
             deployment,
             spread,
-            length_s,
-            random,
+            duration_s,
+            rng,
         )
-        for index, at_s in enumerate(times)
+        for index, submit_s in enumerate(times)
     ]
     if fault is Fault.noisy_wave:
-        jobs += _draw_wave(deployment, kinds, length_s, random)
-    return sorted(jobs, key=lambda job: job.at_s)
+        jobs += _draw_wave(deployment, kinds, duration_s, rng)
+    return sorted(jobs, key=lambda job: job.submit_s)
 
 
 def _draw_job(
     name: str,
-    at_s: int,
+    submit_s: int,
     deployment: Deployment,
     spread: float,
-    length_s: int,
-    random: np.random.Generator,
+    duration_s: int,
+    rng: np.random.Generator,
 ) -> Job:
-    member = str(random.choice(MEMBERS, p=_MEMBER_SHARES))
-    team = str(random.choice(_TEAMS))
-    kind = str(random.choice(KINDS))
-    priority = int(random.choice([0, 0, 20]))
-    has_deadline = bool(random.binomial(1, _DEADLINE_SHARE))
-    deadline_s = length_s * 0.95 if has_deadline else None
-    cores = int(random.integers(2, 7))
-    declared = Resources(cores * _MILLI, int(random.integers(4, 16)) * 1024, 0)
-    if spread >= 1 and random.random() < _IMPOSSIBLE_SHARE:
+    member = str(rng.choice(MEMBERS, p=_MEMBER_SHARES))
+    team = str(rng.choice(_TEAMS))
+    kind = str(rng.choice(KINDS))
+    priority = int(rng.choice([0, 0, 20]))
+    has_deadline = bool(rng.binomial(1, _DEADLINE_SHARE))
+    deadline_s = duration_s * 0.95 if has_deadline else None
+    cores = int(rng.integers(2, 7))
+    declared = Resources(cores * _MILLI, int(rng.integers(4, 16)) * 1024, 0)
+    if spread >= 1 and rng.random() < _IMPOSSIBLE_SHARE:
         declared = declared._replace(memory_mb=VM_TOTAL.memory_mb)
     tasks = [
         _draw_task(
@@ -162,24 +163,24 @@
                 0,
                 priority,
                 deadline_s,
-                at_s,
+                submit_s,
             ),
             spread,
-            random,
+            rng,
         )
-        for number in range(int(random.integers(1, 7)))
+        for number in range(int(rng.integers(1, 7)))
     ]
-    return Job(at_s, int(random.integers(deployment.domains)), tasks)
+    return Job(submit_s, int(rng.integers(deployment.domains)), tasks)
 
 
 def _draw_task(
     task: Task,
     spread: float,
-    random: np.random.Generator,
+    rng: np.random.Generator,
 ) -> Task:
-    task.run_s = float(_MEAN_RUN_S * np.exp(random.normal(-0.18, 0.6)))
-    task.declared_run_s = task.run_s * float(np.exp(random.normal(0, spread)))
-    factor = float(np.exp(random.normal(-0.3, 0.5 * (spread - 0.2))))
+    task.run_s = float(_MEAN_RUN_S * np.exp(rng.normal(-0.18, 0.6)))
+    task.declared_run_s = task.run_s * float(np.exp(rng.normal(0, spread)))
+    factor = float(np.exp(rng.normal(-0.3, 0.5 * (spread - 0.2))))
     if spread < 1:
         factor = min(factor, 1.0)
     task.used = Resources(
@@ -193,19 +194,19 @@
 def _draw_wave(
     deployment: Deployment,
     kinds: dict[str, Kind],
-    length_s: int,
-    random: np.random.Generator,
+    duration_s: int,
+    rng: np.random.Generator,
 ) -> list[Job]:
     noisiest = max(kinds.values(), key=lambda kind: kind.effect).name
-    at_s = int(length_s * 0.4)
+    submit_s = int(duration_s * 0.4)
     jobs = [
         _draw_job(
             f'{_WAVE}{index}',
-            at_s,
+            submit_s,
             deployment,
             0.4,
-            length_s,
-            random,
+            duration_s,
+            rng,
         )
         for index in range(int(deployment.servers * _WAVE_TASKS_PER_SERVER / 3))
     ]
@@ -216,9 +217,9 @@
 
 
 def is_wave(job: Job) -> bool:
-    """Tell whether a job belongs to the noisy wave.
+    """Check whether a job belongs to the noisy wave.
 
-    :param job: any job.
+    :param job: any job of the run.
     :returns: whether it does.
     """
     return f'.job{_WAVE}' in job.tasks[0].task_id
--- a/waxwingford_bench/colocation/cost.py
+++ b/waxwingford_bench/colocation/cost.py
@@ -1,8 +1,4 @@
-"""Sub-command ``cost``: processor time of decisions by servers held.
-
-Servers are those of a whole region; a daemon holds its share of them, and its
-own share is what its processor time depends on.
-"""
+"""Sub-command ``cost``: processor time of policy decisions in one daemon."""
 
 import argparse
 import random
@@ -27,20 +23,20 @@
 _RESERVED = Resources(10_000, 32_000, 0)
 _TASK = Resources(1200, 6000, 0)
 _TASKS_PER_SERVER = 16
-_PENDING = 6
+_PENDING_TASKS = 6
 _ROUNDS = 20
-_STEP_MS = 1000
+_ROUND_MS = 1000
 _WINDOW_S = 5
-_PER_DAEMON = (3, 24, 90, 360)
+_SERVERS_PER_DAEMON = (3, 24, 90, 360)
 
 
 class Cost(NamedTuple):
     """Processor time of one daemon.
 
-    :ivar servers: servers that it holds.
-    :ivar placement_us: for each task placed, in microseconds.
-    :ivar reaction_us: for each pass over all its servers, in microseconds.
-    :ivar sample_us: for each sample, in microseconds.
+    :ivar servers: number of servers that it holds.
+    :ivar placement_us: time per pending task, in microseconds.
+    :ivar reaction_us: time per pass over all servers, in microseconds.
+    :ivar sample_us: time per sample, in microseconds.
     """
 
     servers: int
@@ -57,7 +53,9 @@
     """
     parser = argparse.ArgumentParser('waxwingford-bench cost')
     parser.add_argument('--policy', default='learned')
-    parser.add_argument('--servers', type=int, nargs='+', default=_PER_DAEMON)
+    parser.add_argument(
+        '--servers', type=int, nargs='+', default=_SERVERS_PER_DAEMON
+    )
     options = parser.parse_args(argv)
     load_plugins(['waxwingford.colocation'])
     sys.stdout.write(
@@ -77,40 +75,42 @@
 
 
 def measure(name: str, count: int) -> Cost:
-    """Measure one daemon.
+    """Measure the processor time of one daemon.
 
-    :param name: of the policy.
-    :param count: servers that it holds.
-    :returns: its costs.
+    :param name: registered name of the policy.
+    :param count: number of servers that it holds.
+    :returns: processor times.
     """
     weights = {_SERVICE: PolicyWeights(120, 0.5, 0.5)}
     policy = policies.get(name)(weights, 1)
-    numbers = random.Random(1)
-    servers = [_server(index, numbers) for index in range(count)]
+    rng = random.Random(1)
+    servers = [_server(index, rng) for index in range(count)]
     spent_ns = [0, 0, 0]
-    for turn in range(_ROUNDS):
-        now_ms = turn * _STEP_MS
-        spent_ns[0] += _observe(policy, servers, now_ms, numbers)
+    for round_number in range(_ROUNDS):
+        now_ms = round_number * _ROUND_MS
+        spent_ns[0] += _observe(policy, servers, now_ms, rng)
         began_ns = time.process_time_ns()
         policy.react(servers, now_ms)
         spent_ns[1] += time.process_time_ns() - began_ns
-        pending = [_pending(turn, index) for index in range(_PENDING)]
+        pending = [
+            _pending(round_number, index) for index in range(_PENDING_TASKS)
+        ]
         began_ns = time.process_time_ns()
         policy.place(pending, servers, now_ms)
         spent_ns[2] += time.process_time_ns() - began_ns
     return Cost(
         count,
-        spent_ns[2] / 1000 / _ROUNDS / _PENDING,
+        spent_ns[2] / 1000 / _ROUNDS / _PENDING_TASKS,
         spent_ns[1] / 1000 / _ROUNDS,
         spent_ns[0] / 1000 / _ROUNDS / count * _WINDOW_S,
     )
 
 
 def _core_percent(cost: Cost) -> float:
-    # A second of a daemon: six starts (48 in a failure domain of eight), one
-    # reaction pass, and one sample for each five servers (windows of 5 s).
+    # Per second: one placement round, one reaction pass, and one sample of
+    # every server per sampling window.
     spent_us = (
-        _PENDING * cost.placement_us
+        _PENDING_TASKS * cost.placement_us
         + cost.reaction_us
         + cost.servers / _WINDOW_S * cost.sample_us
     )
@@ -121,17 +121,17 @@
     policy: ColocationPolicy,
     servers: list[ServerView],
     now_ms: int,
-    numbers: random.Random,
+    rng: random.Random,
 ) -> int:
     spent_ns = 0
-    # Each server reports once in five seconds.
-    for server in servers[now_ms // _STEP_MS % _WINDOW_S :: _WINDOW_S]:
+    # Each server reports once per sampling window.
+    for server in servers[now_ms // _ROUND_MS % _WINDOW_S :: _WINDOW_S]:
         sample = UsageSample(
             5000,
             5000,
             _SERVICE,
             server.busy_share,
-            numbers.uniform(60, 90),
+            rng.uniform(60, 90),
             tuple(task.key for task in server.running),
             {task.key.task_id: task.resources for task in server.running},
         )
@@ -142,13 +142,13 @@
     return spent_ns
 
 
-def _server(index: int, numbers: random.Random) -> ServerView:
+def _server(index: int, rng: random.Random) -> ServerView:
     running = tuple(
         RunningTask(
             TaskKey(f'member.job{index}/{number}', 1),
             'member',
             'team',
-            numbers.choice(_KINDS),
+            rng.choice(_KINDS),
             _TASK,
             60_000,
         )
@@ -161,13 +161,13 @@
         _TOTAL,
         _RESERVED,
         running,
-        busy_share=numbers.uniform(0.2, 0.5),
+        busy_share=rng.uniform(0.2, 0.5),
     )
 
 
-def _pending(turn: int, index: int) -> PendingTask:
+def _pending(round_number: int, index: int) -> PendingTask:
     return PendingTask(
-        TaskKey(f'member.new{turn}/{index}', 1),
+        TaskKey(f'member.new{round_number}/{index}', 1),
         'member',
         'team',
         _KINDS[index % len(_KINDS)],
--- a/waxwingford_bench/colocation/main.py
+++ b/waxwingford_bench/colocation/main.py
@@ -1,4 +1,4 @@
-"""Sub-command ``colocation``: policies under faults, in virtual time."""
+"""Sub-command ``colocation``: compares policies under faults."""
 
 import argparse
 import pathlib
@@ -6,7 +6,7 @@
 
 from waxwingford_bench.colocation._matrix import (
     REPORTING_SEEDS,
-    plan,
+    list_runs,
     run_all,
 )
 from waxwingford_bench.colocation._plots import draw
@@ -23,7 +23,7 @@
     output = pathlib.Path(options.output)
     output.mkdir(parents=True, exist_ok=True)
     seeds = options.seeds[:2] if options.quick else options.seeds
-    runs = plan(seeds, options.quick, options.ablations)
+    runs = list_runs(seeds, options.quick, options.ablations)
     cells = group(run_all(runs, options.processes))
     sys.stdout.write(write_report(cells, seeds, output))
     sys.stdout.writelines(f'{path}\n' for path in draw(cells, output))
--- a/waxwingford_bench/colocation/tests/emulator.feature
+++ b/waxwingford_bench/colocation/tests/emulator.feature
@@ -15,8 +15,7 @@
       | learned       | wrong_declarations |
       | evict_at_once | bad_server         |
 
-  # Symptom: a policy looks good because it sees what no daemon can see.
-  # Cause: samples that arrive before their lag is over.
+  # Guards against delivering samples early, which would favour a policy.
   Scenario: A sample arrives no sooner than its lag
     When an emulated server runs 60 s with a lag of 30 s
     Then its first sample arrives after 35 s and says that it is 30 s old
--- a/waxwingford_bench/colocation/tests/emulator_steps.py
+++ b/waxwingford_bench/colocation/tests/emulator_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the emulator behind the colocation benchmark."""
+"""Steps for the emulator of the colocation benchmark."""
 
 import numpy as np
 from behave import then, when
@@ -50,14 +50,12 @@
 
 @when('an emulated server runs {seconds:d} s with a lag of {lag:d} s')
 def run_world(context, seconds, lag):
-    numbers = np.random.default_rng(1)
-    world = World(
-        QADRI, Scenario('lag', lag_s=lag), draw_kinds(numbers), numbers
-    )
+    rng = np.random.default_rng(1)
+    world = World(QADRI, Scenario('lag', lag_s=lag), draw_kinds(rng), rng)
     context.arrivals = []
     for second in range(seconds):
         world.step(0.3, second + 1)
-        samples = world.arrived(second + 1)
+        samples = world.take_arrived_samples(second + 1)
         if samples:
             context.arrivals.append((second + 1, samples[0]))
 
