--- a/waxwingford_bench/colocation/_attempts.py
+++ b/waxwingford_bench/colocation/_attempts.py
@@ -44,7 +44,8 @@
 
     :ivar attempt: the attempt.
     :ivar server: index of its server.
-    :ivar outcome: ``done``, ``failed``, ``checkpointed``, ``stopped``, ``lost``.
+    :ivar outcome: ``done``, ``failed``, ``checkpointed``, ``stopped`` or
+        ``lost``.
     """
 
     attempt: Attempt
--- a/waxwingford_bench/colocation/_deployments.py
+++ b/waxwingford_bench/colocation/_deployments.py
@@ -22,7 +22,8 @@
     :ivar servers: number of backend servers.
     :ivar domains: number of failure domains.
     :ivar rack_size: servers per rack.
-    :ivar median_ms: median service time without colocated tasks, in milliseconds.
+    :ivar median_ms: median service time without colocated tasks, in
+        milliseconds.
     :ivar weights: policy weights set in its bundle.
     """
 
--- a/waxwingford_bench/colocation/_report.py
+++ b/waxwingford_bench/colocation/_report.py
@@ -178,7 +178,8 @@
     lines = [
         'Colocation policies in virtual time',
         f'reporting seeds {seeds}; tuning seeds {list(TUNING_SEEDS)}',
-        f'{DURATION_S} s a run, decisions each {DECISION_INTERVAL_S} s; medians over seeds',
+        f'{DURATION_S} s a run, decisions each {DECISION_INTERVAL_S} s; '
+        'medians over seeds',
         'p50, p99, p99.9: response times of the service, ms; [..]: p99 range;',
         'met: seeds with p99 within target; over: share of 10 s windows of',
         'servers over target; work, lost: core hours; unfair: largest by',
--- a/waxwingford_bench/virtual/actions.py
+++ b/waxwingford_bench/virtual/actions.py
@@ -1,4 +1,4 @@
-"""Actions on a virtual failure domain: their registry, and the work."""
+"""Registry of actions on a virtual failure domain, and batch work."""
 
 import dataclasses
 import random
@@ -10,18 +10,18 @@
 from waxwingford_bench.virtual.server import VirtualServer
 
 _MEMBERS = ('qadri', 'svatbena')
-_AGAIN_SHARE = 0.1
-_FAIL_SHARE = 0.1
-_LATE_JOBS = 6
-_MOST_PENDING = 24
-_SUBMIT_MS = 300
+_RESUBMIT_SHARE = 0.1
+_FAILING_SHARE = 0.1
+_RECENT_JOBS = 6
+_MAX_PENDING = 24
+_PAUSE_AFTER_SUBMIT_MS = 300
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """A domain with what was submitted to it.
+    """A randomised run of a virtual failure domain.
 
-    :ivar domain: the domain.
+    :ivar domain: virtual failure domain.
     :ivar jobs: submitted jobs in order.
     """
 
@@ -30,21 +30,21 @@
 
     @property
     def rng(self) -> random.Random:
-        """Share the domain's random numbers.
+        """Return the random generator of the domain.
 
-        :returns: the generator.
+        :returns: seeded generator.
         """
         return self.domain.random
 
     def daemon(self) -> str:
-        """Choose a daemon.
+        """Choose a random daemon.
 
-        :returns: its id.
+        :returns: id of the daemon.
         """
         return self.rng.choice(list(self.domain.daemon_by_id))
 
     def server(self) -> VirtualServer:
-        """Choose a server.
+        """Choose a random server.
 
         :returns: the server.
         """
@@ -53,68 +53,68 @@
 
 Action = Callable[[Run], None]
 
-#: All actions by name, with their weights in randomised runs.
+#: Weight of each registered action in randomised runs.
 weight_by_action: dict[Action, int] = {}
 
 
 def action(weight: int) -> Callable[[Action], Action]:
-    """Let an action register itself.
+    """Register an action for randomised runs.
 
-    :param weight: how often randomised runs choose it.
-    :returns: a decorator.
+    :param weight: relative frequency of the action.
+    :returns: decorator that registers the function.
     """
 
-    def _keep(call: Action) -> Action:
+    def _register(call: Action) -> Action:
         weight_by_action[call] = weight
         return call
 
-    return _keep
+    return _register
 
 
 @action(12)
 def submit(run: Run) -> None:
-    """Submit a job, now and then one that was submitted before.
+    """Submit a new job or, occasionally, a recent one again.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
-    # Four servers must be able to finish everything in the time at the end.
-    if len(run.domain.fold.index.pending_by_id) > _MOST_PENDING:
+    # Bounds the backlog so that all jobs can finish at the end of the run.
+    if len(run.domain.fold.index.pending_by_id) > _MAX_PENDING:
         return
-    if run.jobs and run.rng.random() < _AGAIN_SHARE:
-        job = run.rng.choice(run.jobs[-_LATE_JOBS:])
+    if run.jobs and run.rng.random() < _RESUBMIT_SHARE:
+        job = run.rng.choice(run.jobs[-_RECENT_JOBS:])
     else:
         job = _new_job(run)
         run.jobs.append(job)
     run.domain.submit(run.daemon(), job)
-    run.domain.run(_SUBMIT_MS)
+    run.domain.run(_PAUSE_AFTER_SUBMIT_MS)
 
 
 @action(2)
 def cancel(run: Run) -> None:
-    """Cancel a late job.
+    """Cancel a recent job.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     if run.jobs:
-        job = run.rng.choice(run.jobs[-_LATE_JOBS:])
+        job = run.rng.choice(run.jobs[-_RECENT_JOBS:])
         run.domain.cancel(run.daemon(), job.job_id, job.member)
 
 
 @action(1)
 def cancel_wave(run: Run) -> None:
-    """Cancel many jobs at once.
+    """Cancel all recent jobs at once.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
-    for job in run.jobs[-_LATE_JOBS:]:
+    for job in run.jobs[-_RECENT_JOBS:]:
         run.domain.cancel(run.daemon(), job.job_id, job.member)
 
 
 @action(6)
 def evict(run: Run) -> None:
-    """Evict something that runs.
+    """Evict a running task.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     running = run.server().running()
     if running:
@@ -123,9 +123,9 @@
 
 @action(2)
 def evict_wave(run: Run) -> None:
-    """Evict all that runs on a server.
+    """Evict all running tasks of a server.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     for start in run.server().running():
         run.domain.evict(start.key.task_id)
@@ -133,9 +133,9 @@
 
 @action(40)
 def wait(run: Run) -> None:
-    """Let time pass.
+    """Advance virtual time.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.domain.run(run.rng.choice((50, 300, 1500, 6000, 15_000)))
 
@@ -144,7 +144,7 @@
     rng = run.rng
     member = rng.choice(_MEMBERS)
     run_ms = rng.choice((200, 2000, 20_000, 60_000))
-    fails = 'true' if rng.random() < _FAIL_SHARE else 'false'
+    fails = 'true' if rng.random() < _FAILING_SHARE else 'false'
     sizes = (
         Resources(2000, 4000),
         Resources(8000, 8000),
--- a/waxwingford_bench/virtual/daemon.py
+++ b/waxwingford_bench/virtual/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon of a virtual failure domain: real decisions, virtual effects."""
+"""Daemon of a virtual failure domain: real controller, simulated effects."""
 
 import itertools
 from collections.abc import Callable
@@ -31,10 +31,13 @@
 
 
 class VirtualDaemon:
-    """A daemon that can be killed, frozen and thawed.
+    """A daemon that can crash and be suspended.
 
-    :ivar controller: decisions; None while it is dead.
-    :ivar frozen: whether nothing runs in it.
+    :ivar controller: controller under test; None while the daemon is down.
+    :ivar frozen: whether the daemon is suspended.
+    :ivar other_effects: effects that are not simulated, with their virtual time
+        in milliseconds.
+    :ivar handled_count: number of messages handled by the controllers.
     """
 
     def __init__(
@@ -43,67 +46,67 @@
         domain: Surroundings,
         settings: Callable[[BatchSettings], BatchSettings],
     ) -> None:
-        """Prepare; nothing runs before ``boot``.
+        """Create a daemon that is down until ``boot`` is called.
 
-        :param daemon_id: name.
-        :param domain: the virtual failure domain.
-        :param settings: changes the default settings.
+        :param daemon_id: id of the daemon.
+        :param domain: virtual failure domain.
+        :param settings: function that modifies the default settings.
         """
         self.daemon_id = daemon_id
         self.controller: DomainController | None = None
         self.frozen = False
-        self.notes: list = []
-        self.handled = 0
+        self.other_effects: list = []
+        self.handled_count = 0
         self._domain = domain
         self._settings = settings
         self._incarnations = itertools.count(1)
         self._life = 0
-        self._held_up: list[Callable[[], None]] = []
+        self._deferred_calls: list[Callable[[], None]] = []
         self._booting = False
 
     def boot(self) -> None:
-        """Start with empty memory."""
+        """Start a new incarnation with empty memory."""
         self._life = next(self._incarnations)
-        self._held_up.clear()
+        self._deferred_calls.clear()
         self.frozen = False
         self._booting = True
         self._load()
 
     def kill(self) -> None:
-        """Die at once; requests under way still arrive."""
+        """Crash; requests in flight are still delivered."""
         self.controller = None
         self._booting = False
         self._life = -1
-        self._held_up.clear()
+        self._deferred_calls.clear()
 
     def freeze(self) -> None:
-        """Stop running without losing anything."""
+        """Suspend the daemon and keep its state."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Run on; what was decided before the freeze is carried out now."""
+        """Resume the daemon and run the calls deferred meanwhile."""
         self.frozen = False
-        held_up = self._held_up
-        self._held_up = []
-        for call in held_up:
+        deferred_calls = self._deferred_calls
+        self._deferred_calls = []
+        for call in deferred_calls:
             call()
 
     def seems_alive(self) -> bool:
-        """Tell what heartbeats show.
+        """Tell whether the daemon sends heartbeats.
 
-        :returns: whether it runs.
+        :returns: whether it is up and not suspended.
         """
         return self.controller is not None and not self.frozen
 
     def tick(self) -> None:
-        """Let time pass in the daemon."""
+        """Retry a pending boot and deliver a tick."""
         if self._booting and not self.frozen:
             self._load()
         if not self.frozen:
             self.deliver(Tick())
 
     def poll(self) -> None:
-        """Read the stream forward."""
+        """Read the next entries of the stream."""
         if self.controller is None or self.frozen:
             return
         started_ms = self._domain.now_ms
@@ -121,9 +124,9 @@
         self._domain.time.at(delay_ms, lambda: self._deliver_to(life, message))
 
     def deliver(self, message) -> None:
-        """Give the controller a message, after a thaw if it is frozen.
+        """Deliver a message, deferred until resumption if suspended.
 
-        :param message: any.
+        :param message: message to the controller.
         """
         self._deliver_to(self._life, message)
 
@@ -131,10 +134,10 @@
         if life != self._life or self.controller is None:
             return
         if self.frozen:
-            self._held_up.append(lambda: self._deliver_to(life, message))
+            self._deferred_calls.append(lambda: self._deliver_to(life, message))
             return
         now_ms = self._domain.now_ms
-        self.handled += 1
+        self.handled_count += 1
         for effect in self.controller.handle(message, now_ms, now_ms):
             self._carry_out(effect)
         gap = self.controller.stream.gap
@@ -187,17 +190,17 @@
             case WriteSnapshot(covers_offset=covers_offset):
                 self._write_snapshot(covers_offset)
             case _:
-                self.notes.append((self._domain.now_ms, effect))
+                self.other_effects.append((self._domain.now_ms, effect))
 
     def _send(self, life: int, effect: Control) -> None:
         if life != self._life:
             return
         if self.frozen:
-            self._held_up.append(lambda: self._send(life, effect))
+            self._deferred_calls.append(lambda: self._send(life, effect))
             return
         sent_ms = self._domain.now_ms
 
-        def _take(outcome) -> None:
+        def _on_outcome(outcome) -> None:
             result = ControlResult(
                 effect.server_id,
                 effect.exchange,
@@ -208,9 +211,9 @@
             self._deliver_to(life, result)
 
         if is_too_late(effect, sent_ms):
-            _take(ControlUnknown('too late', not_sent=True))
+            _on_outcome(ControlUnknown('too late', not_sent=True))
         else:
-            self._domain.network.control(self.daemon_id, effect, _take)
+            self._domain.network.control(self.daemon_id, effect, _on_outcome)
 
     def _write_snapshot(self, covers_offset: int) -> None:
         if self.controller is None or self._domain.network.is_cut(
--- a/waxwingford_bench/virtual/domain.py
+++ b/waxwingford_bench/virtual/domain.py
@@ -1,8 +1,7 @@
-"""A failure domain in virtual time: real controllers, small fakes at ports.
+"""Failure domain in virtual time: real controllers, fake log and servers.
 
-The fakes at the interfaces are the log and backend servers of
-:mod:`waxwingford_standins`, and links that can fail.  All delays come from
-one seeded generator.
+The fakes come from :mod:`waxwingford_standins`; one seeded generator draws
+all delays.
 """
 
 import itertools
@@ -30,30 +29,30 @@
 RESERVED = Resources(8000, 32_000)
 SERVER_SIZE = Resources(32_000, 128_000, 2)
 BUNDLE = BundleSettings({}, {}, {SERVICE: RESERVED}, 'first_fit')
-_LIST_EVERY_MS = 1000
-_POLL_MS = 200
-_TICK_MS = 100
-_CONTACT_MS = 500
+_LIST_INTERVAL_MS = 1000
+_POLL_INTERVAL_MS = 200
+_TICK_INTERVAL_MS = 100
+_HEARTBEAT_INTERVAL_MS = 500
 
 ChangeSettings = Callable[[BatchSettings], BatchSettings]
 
 
-def _keep_settings(settings: BatchSettings) -> BatchSettings:
+def _unchanged_settings(settings: BatchSettings) -> BatchSettings:
     return settings
 
 
 class VirtualDomain:
-    """Daemons, servers and a log.
+    """Daemons, backend servers and a log, connected by a simulated network.
 
     :ivar time: virtual time.
-    :ivar random: decides all delays and faults.
+    :ivar random: seeded generator of delays and faults.
     :ivar network: links and the log.
-    :ivar daemon_by_id: the daemons.
-    :ivar server_by_id: the backend servers.
-    :ivar oracle: checks what truly runs.
-    :ivar listed_lag_ms: lag of the platform's list.
-    :ivar unlisted: servers that the list does not show.
-    :ivar bundle: settings that daemons get when they boot.
+    :ivar daemon_by_id: daemons by id.
+    :ivar server_by_id: backend servers by id.
+    :ivar oracle: invariant checks.
+    :ivar list_lag_ms: lag of the platform's VM list, in milliseconds.
+    :ivar unlisted: ids of servers missing from the VM list.
+    :ivar bundle: configuration passed to daemons when they boot.
     """
 
     def __init__(
@@ -61,21 +60,21 @@
         seed: int,
         daemons: int = 3,
         servers: int = 4,
-        settings: ChangeSettings = _keep_settings,
+        settings: ChangeSettings = _unchanged_settings,
         size: Resources = SERVER_SIZE,
     ) -> None:
-        """Boot everything at time 0.
+        """Boot all daemons and servers at time 0.
 
-        :param seed: of all delays and faults.
-        :param daemons: how many.
-        :param servers: how many.
-        :param settings: changes the settings of each daemon.
-        :param size: of each VM.
+        :param seed: seed of all delays and faults.
+        :param daemons: number of daemons.
+        :param servers: number of servers.
+        :param settings: function that modifies the settings of each daemon.
+        :param size: resources of each VM.
         """
         self.time = VirtualTime()
         self.random = random.Random(seed)
         self.oracle = Oracle()
-        self.listed_lag_ms = 500
+        self.list_lag_ms = 500
         self.unlisted: set[str] = set()
         self.bundle = BUNDLE
         self._submission_id = itertools.count(1)
@@ -91,11 +90,11 @@
             name: VirtualDaemon(name, self, settings) for name in names
         }
         for daemon in self.daemon_by_id.values():
-            self._begin(daemon)
+            self._start_daemon(daemon)
 
     @property
     def now_ms(self) -> int:
-        """Read virtual time.
+        """Return the virtual time.
 
         :returns: milliseconds since the start.
         """
@@ -103,32 +102,36 @@
 
     @property
     def fold(self) -> DomainState:
-        """Show what the domain's stream folds into.
+        """Return the state folded from the domain's stream.
 
-        :returns: the state at the head of the log.
+        :returns: state at the head of the stream.
         """
         return self.network.fold
 
     def run(self, span_ms: int) -> None:
-        """Let virtual time pass.
+        """Advance virtual time, then check all servers.
 
-        :param span_ms: how much.
+        :param span_ms: time to advance by, in milliseconds.
+        :raises Violation: if an invariant is violated.
         """
         self.time.run(span_ms)
         self.check()
 
     def check(self) -> None:
-        """Let the oracle look at all servers."""
+        """Check the invariants on all servers.
+
+        :raises Violation: if an invariant is violated.
+        """
         for server in self.server_by_id.values():
             server.advance(self.now_ms)
         self.oracle.check(self.server_by_id.values(), self.now_ms)
 
     def submit(self, daemon_id: str, job: JobSpec) -> int:
-        """Submit a job.
+        """Submit a job to a daemon.
 
-        :param daemon_id: to whom.
-        :param job: the job.
-        :returns: id under which the oracle keeps the outcome.
+        :param daemon_id: id of the daemon.
+        :param job: job to submit.
+        :returns: submission id under which the oracle records the outcome.
         """
         submission_id = next(self._submission_id)
         self.oracle.note_submitted(submission_id, job)
@@ -137,12 +140,12 @@
         return submission_id
 
     def cancel(self, daemon_id: str, job_id: str, member: str) -> int:
-        """Give a job up.
+        """Cancel a job.
 
-        :param daemon_id: to whom.
-        :param job_id: which job.
-        :param member: who asks.
-        :returns: id under which the oracle keeps the outcome.
+        :param daemon_id: id of the daemon that receives the request.
+        :param job_id: id of the job.
+        :param member: member that requests it.
+        :returns: submission id under which the oracle records the outcome.
         """
         submission_id = next(self._submission_id)
         message = CancelJob(submission_id, job_id, member)
@@ -150,9 +153,9 @@
         return submission_id
 
     def evict(self, task_id: str) -> None:
-        """Evict a task, whoever holds its server.
+        """Ask all daemons to evict a task.
 
-        :param task_id: which task.
+        :param task_id: id of the task.
         """
         for daemon in self.daemon_by_id.values():
             daemon.deliver(EvictTask(task_id))
@@ -168,18 +171,18 @@
             if daemon.controller is None:
                 daemon.boot()
 
-    def _begin(self, daemon: VirtualDaemon) -> None:
+    def _start_daemon(self, daemon: VirtualDaemon) -> None:
         daemon.boot()
-        first_ms = self.random.randrange(1, _TICK_MS)
+        first_ms = self.random.randrange(1, _TICK_INTERVAL_MS)
         time = self.time
-        time.every(_TICK_MS, first_ms, daemon.tick)
-        time.every(_POLL_MS, first_ms, daemon.poll)
-        time.every(_LIST_EVERY_MS, 1, lambda: self._list(daemon))
-        time.every(_CONTACT_MS, 2, lambda: self._contact(daemon))
+        time.every(_TICK_INTERVAL_MS, first_ms, daemon.tick)
+        time.every(_POLL_INTERVAL_MS, first_ms, daemon.poll)
+        time.every(_LIST_INTERVAL_MS, 1, lambda: self._deliver_vm_list(daemon))
+        time.every(_HEARTBEAT_INTERVAL_MS, 2, lambda: self._contact(daemon))
 
-    def _list(self, daemon: VirtualDaemon) -> None:
+    def _deliver_vm_list(self, daemon: VirtualDaemon) -> None:
         vms = tuple(
-            server.listed(self.now_ms, self.listed_lag_ms)
+            server.listed(self.now_ms, self.list_lag_ms)
             for server_id, server in self.server_by_id.items()
             if server_id not in self.unlisted
         )
--- a/waxwingford_bench/virtual/faults.py
+++ b/waxwingford_bench/virtual/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a virtual failure domain, and their ends."""
+"""Actions that inject and end faults in a virtual failure domain."""
 
 from waxwingford_bench.virtual.actions import Run, action
 from waxwingford_bench.virtual.network import STREAM
@@ -6,18 +6,18 @@
 
 @action(3)
 def kill(run: Run) -> None:
-    """Kill a daemon.
+    """Crash a daemon.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.domain.daemon_by_id[run.daemon()].kill()
 
 
 @action(8)
 def boot(run: Run) -> None:
-    """Boot a daemon, if it is dead.
+    """Boot a daemon if it is down.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     daemon = run.domain.daemon_by_id[run.daemon()]
     if daemon.controller is None:
@@ -26,67 +26,67 @@
 
 @action(3)
 def freeze(run: Run) -> None:
-    """Freeze a daemon.
+    """Suspend a daemon.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.domain.daemon_by_id[run.daemon()].freeze()
 
 
 @action(6)
 def thaw(run: Run) -> None:
-    """Thaw a daemon.
+    """Resume a daemon.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.domain.daemon_by_id[run.daemon()].thaw()
 
 
 @action(4)
 def cut_server(run: Run) -> None:
-    """Cut a daemon off from a server.
+    """Cut the link between a daemon and a server.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     _cut(run, run.daemon(), run.server().vm.server_id)
 
 
 @action(1)
-def cut_server_off(run: Run) -> None:
-    """Cut all daemons but one off from a server.
+def isolate_server(run: Run) -> None:
+    """Cut the links between a server and all daemons but one.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     server_id = run.server().vm.server_id
-    spared = run.daemon()
+    connected_id = run.daemon()
     for daemon_id in run.domain.daemon_by_id:
-        if daemon_id != spared:
+        if daemon_id != connected_id:
             _cut(run, daemon_id, server_id)
 
 
 @action(2)
 def cut_log(run: Run) -> None:
-    """Cut a daemon off from the log.
+    """Cut the link between a daemon and the log.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     _cut(run, run.daemon(), 'log')
 
 
 @action(2)
 def cut_peer(run: Run) -> None:
-    """Cut two daemons off from each other.
+    """Cut the link between two daemons.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     _cut(run, run.daemon(), run.daemon())
 
 
 @action(6)
-def mend(run: Run) -> None:
-    """Mend one link.
+def restore_link(run: Run) -> None:
+    """Restore a cut link.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     if run.domain.network.cut:
         links = sorted(run.domain.network.cut, key=sorted)
@@ -94,100 +94,100 @@
 
 
 @action(3)
-def mend_all(run: Run) -> None:
-    """Mend all links.
+def restore_all_links(run: Run) -> None:
+    """Restore all cut links.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.domain.network.cut.clear()
 
 
 @action(2)
 def log_down(run: Run) -> None:
-    """Let the log go away for the whole domain.
+    """Make the log unavailable to the whole domain.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.domain.network.log_down = True
 
 
 @action(6)
 def log_up(run: Run) -> None:
-    """Let the log come back.
+    """Make the log available again.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.domain.network.log_down = False
 
 
 @action(2)
-def lose_answers(run: Run) -> None:
-    """Change how many answers are lost.
+def drop_answers(run: Run) -> None:
+    """Change the share of lost answers.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.domain.network.lost_share = run.rng.choice((0, 0.05, 0.3))
 
 
 @action(2)
-def be_late(run: Run) -> None:
-    """Change how many messages arrive late.
+def delay_messages(run: Run) -> None:
+    """Change the share of late messages.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.domain.network.late_share = run.rng.choice((0, 0.02, 0.15))
 
 
 @action(1)
-def double_answers(run: Run) -> None:
-    """Change how many answers come twice.
+def duplicate_answers(run: Run) -> None:
+    """Change the share of duplicated answers.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
-    run.domain.network.twin_share = run.rng.choice((0, 0.2))
+    run.domain.network.duplicated_share = run.rng.choice((0, 0.2))
 
 
 @action(2)
-def server_dies(run: Run) -> None:
-    """Let a server die and boot again.
+def crash_server(run: Run) -> None:
+    """Crash and restart a server.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.server().die(run.domain.now_ms)
 
 
 @action(1)
-def server_leaves(run: Run) -> None:
-    """Let a server leave.
+def drain_server(run: Run) -> None:
+    """Begin to drain a server.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.server().leave(run.domain.now_ms)
 
 
 @action(2)
-def server_stays(run: Run) -> None:
-    """Let a server stay after all.
+def cancel_drain(run: Run) -> None:
+    """Cancel the draining of a server.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     run.server().rejoin(run.domain.now_ms)
 
 
 @action(1)
-def list_lags(run: Run) -> None:
-    """Change the list's lag.
+def change_list_lag(run: Run) -> None:
+    """Change the lag of the VM list.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
-    run.domain.listed_lag_ms = run.rng.choice((500, 5000, 60_000))
+    run.domain.list_lag_ms = run.rng.choice((500, 5000, 60_000))
 
 
 @action(2)
-def retain_less(run: Run) -> None:
-    """Drop what a snapshot covers from the domain's stream.
+def truncate_log(run: Run) -> None:
+    """Truncate the domain's stream up to its newest snapshot.
 
-    :param run: what to act on.
+    :param run: run to act on.
     """
     covered = run.domain.fold.snapshot_offset
     run.domain.network.log.truncate(STREAM, covered)
--- a/waxwingford_bench/virtual/network.py
+++ b/waxwingford_bench/virtual/network.py
@@ -1,4 +1,4 @@
-"""Links of a virtual failure domain: cut, slow, late, or losing answers."""
+"""Simulated network of a virtual failure domain, with link faults."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -37,16 +37,16 @@
 
 
 class VirtualNetwork:
-    """Carries appends, reads and control requests.
+    """Transports appends, reads and control requests.
 
-    :ivar log: streams, shared by all.
-    :ivar fold: of the domain's stream, as it landed.
-    :ivar cut: pairs of names between which nothing passes.
-    :ivar log_down: whether the whole domain's log is away.
+    :ivar log: fake log with all streams.
+    :ivar fold: state folded from the domain's stream.
+    :ivar cut: pairs of names whose link is cut.
+    :ivar log_down: whether the log is unavailable to the whole domain.
     :ivar lost_share: share of answers that are lost.
     :ivar late_share: share of appends, requests and answers that are late.
-    :ivar twin_share: share of control answers that come twice.
-    :ivar control_count: control requests sent.
+    :ivar duplicated_share: share of control answers that are duplicated.
+    :ivar control_count: number of control requests sent.
     """
 
     def __init__(
@@ -56,12 +56,12 @@
         oracle: Oracle,
         server_by_id: Mapping[str, VirtualServer],
     ) -> None:
-        """Start without faults.
+        """Create a network without faults.
 
         :param time: virtual time.
-        :param rng: decides delays and losses.
-        :param oracle: hears what lands in the log, and looks at servers.
-        :param server_by_id: all servers.
+        :param rng: generator of delays and losses.
+        :param oracle: records appended records and checks servers.
+        :param server_by_id: servers by id.
         """
         self.log = LogCore()
         self.fold = DomainState()
@@ -69,7 +69,7 @@
         self.log_down = False
         self.lost_share: float = 0
         self.late_share: float = 0
-        self.twin_share: float = 0
+        self.duplicated_share: float = 0
         self.control_count = 0
         self._time = time
         self._rng = rng
@@ -82,13 +82,13 @@
         self.log_down = False
         self.lost_share = 0
         self.late_share = 0
-        self.twin_share = 0
+        self.duplicated_share = 0
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Tell whether nothing passes between two.
+        """Tell whether the link between two nodes is cut.
 
-        :param one: name of a daemon, a server, or ``log``.
-        :param other: the same.
+        :param one: id of a daemon or server, or ``log``.
+        :param other: id of the other node, or ``log``.
         :returns: whether the link is cut.
         """
         if self.log_down and 'log' in {one, other}:
@@ -98,16 +98,16 @@
     def append(self, daemon_id: str, payload: bytes, take: TakeAppend) -> None:
         """Append to the domain's stream for a daemon.
 
-        :param daemon_id: who.
-        :param payload: entry.
-        :param take: takes the outcome.
+        :param daemon_id: id of the daemon.
+        :param payload: entry to append.
+        :param take: callback that receives the outcome.
         """
         unknown = AppendUnknown('timeout')
         if self.is_cut(daemon_id, 'log'):
             refused = AppendRefused('not connected', 500)
             outcome = self._rng.choice((refused, unknown))
             self._time.at(50, lambda: take(outcome))
-        elif self._happens(self.late_share):
+        elif self._draw(self.late_share):
             late_ms = self._rng.randrange(1000, 40_000)
             self._time.at(late_ms, lambda: self.land(decode_group(payload)))
             self._time.at(_LOG_TIMEOUT_MS, lambda: take(unknown))
@@ -120,10 +120,10 @@
     ) -> LogRead | None:
         """Read a stream for a daemon, without waiting.
 
-        :param daemon_id: who.
-        :param stream: which.
-        :param from_offset: first offset wanted.
-        :returns: entries, or nothing while the log is away.
+        :param daemon_id: id of the daemon.
+        :param stream: name of the stream.
+        :param from_offset: first offset to read.
+        :returns: entries, or None while the log is unavailable.
         """
         if self.is_cut(daemon_id, 'log'):
             return None
@@ -135,11 +135,12 @@
     def control(
         self, daemon_id: str, effect: Control, take: TakeControl
     ) -> None:
-        """Carry a control request to a server and its answer back.
+        """Send a control request to a server and return its answer.
 
-        :param daemon_id: who.
-        :param effect: the exchange.
-        :param take: takes outcomes; a late or doubled one is given too.
+        :param daemon_id: id of the daemon.
+        :param effect: control request with its server.
+        :param take: callback that receives every outcome, including late and
+            duplicated ones.
         """
         self.control_count += 1
         not_sent = False
@@ -148,24 +149,24 @@
         else:
             delay_ms = self._delay_ms(60_000)
             self._time.at(
-                delay_ms, lambda: self._arrive(daemon_id, effect, take)
+                delay_ms, lambda: self._deliver_control(daemon_id, effect, take)
             )
         unknown = ControlUnknown('no answer', not_sent=not_sent)
         self._time.at(_TIMEOUT_MS, lambda: take(unknown))
 
     def _append(self, payload: bytes, take: TakeAppend) -> None:
         outcome = self.land(decode_group(payload))
-        if self._happens(self.lost_share):
+        if self._draw(self.lost_share):
             unknown = AppendUnknown('answer lost')
             self._time.at(_LOG_TIMEOUT_MS, lambda: take(unknown))
         else:
             self._time.at(self._rng.randrange(2, 15), lambda: take(outcome))
 
     def land(self, group: RecordGroup) -> AppendOutcome:
-        """Put a group into the domain's stream now.
+        """Append a group to the domain's stream without delay.
 
-        :param group: the group.
-        :returns: the log's outcome.
+        :param group: record group.
+        :returns: outcome from the log.
         """
         payload = encode_group(group)
         outcome = self.log.append(STREAM, payload, self._time.now_ms)
@@ -174,26 +175,26 @@
                 self._oracle.note_verdict(verdict)
         return outcome
 
-    def _arrive(
+    def _deliver_control(
         self, daemon_id: str, effect: Control, take: TakeControl
     ) -> None:
         server = self._server_by_id[effect.server_id]
         request: ControlRequest = effect.request
         outcome = server.control(request, self._time.now_ms)
         self._oracle.check(self._server_by_id.values(), self._time.now_ms)
-        is_lost = self._happens(self.lost_share)
+        is_lost = self._draw(self.lost_share)
         if is_lost or self.is_cut(daemon_id, effect.server_id):
             return
         delay_ms = self._delay_ms(20_000)
         self._time.at(delay_ms, lambda: take(outcome))
-        if self._happens(self.twin_share):
-            again_ms = delay_ms + self._rng.randrange(1, 15_000)
-            self._time.at(again_ms, lambda: take(outcome))
+        if self._draw(self.duplicated_share):
+            duplicate_delay_ms = delay_ms + self._rng.randrange(1, 15_000)
+            self._time.at(duplicate_delay_ms, lambda: take(outcome))
 
-    def _delay_ms(self, latest_ms: int) -> int:
-        if self._happens(self.late_share):
-            return self._rng.randrange(500, latest_ms)
+    def _delay_ms(self, max_late_ms: int) -> int:
+        if self._draw(self.late_share):
+            return self._rng.randrange(500, max_late_ms)
         return self._rng.randrange(1, 10)
 
-    def _happens(self, share: float) -> bool:
+    def _draw(self, share: float) -> bool:
         return self._rng.random() < share if share else False
--- a/waxwingford_bench/virtual/oracle.py
+++ b/waxwingford_bench/virtual/oracle.py
@@ -1,4 +1,4 @@
-"""Checks what truly runs, without looking at what the daemons believe."""
+"""Invariant checks based on server state, independent of daemon state."""
 
 import collections
 import functools
@@ -29,46 +29,48 @@
 
 
 class Violation(AssertionError):
-    """Something ran that must not run."""
+    """An invariant of the batch layer was violated."""
 
 
 class Oracle:
-    """Keeps a true history over all servers.
+    """Records the history of all servers and checks invariants.
 
-    :ivar outcome_by_id: replies to submissions.
-    :ivar accepted: jobs that were answered as accepted.
-    :ivar starts: attempts started, in all.
-    :ivar done: tasks truly done at a server that did not die with it.
+    :ivar outcome_by_id: reply to each submission, by submission id.
+    :ivar accepted: jobs that were acknowledged as accepted, by job id.
+    :ivar starts: number of started attempts.
+    :ivar evictions: number of checkpointed attempts forgotten by a server.
+    :ivar done: completed attempt by task id, unless its result was lost.
     """
 
     def __init__(self) -> None:
-        """Start with an empty history."""
+        """Create an empty history."""
         self.outcome_by_id: dict[int, SubmissionOutcome] = {}
         self.accepted: dict[str, JobSpec] = {}
         self.starts = 0
         self.evictions = 0
         self.done: dict[str, TaskKey] = {}
         self._job_by_submission: dict[int, JobSpec] = {}
-        self._started_at: dict[TaskKey, str] = {}
+        self._server_by_attempt: dict[TaskKey, str] = {}
         self._attempt_by_reference: dict[str, TaskKey] = {}
-        self._least_resume: dict[str, int] = {}
-        self._excused: set[TaskKey] = set()
+        self._min_resume_attempt: dict[str, int] = {}
+        self._exempt_attempts: set[TaskKey] = set()
 
     def note_submitted(self, submission_id: int, job: JobSpec) -> None:
-        """Remember what a submission is about.
+        """Record a submission.
 
-        :param submission_id: its id.
-        :param job: the job.
+        :param submission_id: id of the submission.
+        :param job: submitted job.
         """
         self._job_by_submission[submission_id] = job
 
     def note_reply(
         self, submission_id: int, outcome: SubmissionOutcome
     ) -> None:
-        """Take a reply; each submission gets one at most.
+        """Record the reply to a submission.
 
-        :param submission_id: which.
-        :param outcome: the reply.
+        :param submission_id: id of the submission.
+        :param outcome: reply.
+        :raises Violation: if the submission was replied to before.
         """
         if submission_id in self.outcome_by_id:
             raise Violation(f'two replies to submission {submission_id}')
@@ -80,27 +82,29 @@
             self.accepted[job.job_id] = job
 
     def note_start(self, server_id: str, start: StartTask, now_ms: int) -> None:
-        """A server started an attempt.
+        """Record that a server started an attempt.
 
-        :param server_id: where.
-        :param start: the command.
-        :param now_ms: virtual time.
+        :param server_id: id of the server.
+        :param start: command that started it.
+        :param now_ms: virtual time, in milliseconds.
+        :raises Violation: if the attempt was started before, its task is
+            done, or it resumes from an unknown or outdated checkpoint.
         """
         key = start.key
         self.starts += 1
-        if key in self._started_at:
+        if key in self._server_by_attempt:
             raise Violation(f'{key} started twice, again at {server_id}')
-        self._started_at[key] = server_id
+        self._server_by_attempt[key] = server_id
         done = self.done.get(key.task_id)
-        if done is not None and done not in self._excused:
+        if done is not None and done not in self._exempt_attempts:
             raise Violation(f'{key} started after {done} was done')
         self._check_resume(start)
 
     def note_ended(self, server_id: str, report: TaskReport) -> None:
-        """A server keeps an ended attempt.
+        """Record that an attempt ended.
 
-        :param server_id: where.
-        :param report: its state.
+        :param server_id: id of the server.
+        :param report: state of the attempt.
         """
         match report.phase:
             case TaskPhase.done:
@@ -114,57 +118,63 @@
         if start.resume_from and (
             resumed is None or resumed.task_id != task_id
         ):
-            raise Violation(f'{start.key}: no checkpoint {start.resume_from}')
-        # A checkpoint that the server was told to forget counts from then on,
-        # and so does one from which the task was resumed before.
-        least = self._least_resume.get(task_id, 0)
+            raise Violation(
+                f'{start.key}: unknown checkpoint {start.resume_from}'
+            )
+        # A task must not resume from a checkpoint older than its last resume
+        # or than one that a server was told to forget.
+        min_attempt = self._min_resume_attempt.get(task_id, 0)
         attempt = resumed.attempt if resumed else 0
-        if attempt < least:
-            raise Violation(f'{start.key} from {attempt}, not from {least}')
-        self._least_resume[task_id] = attempt
+        if attempt < min_attempt:
+            raise Violation(
+                f'{start.key} resumes from {attempt}, expected {min_attempt}'
+            )
+        self._min_resume_attempt[task_id] = attempt
 
     def note_forgotten(self, report: TaskReport) -> None:
-        """An ended attempt was forgotten: its end must count from now on.
+        """Record that a server forgot an ended attempt.
+
+        A checkpoint that is forgotten must be used from now on.
 
-        :param report: its last state.
+        :param report: last state of the attempt.
         """
-        counts = report.key not in self._excused
+        counts = report.key not in self._exempt_attempts
         if counts and report.phase is TaskPhase.checkpointed:
             self.evictions += 1
             task_id, attempt = report.key
-            least = self._least_resume.get(task_id, 0)
-            self._least_resume[task_id] = max(least, attempt)
+            min_attempt = self._min_resume_attempt.get(task_id, 0)
+            self._min_resume_attempt[task_id] = max(min_attempt, attempt)
 
     def note_died(self, server_id: str, reports: Iterable[TaskReport]) -> None:
-        """A server lost all that it knew.
+        """Record that a server crashed and lost its attempts.
 
-        :param server_id: which.
-        :param reports: what it knew.
+        :param server_id: id of the server.
+        :param reports: attempts that it knew.
         """
-        self._excused.update(report.key for report in reports)
+        self._exempt_attempts.update(report.key for report in reports)
         for report in reports:
             done = self.done.get(report.key.task_id)
             if done == report.key:
                 self.done.pop(report.key.task_id)
 
     def note_verdict(self, verdict: Verdict) -> None:
-        """Hear what the fold makes of a record.
+        """Record the verdict on an appended record.
 
-        An attempt that was declared lapsed, by the job's own wish, no longer
-        counts: its checkpoint or result may come too late.
+        An attempt that lapsed under its job's settings is exempt from checks:
+        its checkpoint or result may be superseded.
 
-        :param verdict: of a record that landed.
+        :param verdict: verdict of the fold on the record.
         """
         record = verdict.record
         is_lapse = isinstance(record, AttemptEnded) and record.how == 'lapsed'
         if is_lapse and isinstance(verdict, Valid):
-            self._excused.add(record.key)
+            self._exempt_attempts.add(record.key)
             if self.done.get(record.key.task_id) == record.key:
                 self.done.pop(record.key.task_id)
 
     def _check_refusals(self, state: DomainState) -> None:
-        # A job of which every submission was refused or rejected was never
-        # appended; one without a reply may have been.
+        # A job is never appended if all its submissions were refused or
+        # rejected; a submission without a reply may have been appended.
         not_refused = {
             job.job_id
             for submission_id, job in self._job_by_submission.items()
@@ -176,29 +186,32 @@
         refused = {job.job_id for job in self._job_by_submission.values()}
         for job_id in refused - not_refused:
             if job_id in state.jobs_by_id or job_id in state.finished:
-                raise Violation(f'{job_id} was refused and is there')
+                raise Violation(f'refused job {job_id} is in the domain state')
 
     def check(self, servers: Iterable, now_ms: int) -> None:
-        """Check what runs now.
+        """Check that no task runs twice and no VM is over-committed.
 
         :param servers: all servers.
-        :param now_ms: virtual time.
+        :param now_ms: virtual time, in milliseconds.
+        :raises Violation: if a check fails.
         """
-        places_by_task: dict[str, list[str]] = collections.defaultdict(list)
+        server_ids_by_task: dict[str, list[str]] = collections.defaultdict(list)
         for server in servers:
             running = server.running()
             for start in running:
-                place = server.vm.server_id
-                places_by_task[start.key.task_id].append(place)
+                server_id = server.vm.server_id
+                server_ids_by_task[start.key.task_id].append(server_id)
             _check_capacity(server, running, now_ms)
-        for task_id, places in places_by_task.items():
-            if len(places) > 1:
-                raise Violation(f'{task_id} runs at {places} at {now_ms}')
+        for task_id, server_ids in server_ids_by_task.items():
+            if len(server_ids) > 1:
+                raise Violation(f'{task_id} runs at {server_ids} at {now_ms}')
 
     def check_finished(self, state: DomainState) -> None:
-        """Check that nothing accepted is lost and everything finished.
+        """Check that no accepted job is lost and all jobs are finished.
 
-        :param state: fold of the stream, read to its head.
+        :param state: state folded from the whole stream.
+        :raises Violation: if a job is lost, unfinished, or present though
+            refused.
         """
         lost = [
             job_id
@@ -206,7 +219,7 @@
             if job_id not in state.finished and job_id not in state.jobs_by_id
         ]
         if lost:
-            raise Violation(f'accepted and lost: {lost}')
+            raise Violation(f'accepted jobs are missing: {lost}')
         self._check_refusals(state)
         if state.jobs_by_id:
             tasks = [
@@ -215,7 +228,7 @@
                 for task in job.tasks
                 if task.stage <= 1
             ]
-            raise Violation(f'not finished: {tasks[:10]}')
+            raise Violation(f'unfinished tasks: {tasks[:10]}')
 
 
 def _check_capacity(server, running: list[StartTask], now_ms: int) -> None:
--- a/waxwingford_bench/virtual/server.py
+++ b/waxwingford_bench/virtual/server.py
@@ -1,7 +1,7 @@
-"""A backend server of a virtual failure domain, without its own guards.
+"""Backend server of a virtual failure domain, without admission checks.
 
-The stand-in refuses starts that over-commit it or double a task; here those
-guards are off, so that a wrong start truly happens and the oracle sees it.
+The oracle detects over-committed VMs and duplicate starts, so the server does
+not refuse them.
 """
 
 from waxwingford.ports import (
@@ -20,8 +20,8 @@
 from waxwingford_standins.server_service import ServiceModel
 
 
-class _OpenTable(AttemptTable):
-    """Starts whatever it is told to, other than an attempt that it knows."""
+class _UncheckedTable(AttemptTable):
+    """Starts every attempt that it does not know yet."""
 
     def _start_refusal(self, start: StartTask) -> str:
         if start.key in self._attempt_by_key:
@@ -32,42 +32,43 @@
 class VirtualServer:
     """One backend server.
 
-    :ivar core: the stand-in's core.
-    :ivar is_up: whether it answers.
-    :ivar checks_epoch: off in tests that show what the epoch prevents.
+    :ivar vm: description of its VM.
+    :ivar core: core of the stand-in server.
+    :ivar is_up: whether it is up.
+    :ivar checks_epoch: whether commands of other lease epochs are denied.
     """
 
     def __init__(self, vm: Vm, oracle: Oracle) -> None:
-        """Boot.
+        """Boot the server.
 
-        :param vm: its description.
-        :param oracle: hears what starts and ends.
+        :param vm: description of its VM.
+        :param oracle: records started and ended attempts.
         """
         self.vm = vm
         self.is_up = True
         self.checks_epoch = True
         self.core = BackendServerCore(vm, ServiceModel(vm.service))
-        self.core.attempts = _OpenTable(vm.server_id, vm.resources)
+        self.core.attempts = _UncheckedTable(vm.server_id, vm.resources)
         self._oracle = oracle
         self._states: list[tuple[int, VmState]] = [(0, vm.state)]
 
     def control(
         self, request: ControlRequest, now_ms: int
     ) -> ControlGranted | ControlDenied:
-        """Carry out an exchange and let the oracle see its starts.
+        """Execute a control request and record its effects in the oracle.
 
-        :param request: the exchange.
-        :param now_ms: virtual time.
-        :returns: the core's outcome.
+        :param request: control request.
+        :param now_ms: virtual time, in milliseconds.
+        :returns: outcome from the core.
         """
         self.advance(now_ms)
         if not self.checks_epoch:
-            self._pretend_current(request)
+            self._accept_epoch(request)
         phase_by_key = {
             report.key: report for report in self.core.attempts.reports()
         }
         outcome = self.core.control(request, now_ms)
-        # What the commands ended may be known elsewhere before the next call.
+        # Records attempts ended by the commands before the answer is sent.
         self.advance(now_ms)
         if isinstance(outcome, ControlDenied):
             return outcome
@@ -81,9 +82,9 @@
         return outcome
 
     def advance(self, now_ms: int) -> None:
-        """Let attempts run.
+        """Advance the attempts and record those that ended.
 
-        :param now_ms: virtual time.
+        :param now_ms: virtual time, in milliseconds.
         """
         self.core.advance(now_ms)
         for report in self.core.attempts.reports():
@@ -91,16 +92,16 @@
                 self._oracle.note_ended(self.vm.server_id, report)
 
     def running(self) -> list[StartTask]:
-        """List what truly runs here.
+        """List the running attempts.
 
-        :returns: the commands that started it.
+        :returns: commands that started them.
         """
         return [kept.start for kept in self.core.attempts.running()]
 
     def die(self, now_ms: int) -> None:
-        """Lose everything and boot again.
+        """Crash, lose all attempts, and restart.
 
-        :param now_ms: virtual time.
+        :param now_ms: virtual time, in milliseconds.
         """
         self.advance(now_ms)
         kept = self.core.attempts.reports()
@@ -108,34 +109,34 @@
         self.core.die(now_ms)
 
     def leave(self, now_ms: int) -> None:
-        """Begin to leave; the list shows it later.
+        """Begin draining; the VM list shows it after its lag.
 
-        :param now_ms: virtual time.
+        :param now_ms: virtual time, in milliseconds.
         """
         self.core.leave(now_ms)
         self._states.append((now_ms, VmState.leaving))
 
     def rejoin(self, now_ms: int) -> None:
-        """Stay after all.
+        """Cancel draining.
 
-        :param now_ms: virtual time.
+        :param now_ms: virtual time, in milliseconds.
         """
         self.core.vm = self.core.vm._replace(state=VmState.live)
         self._states.append((now_ms, VmState.live))
 
     def listed(self, now_ms: int, lag_ms: int) -> Vm:
-        """Show the server as the lagging list does.
+        """Return the server's entry in the VM list.
 
-        :param now_ms: virtual time.
-        :param lag_ms: age of what the list shows.
-        :returns: the listed entry.
+        :param now_ms: virtual time, in milliseconds.
+        :param lag_ms: lag of the VM list, in milliseconds.
+        :returns: entry with the state as of that lag ago.
         """
         shown = [
             state for since, state in self._states if since <= now_ms - lag_ms
         ]
         return self.vm._replace(state=shown[-1] if shown else VmState.live)
 
-    def _pretend_current(self, request: ControlRequest) -> None:
+    def _accept_epoch(self, request: ControlRequest) -> None:
         lease = self.core._lease
         if request.epoch and request.epoch != lease.epoch:
             lease.holder = request.holder
--- a/waxwingford_bench/virtual/surroundings.py
+++ b/waxwingford_bench/virtual/surroundings.py
@@ -1,4 +1,4 @@
-"""What a daemon of a virtual failure domain sees of it."""
+"""Interface of a virtual failure domain to its daemons."""
 
 import random
 from typing import Any, Protocol
@@ -9,12 +9,12 @@
 
 
 class Surroundings(Protocol):
-    """A virtual failure domain, as its daemons need it.
+    """The part of a virtual failure domain that its daemons use.
 
-    :ivar network: ways to the log and to servers.
+    :ivar network: links to the log and to servers.
     :ivar time: virtual time.
-    :ivar random: source of delays.
-    :ivar oracle: checks what must always hold.
+    :ivar random: random generator for delays.
+    :ivar oracle: invariant checks.
     :ivar bundle: message with the configuration in force.
     """
 
@@ -26,8 +26,8 @@
 
     @property
     def now_ms(self) -> int:
-        """Read virtual time.
+        """Return the virtual time.
 
-        :returns: milliseconds.
+        :returns: virtual time, in milliseconds.
         """
         ...
--- a/waxwingford_bench/virtual/time.py
+++ b/waxwingford_bench/virtual/time.py
@@ -1,4 +1,4 @@
-"""Virtual time: one heap of events."""
+"""Discrete-event scheduler in virtual time."""
 
 import heapq
 import itertools
@@ -6,9 +6,9 @@
 
 
 class VirtualTime:
-    """Time that passes only when it is told to.
+    """Virtual clock with a queue of scheduled callbacks.
 
-    :ivar now_ms: the present.
+    :ivar now_ms: current virtual time, in milliseconds.
     """
 
     def __init__(self) -> None:
@@ -18,10 +18,10 @@
         self._order = itertools.count()
 
     def at(self, delay_ms: int, call: Callable[[], None]) -> None:
-        """Let something happen later.
+        """Schedule a callback.
 
-        :param delay_ms: from now.
-        :param call: what happens.
+        :param delay_ms: delay from now, in milliseconds; at least 0 is used.
+        :param call: callback to run.
         """
         event = (self.now_ms + max(0, delay_ms), next(self._order), call)
         heapq.heappush(self._events, event)
@@ -29,11 +29,11 @@
     def every(
         self, span_ms: int, first_ms: int, call: Callable[[], None]
     ) -> None:
-        """Let something happen again and again.
+        """Schedule a callback periodically.
 
-        :param span_ms: between two times.
-        :param first_ms: from now.
-        :param call: what happens.
+        :param span_ms: interval between two calls, in milliseconds.
+        :param first_ms: delay of the first call, in milliseconds.
+        :param call: callback to run.
         """
 
         def _again() -> None:
@@ -43,9 +43,9 @@
         self.at(first_ms, _again)
 
     def run(self, span_ms: int) -> None:
-        """Let time pass.
+        """Advance the clock and run all callbacks that are due.
 
-        :param span_ms: how much.
+        :param span_ms: time to advance by, in milliseconds.
         """
         until_ms = self.now_ms + span_ms
         while self._events and self._events[0][0] <= until_ms:
