--- a/waxwingford_bench/bundles/__init__.py
+++ b/waxwingford_bench/bundles/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-out of bundles over daemons."""
+"""Benchmarks of bundle rollout."""
--- a/waxwingford_bench/bundles/fleet.py
+++ b/waxwingford_bench/bundles/fleet.py
@@ -1,4 +1,4 @@
-"""Bundle readers of many daemons in one process, over an in-process log."""
+"""Bundle readers of many daemons in one process, with an in-process log."""
 
 import asyncio
 import random
@@ -22,56 +22,56 @@
 _DOMAIN_DAEMONS = 8
 
 
-class HeldLog(FakeLog):
-    """In-process log that holds reads until something is appended.
+class LongPollLog(FakeLog):
+    """Port to an in-process log that supports long polling.
 
-    :ivar away: whether the log is out of service, for this port only.
-    :ivar read_bytes: payloads read.
+    :ivar unavailable: whether reads through this port fail.
+    :ivar read_bytes: size of all payloads read, in bytes.
     """
 
-    def __init__(self, core: LogCore, grown: asyncio.Condition) -> None:
-        """Bind a port to the shared core.
+    def __init__(self, core: LogCore, appended: asyncio.Condition) -> None:
+        """Create a port to the shared log.
 
-        :param core: the log.
-        :param grown: notified by every append.
+        :param core: shared log.
+        :param appended: condition notified after every append.
         """
         super().__init__(core, SystemClock())
-        self.away = False
+        self.unavailable = False
         self.read_bytes = 0
-        self._grown = grown
+        self._appended = appended
 
     async def append(self, stream: str, payload: bytes) -> AppendOutcome:
-        """Append and wake held reads.
+        """Append an entry and wake pending reads.
 
-        :param stream: its name.
-        :param payload: one entry.
-        :returns: tagged outcome.
+        :param stream: name of the stream.
+        :param payload: payload of the entry.
+        :returns: outcome of the append.
         """
         outcome = await super().append(stream, payload)
-        async with self._grown:
-            self._grown.notify_all()
+        async with self._appended:
+            self._appended.notify_all()
         return outcome
 
     async def read(
         self, stream: str, from_offset: int, limit: int, wait_ms: int = 0
     ) -> ReadOutcome:
-        """Read, or wait until there is something to read.
+        """Read entries, waiting for an append if there are none.
 
-        :param stream: its name.
-        :param from_offset: first offset wanted.
-        :param limit: entries at most.
-        :param wait_ms: longest wait, in milliseconds.
-        :returns: tagged outcome.
+        :param stream: name of the stream.
+        :param from_offset: first offset to read.
+        :param limit: maximum number of entries.
+        :param wait_ms: maximum wait, in milliseconds.
+        :returns: outcome of the read.
         """
-        if self.away:
-            return LogUnavailable('away')
+        if self.unavailable:
+            return LogUnavailable('not connected')
         outcome = await super().read(stream, from_offset, limit)
         entries = getattr(outcome, 'entries', ())
         self.read_bytes += sum(len(entry.payload) for entry in entries)
         if wait_ms and not entries:
             try:
-                async with asyncio.timeout(wait_ms / _MS_IN_S), self._grown:
-                    await self._grown.wait()
+                async with asyncio.timeout(wait_ms / _MS_IN_S), self._appended:
+                    await self._appended.wait()
             except TimeoutError:
                 return outcome
             return await self.read(stream, from_offset, limit)
@@ -79,87 +79,95 @@
 
 
 class Fleet:
-    """Readers that share a log and are each other's peers."""
+    """Bundle readers that share a log and are peers of each other.
+
+    :ivar core: shared log.
+    :ivar log_ports: port of each reader to the log.
+    :ivar times_by_version: monotonic seconds at which each version came into
+        force, one for each reader that has it.
+    :ivar readers: bundle readers.
+    """
 
     def __init__(self, count: int) -> None:
-        """Start readers without running them.
+        """Create readers without running them.
 
-        :param count: how many.
+        :param count: number of readers.
         """
         self.core = LogCore()
-        grown = asyncio.Condition()
-        self.logs = [HeldLog(self.core, grown) for _ in range(count)]
-        self.at_by_version: dict[int, list[float]] = {}
+        appended = asyncio.Condition()
+        self.log_ports = [
+            LongPollLog(self.core, appended) for _ in range(count)
+        ]
+        self.times_by_version: dict[int, list[float]] = {}
         self.readers = [
             BundleReader(
                 ReaderSetup(
                     log=log,
-                    peers=PeersOf(self, own),
+                    peers=FleetPeers(self, own_index),
                     clock=SystemClock(),
                     key_by_member=TRUST,
                     domain_daemons=frozenset(),
-                    on_in_force=self._hear,
-                    note=_note_nothing,
+                    on_in_force=self._record_in_force,
+                    note=_ignore_event,
                     counters=Metrics(),
-                    rng=random.Random(own),
+                    rng=random.Random(own_index),
                 )
             )
-            for own, log in enumerate(self.logs)
+            for own_index, log in enumerate(self.log_ports)
         ]
 
-    async def until(self, version: int) -> list[float]:
+    async def wait_for_version(self, version: int) -> list[float]:
         """Wait until a version is in force in all readers.
 
-        :param version: which.
-        :returns: monotonic seconds at which it took force, by reader.
+        :param version: version number.
+        :returns: monotonic seconds at which it came into force, one for each
+            reader.
         """
-        times = self.at_by_version.setdefault(version, [])
+        times = self.times_by_version.setdefault(version, [])
         while len(times) < len(self.readers):
             await asyncio.sleep(0.001)
         return times
 
-    def _hear(self, in_force: BundleInForce) -> None:
-        times = self.at_by_version.setdefault(in_force.version, [])
+    def _record_in_force(self, in_force: BundleInForce) -> None:
+        times = self.times_by_version.setdefault(in_force.version, [])
         times.append(time.perf_counter())
 
 
-class PeersOf:
-    """Peers of one reader: the other daemons of its failure domain, and one.
-
-    As daemons do, a reader asks its own failure domain and a few others.
-    """
+class FleetPeers:
+    """Peers of one reader: its failure domain and a few distant daemons."""
 
-    def __init__(self, fleet: Fleet, own: int) -> None:
-        """Choose the peers.
+    def __init__(self, fleet: Fleet, own_index: int) -> None:
+        """Select the peers.
 
         :param fleet: all readers.
-        :param own: index of the asking reader.
+        :param own_index: index of the reader whose peers these are.
         """
         self._fleet = fleet
-        first = own - own % _DOMAIN_DAEMONS
-        beside = set(range(first, first + _DOMAIN_DAEMONS))
-        self._own = own
+        first = own_index - own_index % _DOMAIN_DAEMONS
+        domain_peers = set(range(first, first + _DOMAIN_DAEMONS))
+        self._own_index = own_index
         self._step = _DOMAIN_DAEMONS
-        self._beside = beside
+        self._domain_peers = domain_peers
 
     async def fetch(self, after_version: int) -> dict[str, PeerBundleAnswer]:
-        """Ask them.
+        """Fetch newer bundles from the peers.
 
-        :param after_version: version known.
+        :param after_version: version that the reader has.
         :returns: answer by daemon id.
         """
         count = len(self._fleet.readers)
-        far = {
-            (self._own + self._step * 2**power) % count for power in range(6)
+        distant_peers = {
+            (self._own_index + self._step * 2**power) % count
+            for power in range(6)
         }
-        chosen = (self._beside | far) - {self._own}
+        chosen = (self._domain_peers | distant_peers) - {self._own_index}
         return {
-            f'd{peer}': _answer(self._fleet.readers, peer, after_version)
+            f'd{peer}': _ask_peer(self._fleet.readers, peer, after_version)
             for peer in sorted(chosen)
         }
 
 
-def _answer(
+def _ask_peer(
     readers: list[BundleReader], peer: int, after_version: int
 ) -> PeerBundleAnswer:
     if peer >= len(readers):
@@ -170,10 +178,10 @@
     return PeerBundle((readers[peer].whole_record(),))
 
 
-def _note_nothing(kind: str, subject: str, detail: str = '') -> None:
-    """Drop an event.
+def _ignore_event(kind: str, subject: str, detail: str = '') -> None:
+    """Discard an event.
 
-    :param kind: what happened.
-    :param subject: what it is about.
-    :param detail: for people.
+    :param kind: kind of the event.
+    :param subject: object that it concerns.
+    :param detail: details as text.
     """
--- a/waxwingford_bench/bundles/rollout.py
+++ b/waxwingford_bench/bundles/rollout.py
@@ -1,10 +1,8 @@
-"""Measures the rollout of bundles in one process, over an in-process log.
+"""Benchmark of bundle rollout in one process, with an in-process log.
 
 ``python -m waxwingford_bench.bundles.rollout`` prints one JSON line for each
-measurement: time from append to in force by reader count, the same from one
-peer while the log is away, and processor time and bytes of a change by the
-size of the bundle.  All readers share one process and one event loop, so the
-times are those of many daemons on one core, an upper bound for one.
+measurement.  All readers share one event loop, so that latencies are upper
+bounds.
 """
 
 import argparse
@@ -26,7 +24,7 @@
     body_of,
     canonical_bytes,
 )
-from waxwingford_bench.bundles.fleet import Fleet, HeldLog
+from waxwingford_bench.bundles.fleet import Fleet, LongPollLog
 from waxwingford_bench.bundles.rows import Cost, Figures, StartCost
 from waxwingford_bench.bundles.versions import (
     TRUST,
@@ -36,87 +34,90 @@
 )
 
 _MS_IN_S = 1000
-_CHANGES_A_DAY = 6900
+_CHANGES_PER_DAY = 6900
 _DAY_MS = 86_400_000
-_TEAMS = (10, 100, 680)
-_READERS = (8, 144)
-#: Just after a restatement, and just before the next is due.
-_STREAM_CHANGES = (322, 382)
-#: Pauses between changes, in seconds; beside peers long enough for the pauses
-#: between their questions to be longest.
+_TEAM_COUNTS = (10, 100, 680)
+_READER_COUNTS = (8, 144)
+#: Changes in the stream just after a whole record and just before the next.
+_STREAM_CHANGE_COUNTS = (322, 382)
+#: Pauses between changes; the one for peers lets their polling interval reach
+#: its maximum.
 _LOG_PAUSE_S = 0.05
 _PEER_PAUSE_S = 10
 
 
 async def measure_rollout(count: int, teams: int, changes: int) -> Figures:
-    """Time from append to in force, all readers reading the log.
+    """Measure the time from append to in force, with all readers on the log.
 
-    :param count: readers.
-    :param teams: teams in the bundle.
-    :param changes: changes to make, one after the other.
-    :returns: figures.
+    :param count: number of readers.
+    :param teams: number of teams in the bundle.
+    :param changes: number of consecutive changes.
+    :returns: latency figures.
     """
-    waits = await _wait_for_all(Fleet(count), teams, changes, _LOG_PAUSE_S)
-    return _figures('append to in force', count, teams, changes, waits)
+    latencies_ms = await _measure_latencies(
+        Fleet(count), teams, changes, _LOG_PAUSE_S
+    )
+    return _figures('append to in force', count, teams, changes, latencies_ms)
 
 
 async def measure_from_peer(count: int, teams: int, changes: int) -> Figures:
-    """Time until all have what one peer has, with the log away for the rest.
+    """Measure the rollout from one reader to its peers during a log outage.
 
-    :param count: readers.
-    :param teams: teams in the bundle.
-    :param changes: changes to make, one after the other.
-    :returns: figures.
+    :param count: number of readers.
+    :param teams: number of teams in the bundle.
+    :param changes: number of consecutive changes.
+    :returns: latency figures.
     """
     fleet = Fleet(count)
-    waits = await _wait_for_all(
-        fleet, teams, changes, _PEER_PAUSE_S, fleet.logs[1:]
+    latencies_ms = await _measure_latencies(
+        fleet, teams, changes, _PEER_PAUSE_S, fleet.log_ports[1:]
     )
-    return _figures('one peer to all', count, teams, changes, waits)
+    return _figures('one peer to all', count, teams, changes, latencies_ms)
 
 
-async def _wait_for_all(
+async def _measure_latencies(
     fleet: Fleet,
     teams: int,
     changes: int,
     pause_s: float,
-    away: Sequence[HeldLog] = (),
+    unavailable: Sequence[LongPollLog] = (),
 ) -> list[float]:
-    """Make changes and time until each reader has them in force.
-
-    :param fleet: readers, each with its way to the log.
-    :param teams: teams in the bundle.
-    :param changes: changes to make, one after the other.
-    :param pause_s: before each change, in seconds.
-    :param away: ways to the log that are cut once the first bundle is known.
-    :returns: milliseconds of each reader and change.
+    """Measure the time until each change is in force in each reader.
+
+    :param fleet: bundle readers.
+    :param teams: number of teams in the bundle.
+    :param changes: number of consecutive changes.
+    :param pause_s: pause before each change, in seconds.
+    :param unavailable: log ports that fail once the first bundle is in force.
+    :returns: latency of each change in each reader, in milliseconds.
     """
     bundle = make_first(teams)
-    await fleet.logs[0].append(CONFIG_STREAM, make_payload(bundle, {}))
-    waits: list[float] = []
+    await fleet.log_ports[0].append(CONFIG_STREAM, make_payload(bundle, {}))
+    latencies_ms: list[float] = []
     async with asyncio.TaskGroup() as group:
         tasks = [group.create_task(one.run()) for one in fleet.readers]
-        await fleet.until(1)
-        for log in away:
-            log.away = True
+        await fleet.wait_for_version(1)
+        for log in unavailable:
+            log.unavailable = True
         for _ in range(changes):
             before, bundle = bundle, make_next(bundle)
             payload = make_payload(bundle, body_of(before))
             await asyncio.sleep(pause_s)
             started = time.perf_counter()
-            await fleet.logs[0].append(CONFIG_STREAM, payload)
-            times = await fleet.until(bundle.version)
-            waits += [(at - started) * _MS_IN_S for at in times]
-        _cancel(tasks)
-    return waits
+            await fleet.log_ports[0].append(CONFIG_STREAM, payload)
+            times = await fleet.wait_for_version(bundle.version)
+            latencies_ms += [(at - started) * _MS_IN_S for at in times]
+        _cancel_all(tasks)
+    return latencies_ms
 
 
 def measure_cost(teams: int, changes: int) -> Cost:
-    """Processor time and bytes of a change in one daemon.
+    """Measure processor time and size of a change in one daemon.
 
-    :param teams: teams in the bundle.
-    :param changes: changes to take the mean of.
-    :returns: figures.
+    :param teams: number of teams in the bundle.
+    :param changes: number of changes to average over.
+    :returns: mean processor time and sizes.
+    :raises ValueError: if a change did not come into force.
     """
     bundle = make_first(teams)
     chain = BundleChain(TRUST)
@@ -128,26 +129,28 @@
     started = time.process_time()
     for offset, payload in enumerate(payloads, 1):
         chain.offer_payload(payload, FromLog(offset))
-    spent_ms = (time.process_time() - started) * _MS_IN_S / changes
+    processor_ms = (time.process_time() - started) * _MS_IN_S / changes
     if chain.version != changes + 1:
-        raise ValueError(f'only version {chain.version} took force')
+        raise ValueError(f'version {chain.version} is in force, not the newest')
     return Cost(
         'change',
         teams,
         len(canonical_bytes(body_of(bundle))),
         len(payloads[-1]),
         len(chain.whole_record(changes)),
-        round(spent_ms, 3),
-        round(spent_ms * _CHANGES_A_DAY / _DAY_MS, 7),
+        round(processor_ms, 3),
+        round(processor_ms * _CHANGES_PER_DAY / _DAY_MS, 7),
     )
 
 
 async def measure_start(teams: int, changes: int) -> StartCost:
-    """Bytes and processor time until an empty VM has its bundle.
+    """Measure bytes read and processor time of a reader's first bundle.
 
-    :param teams: teams in the bundle.
-    :param changes: changes in the stream, restated as daemons do.
-    :returns: figures.
+    :param teams: number of teams in the bundle.
+    :param changes: number of changes in the stream, with a whole record after
+        every ``RESTATE_CHANGES``.
+    :returns: bytes read and processor time.
+    :raises ValueError: if the newest version did not come into force.
     """
     fleet = Fleet(1)
     bundle = make_first(teams)
@@ -166,48 +169,53 @@
         before, bundle = body_of(bundle), make_next(bundle)
     started = time.process_time()
     await fleet.readers[0].step()
-    spent_ms = (time.process_time() - started) * _MS_IN_S
-    if changes not in fleet.at_by_version:
-        raise ValueError(f'only {list(fleet.at_by_version)} took force')
-    read_bytes = fleet.logs[0].read_bytes
-    return StartCost('start', teams, changes, read_bytes, round(spent_ms, 1))
+    processor_ms = (time.process_time() - started) * _MS_IN_S
+    if changes not in fleet.times_by_version:
+        raise ValueError(
+            f'versions {list(fleet.times_by_version)} came into force, '
+            'not the newest'
+        )
+    read_bytes = fleet.log_ports[0].read_bytes
+    return StartCost(
+        'start', teams, changes, read_bytes, round(processor_ms, 1)
+    )
 
 
-def _cancel(tasks: list[asyncio.Task[None]]) -> None:
+def _cancel_all(tasks: list[asyncio.Task[None]]) -> None:
     for task in tasks:
         task.cancel()
 
 
 def _figures(
-    name: str, count: int, teams: int, changes: int, waits: list[float]
+    name: str, count: int, teams: int, changes: int, latencies_ms: list[float]
 ) -> Figures:
     return Figures(
         name,
         count,
         teams,
         changes,
-        round(statistics.median(waits), 1),
-        round(max(waits), 1),
+        round(statistics.median(latencies_ms), 1),
+        round(max(latencies_ms), 1),
     )
 
 
 def main() -> None:
-    """Run all measurements."""
+    """Run all measurements and print one JSON line for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--changes', type=int, default=20)
     parser.add_argument('--outages', type=int, default=3)
     options = parser.parse_args()
-    for teams in _TEAMS:
-        _print(measure_cost(teams, options.changes * 10))
-    for changes in _STREAM_CHANGES:
-        _print(asyncio.run(measure_start(_TEAMS[-1], changes)))
-    for count in _READERS:
-        _print(asyncio.run(measure_rollout(count, 680, options.changes)))
-    for count in _READERS:
-        _print(asyncio.run(measure_from_peer(count, 680, options.outages)))
+    for teams in _TEAM_COUNTS:
+        _print_row(measure_cost(teams, options.changes * 10))
+    for changes in _STREAM_CHANGE_COUNTS:
+        _print_row(asyncio.run(measure_start(_TEAM_COUNTS[-1], changes)))
+    for count in _READER_COUNTS:
+        _print_row(asyncio.run(measure_rollout(count, 680, options.changes)))
+    for count in _READER_COUNTS:
+        _print_row(asyncio.run(measure_from_peer(count, 680, options.outages)))
 
 
-def _print(figures: Figures | Cost | StartCost) -> None:
+def _print_row(figures: Figures | Cost | StartCost) -> None:
     line = msgspec.json.encode(figures._asdict()).decode()
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
--- a/waxwingford_bench/bundles/rows.py
+++ b/waxwingford_bench/bundles/rows.py
@@ -1,17 +1,17 @@
-"""Rows that the measurements of the bundles' rollout print."""
+"""Output rows of the bundle rollout benchmark."""
 
 from typing import NamedTuple
 
 
 class Figures(NamedTuple):
-    """One measurement.
+    """Rollout latency of changes.
 
-    :ivar name: what was measured.
-    :ivar readers: readers in the process.
-    :ivar teams: teams in the bundle.
-    :ivar changes: changes that were made.
+    :ivar name: name of the measurement.
+    :ivar readers: number of readers in the process.
+    :ivar teams: number of teams in the bundle.
+    :ivar changes: number of changes.
     :ivar p50_ms: median over readers and changes, in milliseconds.
-    :ivar max_ms: largest, in milliseconds.
+    :ivar max_ms: maximum over readers and changes, in milliseconds.
     """
 
     name: str
@@ -25,13 +25,13 @@
 class Cost(NamedTuple):
     """Cost of a change in one daemon.
 
-    :ivar name: what was measured.
-    :ivar teams: teams in the bundle.
-    :ivar body_bytes: canonical body.
-    :ivar record_bytes: record of a change.
-    :ivar whole_bytes: whole record, as restated.
-    :ivar processor_ms: processor time of taking one change in, milliseconds.
-    :ivar share_of_core: at 6,900 changes a day.
+    :ivar name: name of the measurement.
+    :ivar teams: number of teams in the bundle.
+    :ivar body_bytes: size of the canonical body, in bytes.
+    :ivar record_bytes: size of the record of one change, in bytes.
+    :ivar whole_bytes: size of a whole record, in bytes.
+    :ivar processor_ms: processor time to apply one change, in milliseconds.
+    :ivar share_of_core: share of a core at 6,900 changes a day.
     """
 
     name: str
@@ -44,12 +44,12 @@
 
 
 class StartCost(NamedTuple):
-    """Cost of a start with an empty memory.
+    """Cost of a reader's start without a bundle.
 
-    :ivar name: what was measured.
-    :ivar teams: teams in the bundle.
-    :ivar changes: changes in the stream.
-    :ivar read_bytes: payloads read until the bundle was in force.
+    :ivar name: name of the measurement.
+    :ivar teams: number of teams in the bundle.
+    :ivar changes: number of changes in the stream.
+    :ivar read_bytes: payload bytes read until the bundle is in force.
     :ivar processor_ms: processor time until then, in milliseconds.
     """
 
--- a/waxwingford_bench/bundles/versions.py
+++ b/waxwingford_bench/bundles/versions.py
@@ -1,4 +1,4 @@
-"""Versions of a bundle, and their signed records, for measurements."""
+"""Generated bundle versions and their signed records."""
 
 import copy
 
@@ -21,15 +21,15 @@
     member: Ed25519PrivateKey.from_private_bytes(bytes([index]) * 32)
     for index, member in enumerate(('qadri', 'svatbena'), 1)
 }
-#: Public key of each member that signs.
+#: Public key of each signing member.
 TRUST = {member: public_text(key) for member, key in _KEYS.items()}
 
 
 def make_first(teams: int) -> Bundle:
-    """Make a first version.
+    """Create the first version of a bundle.
 
-    :param teams: teams with quotas.
-    :returns: bundle.
+    :param teams: number of teams with quotas.
+    :returns: first version.
     """
     size = {'processors_milli': 8000, 'memory_mb': 16_000}
     return Bundle.model_validate_json(
@@ -51,10 +51,10 @@
 
 
 def make_next(before: Bundle) -> Bundle:
-    """Make a successor that changes one quota.
+    """Create the next version, which changes one quota.
 
-    :param before: version before.
-    :returns: bundle.
+    :param before: preceding version.
+    :returns: next version.
     """
     body = copy.deepcopy(body_of(before))
     body['predecessor'] = digest_of(canonical_bytes(body_of(before)))
@@ -64,11 +64,11 @@
 
 
 def make_payload(bundle: Bundle, before: Body) -> bytes:
-    """Sign a bundle and write its record.
+    """Sign a bundle and encode its record.
 
-    :param bundle: what to publish.
-    :param before: body that it succeeds, empty for none.
-    :returns: payload.
+    :param bundle: bundle to publish.
+    :param before: body of the preceding version; empty for the first.
+    :returns: payload for the log.
     """
     digest = digest_of(canonical_bytes(body_of(bundle)))
     signatures = {
--- a/waxwingford_bench/routing/__init__.py
+++ b/waxwingford_bench/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Cost of routing."""
+"""Benchmarks of request routing."""
--- a/waxwingford_bench/routing/site.py
+++ b/waxwingford_bench/routing/site.py
@@ -1,4 +1,4 @@
-"""Backend server, daemon and peer on loopback in one process, for measuring."""
+"""Backend server, daemon and peer in one process, connected over loopback."""
 
 import asyncio
 import random
@@ -30,15 +30,15 @@
 _HOST = '127.0.0.1'
 _DOMAIN = 'gulberg'
 _SLOTS = 1000
-_SETTLE_S = 1.0
+_SLOW_START_WAIT_S = 1.0
 _HOUR_MS = 3_600_000
 _REQUEST_ID = 'Waxwingford-Request-Id'
 
 
 class Address(NamedTuple):
-    """Where requests of one way go.
+    """Address of requests on one route.
 
-    :ivar url: URL.
+    :ivar url: request URL.
     :ivar headers: request headers.
     """
 
@@ -47,7 +47,7 @@
 
 
 class _Daemon:
-    """Request path of one daemon: entry, dispatcher, links."""
+    """Request path of one daemon: HTTP entry, dispatcher and peer links."""
 
     def __init__(
         self, daemon_id: str, clock: Clock, peers: tuple[PeerAddress, ...]
@@ -84,12 +84,12 @@
 
 
 class BenchSite:
-    """A backend server; a daemon that holds it; a peer that does not."""
+    """A backend server, the daemon that holds it, and a peer daemon."""
 
     def __init__(self, clock: Clock) -> None:
-        """Prepare; nothing listens yet.
+        """Create all parts without listening.
 
-        :param clock: monotonic time.
+        :param clock: clock of both daemons.
         """
         self._clock = clock
         app = web.Application()
@@ -109,9 +109,9 @@
         )
 
     async def start(self) -> None:
-        """Start all, and wait until slow start is past what is needed.
+        """Start all parts and wait for slow start to open enough slots.
 
-        :raises OSError: if no port can be had.
+        :raises OSError: if a port cannot be bound.
         """
         await self._backend.start(_HOST, 0)
         await self._holder.site.start(_HOST, 0)
@@ -125,15 +125,15 @@
         )
         self._peer = _Daemon('gulberg-2', self._clock, (address,))
         await self._peer.site.start(_HOST, 0)
-        self._holder.dispatcher.set_servers((self._held(),))
-        await asyncio.sleep(_SETTLE_S)
-        self._holder.dispatcher.set_servers((self._held(),))
-        spare = {'dispatcher': _HOUR_MS}
-        view = PeerView('gulberg-1', _DOMAIN, True, spare, {}, 1.0)
-        self._peer.dispatcher.set_peers((view,))
+        self._holder.dispatcher.set_servers((self._held_server(),))
+        await asyncio.sleep(_SLOW_START_WAIT_S)
+        self._holder.dispatcher.set_servers((self._held_server(),))
+        free_slots = {'dispatcher': _HOUR_MS}
+        peer_view = PeerView('gulberg-1', _DOMAIN, True, free_slots, {}, 1.0)
+        self._peer.dispatcher.set_peers((peer_view,))
 
     async def stop(self) -> None:
-        """Stop all."""
+        """Stop all parts."""
         if self._peer is not None:
             await self._peer.stop()
         self._rpc.close()
@@ -142,9 +142,9 @@
         await self._backend.stop()
 
     def addresses(self) -> dict[str, Address]:
-        """List the ways of a request.
+        """List the routes of a request to the backend server.
 
-        :returns: addresses by way: direct, holder, peer.
+        :returns: address by route: ``direct``, ``holder``, ``peer``.
         """
         headers = {
             'Waxwingford-Member': 'qadri',
@@ -160,10 +160,10 @@
         return {
             'direct': direct,
             **{
-                way: Address(
+                route: Address(
                     f'http://{_HOST}:{port}/v1/services/dispatcher/x', headers
                 )
-                for way, port in ports.items()
+                for route, port in ports.items()
             },
         }
 
@@ -172,7 +172,7 @@
         listener = self._rpc._server  # noqa: SLF001
         return listener.sockets[0].getsockname()[1]
 
-    def _held(self) -> HeldServer:
+    def _held_server(self) -> HeldServer:
         return HeldServer(
             server_id='server-1',
             rack='rack-1',
--- a/waxwingford_bench/virtual/oracle.py
+++ b/waxwingford_bench/virtual/oracle.py
@@ -186,7 +186,9 @@
         refused = {job.job_id for job in self._job_by_submission.values()}
         for job_id in refused - not_refused:
             if job_id in state.jobs_by_id or job_id in state.finished:
-                raise Violation(f'refused job {job_id} is in the domain state')
+                raise Violation(
+                    f'{job_id} was refused but is in the domain state'
+                )
 
     def check(self, servers: Iterable, now_ms: int) -> None:
         """Check that no task runs twice and no VM is over-committed.
