--- a/waxwingford_bench/colocation/_faults.py
+++ b/waxwingford_bench/colocation/_faults.py
@@ -10,6 +10,7 @@
 
 _SHIFT_RISE = 0.25
 _SHIFT_RAMP_S = 30
+#: Times of the faults, as fractions of the run.
 _BAD_SERVER_FROM = 0.2
 _MIDDLE = 0.5
 _RACK_RECOVERED = 0.75
--- a/waxwingford_bench/colocation/_scheduler.py
+++ b/waxwingford_bench/colocation/_scheduler.py
@@ -170,7 +170,7 @@
         first = now_s // 2 % len(daemons)
         for policy, servers in daemons[first:] + daemons[:first]:
             self._react(policy, servers, now_s)
-            # Skips placement if nothing changed since the last attempt.
+            # Skips placement if nothing changed since its last round.
             if (
                 self._placed_revision_by_daemon.get(servers[0])
                 != self._revision
--- a/waxwingford_bench/colocation/main.py
+++ b/waxwingford_bench/colocation/main.py
@@ -37,7 +37,7 @@
         type=int,
         nargs='+',
         default=list(REPORTING_SEEDS),
-        help='reporting seeds, apart from those that constants were tuned with',
+        help='reporting seeds, distinct from the tuning seeds',
     )
     parser.add_argument(
         '--quick',
@@ -48,7 +48,7 @@
         '--no-ablations',
         dest='ablations',
         action='store_false',
-        help='do not switch mechanisms off one by one',
+        help='do not run ablations',
     )
     parser.add_argument('--processes', type=int, default=4)
     parser.add_argument('--output', default='bench-output')
--- a/waxwingford_bench/colocation/tests/emulator.feature
+++ b/waxwingford_bench/colocation/tests/emulator.feature
@@ -4,7 +4,7 @@
     When policy "learned" runs 60 s of scenario "noisy_wave" twice with seed 7
     Then both runs of the emulator give the same figures
 
-  Scenario Outline: No policy over-commits an emulated VM, whatever goes wrong
+  Scenario Outline: No policy over-commits an emulated VM under faults
     When policy "<policy>" runs 120 s of scenario "<scenario>" with seed 7
     Then no decision would have over-committed an emulated VM
     And the emulated members got work done
