--- a/waxwingford_standins/audit.py
+++ b/waxwingford_standins/audit.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from waxwingford_standins.backend_server import ServerAudit
-from waxwingford_standins.load import NOT_RUN, Call, CallOutcome
+from waxwingford_standins.load import NOT_RUN_OUTCOMES, Call, CallOutcome
 from waxwingford_standins.server_tasks import AttemptRun
 
 #: A leaving server gets nothing new after this time, in milliseconds.
@@ -26,7 +26,7 @@
     detail: str
 
 
-class FinishedTasks(NamedTuple):
+class FinishedJob(NamedTuple):
     """What a stream says of one finished job.
 
     :ivar job_id: which job.
@@ -55,13 +55,15 @@
     for server in servers:
         runs_by_key.update(server.runs_by_key)
         runs_by_token.update(server.runs_by_token)
-    doubled = [
+    duplicates = [
         Finding('key_ran_twice', f'{key} ran {count} times')
         for key, count in runs_by_key.items()
         if count > 1
     ]
-    judged = (_audit_call(call, runs_by_token[call.token]) for call in calls)
-    return [*doubled, *itertools.chain.from_iterable(judged)]
+    call_findings = (
+        _audit_call(call, runs_by_token[call.token]) for call in calls
+    )
+    return [*duplicates, *itertools.chain.from_iterable(call_findings)]
 
 
 def audit_attempts(servers: Sequence[ServerAudit]) -> list[Finding]:
@@ -101,14 +103,14 @@
 
 
 def audit_jobs(
-    answered_for: Iterable[str],
+    acknowledged: Iterable[str],
     in_log: frozenset[str],
-    finished: Iterable[FinishedTasks],
+    finished: Iterable[FinishedJob],
     servers: Sequence[ServerAudit],
 ) -> list[Finding]:
     """Check jobs.
 
-    :param answered_for: ids of jobs whose submission was accepted.
+    :param acknowledged: ids of jobs whose submission was accepted.
     :param in_log: ids of jobs accepted in the streams.
     :param finished: finished jobs of the streams.
     :param servers: what the servers ran.
@@ -116,7 +118,7 @@
     """
     lost = [
         Finding('job_lost', f'{job_id} was accepted but is not in the log')
-        for job_id in answered_for
+        for job_id in acknowledged
         if job_id not in in_log
     ]
     done_by_job = collections.Counter(
@@ -125,7 +127,7 @@
         for run in server.attempts
         if run.phase == 'done'
     )
-    invented = [
+    not_run = [
         Finding(
             'done_without_run',
             f'{job.job_id}: {job.done} done in the log, '
@@ -134,19 +136,20 @@
         for job in finished
         if done_by_job[job.job_id] < job.done
     ]
-    return [*lost, *invented]
+    return [*lost, *not_run]
 
 
 def _audit_call(call: Call, runs: int) -> Iterator[Finding]:
-    seen = ', '.join(call.outcomes)
+    outcomes = ', '.join(call.outcomes)
     if CallOutcome.foreign in call.outcomes:
-        yield Finding('foreign_answer', f'{call.token}: {seen}')
-    if runs and NOT_RUN.issuperset(call.outcomes):
+        yield Finding('foreign_answer', f'{call.token}: {outcomes}')
+    if runs and NOT_RUN_OUTCOMES.issuperset(call.outcomes):
         yield Finding(
-            'false_refusal', f'{call.token}: {seen}, yet it ran {runs} times'
+            'false_refusal',
+            f'{call.token}: {outcomes}, yet it ran {runs} times',
         )
     if call.outcome is CallOutcome.answered and not runs:
-        yield Finding('answer_without_run', f'{call.token}: {seen}')
+        yield Finding('answer_without_run', f'{call.token}: {outcomes}')
 
 
 def _audit_task(task_id: str, runs: list[AttemptRun]) -> Iterator[Finding]:
@@ -156,24 +159,25 @@
     :param runs: its attempts in order of their starts.
     :yields: findings.
     """
-    yield from _doubled(task_id, runs)
-    reference = ''
+    yield from _find_duplicates(task_id, runs)
+    checkpoint = ''
     for before, after in itertools.pairwise(runs):
         if after.started_ms < (before.ended_ms or _STILL_RUNNING):
             yield Finding(
-                'task_in_two_places', f'{_place(before)} and {_place(after)}'
+                'task_in_two_places',
+                f'{_describe_run(before)} and {_describe_run(after)}',
             )
         if before.phase == 'checkpointed':
-            reference = before.detail
-        if after.resume_from != reference:
+            checkpoint = before.detail
+        if after.resume_from != checkpoint:
             yield Finding(
                 'resumed_from_elsewhere',
-                f'{_place(after)} went on from {after.resume_from!r}, '
-                f'expected {reference!r}',
+                f'{_describe_run(after)} went on from {after.resume_from!r}, '
+                f'expected {checkpoint!r}',
             )
 
 
-def _doubled(task_id: str, runs: list[AttemptRun]) -> Iterator[Finding]:
+def _find_duplicates(task_id: str, runs: list[AttemptRun]) -> Iterator[Finding]:
     starts = collections.Counter(run.attempt for run in runs)
     yield from (
         Finding(
@@ -187,7 +191,7 @@
         yield Finding('task_done_twice', f'{task_id}: {done}')
 
 
-def _place(run: AttemptRun) -> str:
+def _describe_run(run: AttemptRun) -> str:
     ended = run.ended_ms or _RUNNING
     return (
         f'{run.task_id} attempt {run.attempt} on {run.server_id} '
--- a/waxwingford_standins/backend_host.py
+++ b/waxwingford_standins/backend_host.py
@@ -21,11 +21,11 @@
 from waxwingford_standins.server_service import CallRefused, CallStarted
 from waxwingford_standins.serving import start_site
 
-_MS_IN_S = 1000
-_MOST_BODY_BYTES = 8_388_608
+_MS_PER_S = 1000
+_MAX_BODY_BYTES = 8_388_608
 _JSON = 'application/json'
-_BUSY = 503
-_HALF = 2
+_SERVICE_UNAVAILABLE = 503
+_TRUNCATION_DIVISOR = 2
 
 
 class ServerFault(msgspec.Struct, forbid_unknown_fields=True):
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _AnswerFaults:
+class _ResponseFaults:
     lost_control_share: float = 0
     cut_share: float = 0
     foreign_share: float = 0
@@ -80,15 +80,15 @@
         self.core = core
         self.down = False
         self._clock = clock
-        self._faults = _AnswerFaults()
+        self._faults = _ResponseFaults()
         self._random = random.Random(core.vm.port)
-        self._thawed = asyncio.Event()
-        self._thawed.set()
+        self._unfrozen = asyncio.Event()
+        self._unfrozen.set()
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
         """Listen."""
-        app = web.Application(client_max_size=_MOST_BODY_BYTES)
+        app = web.Application(client_max_size=_MAX_BODY_BYTES)
         app.add_routes(
             (
                 web.post('/control', self.control),
@@ -103,7 +103,7 @@
     async def stop(self) -> None:
         """Break all connections off and stop listening."""
         self.down = True
-        self._thawed.set()
+        self._unfrozen.set()
         if self._runner is not None:
             for protocol in self._connections():
                 if protocol.transport is not None:
@@ -118,14 +118,14 @@
         :returns: granted or denied, as JSON.
         """
         body = await request.read()
-        await self._thawed.wait()
+        await self._unfrozen.wait()
         try:
             exchange = decode_control_request(body)
         except msgspec.DecodeError as error:
             return web.Response(status=400, text=str(error))
         reply = self.core.control(exchange, self._clock.monotonic_ms())
         if self._random.random() < self._faults.lost_control_share:
-            _abort(request)
+            _abort_connection(request)
         return web.Response(
             body=encode_control_reply(reply), content_type=_JSON
         )
@@ -136,19 +136,19 @@
         :param request: path names service and path.
         :returns: the service's answer, or 503 if it was not run.
         """
-        call = await _call(request)
-        if not self._takes_connection(request):
-            return _not_run(call, 'too many connections')
-        await self._thawed.wait()
+        call = await _read_call(request)
+        if not self._within_connection_limit(request):
+            return _not_run_response(call, 'too many connections')
+        await self._unfrozen.wait()
         outcome = self.core.begin_call(call, self._clock.monotonic_ms())
         match outcome:
             case CallRefused(reason):
-                return _not_run(call, reason)
-            case CallStarted(number, takes_ms):
-                await asyncio.sleep(takes_ms / _MS_IN_S)
+                return _not_run_response(call, reason)
+            case CallStarted(number, duration_ms):
+                await asyncio.sleep(duration_ms / _MS_PER_S)
                 self.core.end_call(number, self._clock.monotonic_ms())
-        await self._thawed.wait()
-        return await self._answer(request, call)
+        await self._unfrozen.wait()
+        return await self._respond(request, call)
 
     async def apply(self, fault: ServerFault) -> None:
         """Set switches and carry out one-time faults.
@@ -157,7 +157,7 @@
         """
         now_ms = self._clock.monotonic_ms()
         if fault.frozen is not None:
-            self._freeze(frozen=fault.frozen)
+            self._set_frozen(frozen=fault.frozen)
         if fault.fails_starts is not None:
             self.core.attempts.fails_starts = fault.fails_starts
         if fault.usage_lag_ms is not None:
@@ -171,21 +171,21 @@
             await self._die(fault.down_ms)
 
     def _set_shares(self, fault: ServerFault) -> None:
-        for field in dataclasses.fields(_AnswerFaults):
+        for field in dataclasses.fields(_ResponseFaults):
             share = getattr(fault, field.name)
             if share is not None:
                 setattr(self._faults, field.name, share)
 
-    def _freeze(self, *, frozen: bool) -> None:
+    def _set_frozen(self, *, frozen: bool) -> None:
         if frozen:
-            self._thawed.clear()
+            self._unfrozen.clear()
         else:
-            self._thawed.set()
+            self._unfrozen.set()
 
     async def _die(self, down_ms: int) -> None:
         await self.stop()
         self.core.die(self._clock.monotonic_ms())
-        await asyncio.sleep(down_ms / _MS_IN_S)
+        await asyncio.sleep(down_ms / _MS_PER_S)
         await self.start()
 
     def _connections(self) -> list:
@@ -193,7 +193,7 @@
             return []
         return list(self._runner.server.connections)
 
-    def _takes_connection(self, request: web.Request) -> bool:
+    def _within_connection_limit(self, request: web.Request) -> bool:
         """Tell whether a request came over one of the allowed connections.
 
         :param request: the request.
@@ -202,7 +202,7 @@
         allowed = self._connections()[: self.core.vm.connections]
         return request.protocol in allowed
 
-    async def _answer(
+    async def _respond(
         self, request: web.Request, call: ServiceCall
     ) -> web.StreamResponse:
         body = self.core.answer(call)
@@ -211,11 +211,11 @@
             request_id = f'{request_id}-other'
         headers = {REQUEST_ID_HEADER: request_id, 'Content-Type': _JSON}
         if self._random.random() < self._faults.cut_share:
-            return await _answer_half(request, headers, body)
+            return await _respond_truncated(request, headers, body)
         return web.Response(body=body, headers=headers)
 
 
-async def _call(request: web.Request) -> ServiceCall:
+async def _read_call(request: web.Request) -> ServiceCall:
     body = await request.read()
     return ServiceCall(
         request.headers.get(REQUEST_ID_HEADER, ''),
@@ -226,15 +226,15 @@
     )
 
 
-def _not_run(call: ServiceCall, reason: str) -> web.Response:
+def _not_run_response(call: ServiceCall, reason: str) -> web.Response:
     return web.Response(
-        status=_BUSY,
+        status=_SERVICE_UNAVAILABLE,
         text=reason,
         headers={NOT_RUN_HEADER: '1', REQUEST_ID_HEADER: call.request_id},
     )
 
 
-async def _answer_half(
+async def _respond_truncated(
     request: web.Request, headers: dict[str, str], body: bytes
 ) -> web.StreamResponse:
     """Break an answer off half way.
@@ -247,7 +247,7 @@
     response = web.StreamResponse(headers=headers)
     response.content_length = len(body)
     await response.prepare(request)
-    await response.write(body[: len(body) // _HALF])
+    await response.write(body[: len(body) // _TRUNCATION_DIVISOR])
     if request.transport is not None:
         # Let the half go out before the connection is closed.
         request.transport.close()
@@ -256,6 +256,6 @@
     return response
 
 
-def _abort(request: web.Request) -> None:
+def _abort_connection(request: web.Request) -> None:
     if request.transport is not None:
         request.transport.abort()
--- a/waxwingford_standins/backend_main.py
+++ b/waxwingford_standins/backend_main.py
@@ -63,9 +63,9 @@
         """
         self._hosts = hosts
         self._clock = clock
-        self._dying: set[asyncio.Task[None]] = set()
+        self._fault_tasks: set[asyncio.Task[None]] = set()
 
-    def admin(self) -> web.Application:
+    def admin_application(self) -> web.Application:
         """Lay out the administration's routes.
 
         :returns: the application.
@@ -89,13 +89,13 @@
             fault = msgspec.json.decode(await request.read(), type=ServerFault)
         except msgspec.DecodeError as error:
             return web.Response(status=400, text=str(error))
-        chosen = [host for host in self._hosts if _matches(host, fault)]
-        for host in chosen:
+        matching = [host for host in self._hosts if _matches(host, fault)]
+        for host in matching:
             task = asyncio.ensure_future(host.apply(fault))
-            self._dying.add(task)
-            task.add_done_callback(self._dying.discard)
+            self._fault_tasks.add(task)
+            task.add_done_callback(self._fault_tasks.discard)
         await asyncio.sleep(0)
-        return web.Response(status=200 if chosen else 404)
+        return web.Response(status=200 if matching else 404)
 
     async def audit(self, _: web.Request) -> web.StreamResponse:
         """Tell what ran on every server.
@@ -108,7 +108,7 @@
             body=encode_json(audits), content_type='application/json'
         )
 
-    async def heartbeat(self, domain: str, directory_url: str) -> None:
+    async def send_heartbeats(self, domain: str, directory_url: str) -> None:
         """Register the servers of a failure domain, except those down.
 
         :param domain: name of the failure domain.
@@ -138,7 +138,7 @@
     )
 
 
-def _host(hosted: HostedServer, clock: Clock) -> ServerHost:
+def _create_host(hosted: HostedServer, clock: Clock) -> ServerHost:
     core = BackendServerCore(
         hosted.vm, hosted.model, hosted.seed, first_epoch=int(time.time())
     )
@@ -156,16 +156,20 @@
     clock = SystemClock()
 
     async def _open(stack: contextlib.AsyncExitStack) -> None:
-        hosts = [_host(hosted, clock) for hosted in config.servers]
+        hosts = [_create_host(hosted, clock) for hosted in config.servers]
         process = BackendProcess(hosts, clock)
         for host in hosts:
             await host.start()
             stack.push_async_callback(host.stop)
-        runner = await start_site(process.admin(), _HOST, config.admin_port)
+        runner = await start_site(
+            process.admin_application(), _HOST, config.admin_port
+        )
         stack.push_async_callback(runner.cleanup)
         for domain, url in config.directory_url_by_domain.items():
-            beating = asyncio.ensure_future(process.heartbeat(domain, url))
-            stack.callback(beating.cancel)
+            heartbeat_task = asyncio.ensure_future(
+                process.send_heartbeats(domain, url)
+            )
+            stack.callback(heartbeat_task.cancel)
 
     run_process(_open)
 
--- a/waxwingford_standins/backend_server.py
+++ b/waxwingford_standins/backend_server.py
@@ -20,7 +20,7 @@
     VmState,
 )
 from waxwingford_standins.server_attempts import AttemptTable
-from waxwingford_standins.server_changes import ChangeCounter
+from waxwingford_standins.server_changes import ChangeTracker
 from waxwingford_standins.server_lease import ServerLease
 from waxwingford_standins.server_service import (
     CallRefused,
@@ -30,7 +30,7 @@
 )
 from waxwingford_standins.server_tasks import AttemptRun
 
-_MOST_SAMPLES = 64
+_MAX_SAMPLES = 64
 
 
 class UsageModel(NamedTuple):
@@ -98,12 +98,12 @@
         self.attempts = AttemptTable(vm.server_id, vm.resources)
         self._service = ServiceState(model, vm.slots, seed)
         self._samples: collections.deque[tuple[int, UsageSample]] = (
-            collections.deque(maxlen=_MOST_SAMPLES)
+            collections.deque(maxlen=_MAX_SAMPLES)
         )
-        self._changes = ChangeCounter()
-        self._window_from_ms = -1
+        self._changes = ChangeTracker()
+        self._window_start_ms = -1
         self._leaving_since_ms = -1
-        self._after_leaving_ms = -1
+        self._newest_work_after_leaving_ms = -1
 
     def control(
         self, request: ControlRequest, now_ms: int
@@ -122,26 +122,26 @@
             )
         renew = request.renew
         if request.renew_except is not None:
-            named = set(self._changes.named(request.known))
-            renew = tuple(named.difference(request.renew_except))
+            reported = set(self._changes.reported_by(request.known))
+            renew = tuple(reported.difference(request.renew_except))
         self.attempts.renew(renew, request.task_lease_ms, now_ms)
         outcomes = [
-            (command.key, self._carry_out(command, now_ms))
+            (command.key, self._execute(command, now_ms))
             for command in request.commands
         ]
         if not request.lease_ms:
             self._lease.release(now_ms)
         reports = self.attempts.reports()
-        self._changes.note(reports)
+        self._changes.record(reports)
         if request.known:
-            reports = self._changes.changed(reports, request.known)
+            reports = self._changes.changed_since(reports, request.known)
         return ControlGranted(
             self._lease.epoch,
             self.boot_id,
             self.vm.state is VmState.leaving,
             reports,
             tuple((key, reason) for key, reason in outcomes if reason),
-            self._take_samples(now_ms),
+            self._pop_due_samples(now_ms),
             now_ms,
             self._changes.version,
             is_delta=bool(request.known),
@@ -153,9 +153,9 @@
         :param now_ms: monotonic time.
         """
         self.attempts.advance(now_ms)
-        if self._window_from_ms < 0:
-            self._window_from_ms = now_ms
-        window_ms = now_ms - self._window_from_ms
+        if self._window_start_ms < 0:
+            self._window_start_ms = now_ms
+        window_ms = now_ms - self._window_start_ms
         if window_ms >= self.usage.window_ms:
             self._close_window(now_ms, window_ms)
 
@@ -171,13 +171,13 @@
         if call.service != self.vm.service:
             return CallRefused(f'no service {call.service!r} here')
         self.advance(now_ms)
-        beside = [
+        colocated = [
             (attempt.start.kind, attempt.percent)
             for attempt in self.attempts.running()
         ]
-        outcome = self._service.begin(call, beside, now_ms)
+        outcome = self._service.begin(call, colocated, now_ms)
         if isinstance(outcome, CallStarted):
-            self._note_new_work(now_ms)
+            self._record_new_work(now_ms)
         return outcome
 
     def end_call(self, number: int, now_ms: int) -> None:
@@ -212,7 +212,7 @@
         self.advance(now_ms)
         self.attempts.drop_all(now_ms, self.boot_id)
         self._samples.clear()
-        self._changes = ChangeCounter()
+        self._changes = ChangeTracker()
         self._service.drop_all()
         self._lease = ServerLease(epoch=self._lease.epoch)
         self._boots += 1
@@ -232,22 +232,22 @@
             self.attempts.runs(self.boot_id),
             self._service.most_at_once,
             self._service.refused,
-            self._after_leaving_ms,
+            self._newest_work_after_leaving_ms,
         )
 
-    def _carry_out(self, command: ServerCommand, now_ms: int) -> str:
+    def _execute(self, command: ServerCommand, now_ms: int) -> str:
         if not isinstance(command, StartTask):
-            return self.attempts.carry_out(command, now_ms, self.boot_id)
+            return self.attempts.execute(command, now_ms, self.boot_id)
         if self.vm.state is VmState.leaving:
             return 'server is leaving'
         reason = self.attempts.start(command, now_ms)
         if not reason:
-            self._note_new_work(now_ms)
+            self._record_new_work(now_ms)
         return reason
 
     def _close_window(self, now_ms: int, window_ms: int) -> None:
         load, p99_ms = self._service.close_window(now_ms, window_ms)
-        ran = self.attempts.ran_since(self._window_from_ms)
+        ran = self.attempts.ran_since(self._window_start_ms)
         sample = UsageSample(
             0,
             window_ms,
@@ -258,9 +258,9 @@
             {attempt.key.task_id: attempt.uses for attempt in ran},
         )
         self._samples.append((now_ms, sample))
-        self._window_from_ms = now_ms
+        self._window_start_ms = now_ms
 
-    def _take_samples(self, now_ms: int) -> tuple[UsageSample, ...]:
+    def _pop_due_samples(self, now_ms: int) -> tuple[UsageSample, ...]:
         old_enough_ms = now_ms - self.usage.lag_ms
         taken = []
         while self._samples and self._samples[0][0] <= old_enough_ms:
@@ -270,9 +270,9 @@
             )
         return tuple(taken)
 
-    def _note_new_work(self, now_ms: int) -> None:
+    def _record_new_work(self, now_ms: int) -> None:
         if self._leaving_since_ms >= 0:
-            self._after_leaving_ms = now_ms - self._leaving_since_ms
+            self._newest_work_after_leaving_ms = now_ms - self._leaving_since_ms
 
     def _next_boot_id(self) -> str:
         return f'{self.vm.server_id}-{self._first_epoch}-{self._boots}'
--- a/waxwingford_standins/configs.py
+++ b/waxwingford_standins/configs.py
@@ -41,12 +41,12 @@
 
     :ivar leases: lengths of the leases, for all daemons.
     :ivar tls: whether daemons have certificates and speak only TLS.
-    :ivar strangers: daemons with certificates of another authority.
+    :ivar untrusted_daemons: daemons with certificates of another authority.
     """
 
     leases: Leases = LOCAL_LEASES
     tls: bool = False
-    strangers: frozenset[str] = frozenset()
+    untrusted_daemons: frozenset[str] = frozenset()
 
     @property
     def scheme(self) -> str:
@@ -72,7 +72,7 @@
     authorities: tuple[pathlib.Path, ...] = ()
 
 
-def make_keys(members: Iterable[str]) -> dict[str, Ed25519PrivateKey]:
+def generate_keys(members: Iterable[str]) -> dict[str, Ed25519PrivateKey]:
     """Make a key for each member; a local run has nothing to protect.
 
     :param members: their names.
@@ -109,17 +109,19 @@
             member: public_text(key) for member, key in keys.items()
         }
     )
-    tls_by_daemon = _certificates(directory, layout, options)
+    tls_by_daemon = _issue_certificates(directory, layout, options)
     settings_by_daemon = {}
     for daemon in layout.daemons:
         path = directory / f'{daemon.daemon_id}.toml'
-        settings = _settings(deployment, layout, daemon, trust).model_copy(
+        settings = _daemon_settings(
+            deployment, layout, daemon, trust
+        ).model_copy(
             update={
                 'leases': options.leases,
                 'tls': tls_by_daemon.get(daemon.daemon_id),
             }
         )
-        path.write_text(toml_text(settings.model_dump(exclude_none=True)))
+        path.write_text(format_toml(settings.model_dump(exclude_none=True)))
         settings_by_daemon[daemon.daemon_id] = path
     authorities = {tls.authority_file for tls in tls_by_daemon.values()}
     return RunFiles(
@@ -130,7 +132,7 @@
     )
 
 
-def toml_text(document: Mapping[str, Any]) -> str:
+def format_toml(document: Mapping[str, Any]) -> str:
     """Write a document of tables, lists of tables and scalars as TOML.
 
     :param document: nested at most two tables deep.
@@ -158,16 +160,18 @@
                 yield from _toml_lines(table, f'{prefix}{key}.')
 
 
-def _certificates(
+def _issue_certificates(
     directory: pathlib.Path, layout: Layout, options: RunOptions
 ) -> dict[str, Tls]:
     if not options.tls:
         return {}
     daemon_ids = {daemon.daemon_id for daemon in layout.daemons}
     return {
-        **make_certificates(directory / 'tls', daemon_ids - options.strangers),
         **make_certificates(
-            directory / 'other-tls', daemon_ids & options.strangers
+            directory / 'tls', daemon_ids - options.untrusted_daemons
+        ),
+        **make_certificates(
+            directory / 'other-tls', daemon_ids & options.untrusted_daemons
         ),
     }
 
@@ -194,7 +198,7 @@
     )
 
 
-def _settings(
+def _daemon_settings(
     deployment: Deployment, layout: Layout, daemon: DaemonPlace, trust: Trust
 ) -> Settings:
     domain = daemon.failure_domain
--- a/waxwingford_standins/deployment.py
+++ b/waxwingford_standins/deployment.py
@@ -11,14 +11,14 @@
 Count = Annotated[int, Field(ge=0, le=100_000)]
 Amount = Annotated[int, Field(ge=0, le=1 << 40)]
 Rate = Annotated[float, Field(ge=0, le=100_000)]
-Latency = Annotated[float, Field(ge=0, le=60_000)]
+LatencyMs = Annotated[float, Field(ge=0, le=60_000)]
 
 
-class _Strict(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
-class DomainPlan(_Strict):
+class DomainPlan(_StrictModel):
     """A failure domain.
 
     :ivar name: its name.
@@ -31,7 +31,7 @@
     racks: tuple[Count, ...]
 
 
-class ServerPlan(_Strict):
+class ServerPlan(_StrictModel):
     """Size of every backend server.
 
     :ivar processors_milli: thousandths of a core.
@@ -57,7 +57,7 @@
         )
 
 
-class ServicePlan(_Strict):
+class ServicePlan(_StrictModel):
     """Behaviour of the latency-critical service.
 
     :ivar name: its name.
@@ -69,24 +69,24 @@
     """
 
     name: Name
-    median_ms: Latency
+    median_ms: LatencyMs
     sigma: Annotated[float, Field(ge=0, le=3)]
     answer_bytes: Amount = 2048
     slowdown_by_kind: dict[Name, Annotated[float, Field(ge=0, le=100)]]
 
 
-class NetworkPlan(_Strict):
+class NetworkPlan(_StrictModel):
     """Latencies, one way.
 
     :ivar between_domains_ms: between failure domains, in milliseconds.
     :ivar client_ms: between callers and daemons, in milliseconds.
     """
 
-    between_domains_ms: Latency
-    client_ms: Latency
+    between_domains_ms: LatencyMs
+    client_ms: LatencyMs
 
 
-class CallerPlan(_Strict):
+class CallerPlan(_StrictModel):
     """Open-loop callers of one kind.
 
     :ivar name: label in the report.
@@ -109,7 +109,7 @@
     attempts: Annotated[int, Field(ge=1, le=20)] = 3
 
 
-class JobPlan(_Strict):
+class JobPlan(_StrictModel):
     """Jobs of one kind in the night's batch.
 
     :ivar name: prefix of the job names.
@@ -154,7 +154,7 @@
     never_fits: bool = False
 
 
-class Deployment(_Strict):
+class Deployment(_StrictModel):
     """Everything that the launcher starts.
 
     :ivar name: its name.
--- a/waxwingford_standins/latencies.py
+++ b/waxwingford_standins/latencies.py
@@ -7,9 +7,9 @@
 
 from waxwingford_standins.load import Call
 
-_US_IN_MS = 1000
-_MOST_US = 120_000_000
-_DIGITS = 3
+_US_PER_MS = 1000
+_MAX_LATENCY_US = 120_000_000
+_SIGNIFICANT_DIGITS = 3
 _PERCENTILES = (50, 99, 99.9)
 
 
@@ -42,16 +42,16 @@
     for call in calls:
         histogram = histograms.setdefault(
             (call.caller, call.outcome.value),
-            HdrHistogram(1, _MOST_US, _DIGITS),
+            HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS),
         )
-        histogram.record_value(max(int(call.latency_ms * _US_IN_MS), 1))
+        histogram.record_value(max(int(call.latency_ms * _US_PER_MS), 1))
     return [
         LatencyRow(
             caller,
             outcome,
             histogram.get_total_count(),
             *(
-                histogram.get_value_at_percentile(percentile) / _US_IN_MS
+                histogram.get_value_at_percentile(percentile) / _US_PER_MS
                 for percentile in _PERCENTILES
             ),
         )
--- a/waxwingford_standins/launcher.py
+++ b/waxwingford_standins/launcher.py
@@ -14,13 +14,13 @@
 
 from waxwingford_standins.deployment import load_deployment
 from waxwingford_standins.local_run import LocalRun, StartFailed, open_bundle
-from waxwingford_standins.trial import Trial, write_results
+from waxwingford_standins.trial import LoadTest, write_results
 
 _DEPLOYMENTS = pathlib.Path(__file__).resolve().parent.parent / 'deployments'
-_DEFAULT_SECONDS = 25
-_FINDINGS = 1
-_NOT_STARTED = 3
-_INTERRUPTED = 130
+_DEFAULT_LOAD_S = 25
+_EXIT_FINDINGS = 1
+_EXIT_NOT_STARTED = 3
+_EXIT_INTERRUPTED = 130
 
 
 def main() -> None:
@@ -33,58 +33,62 @@
     bundle = open_bundle(source / 'bundle.toml')
     if isinstance(bundle, str):
         sys.exit(bundle)
-    say = _progress()
-    local_run = LocalRun(deployment, bundle, options.output, say)
-    sys.exit(asyncio.run(_run(local_run, options, say)))
+    log_progress = _progress_logger()
+    local_run = LocalRun(deployment, bundle, options.output, log_progress)
+    sys.exit(asyncio.run(_run(local_run, options, log_progress)))
 
 
 async def _run(
     local_run: LocalRun,
     options: argparse.Namespace,
-    say: Callable[[str], None],
+    log_progress: Callable[[str], None],
 ) -> int:
     """Run until the end or a signal, and stop everything in any case.
 
     :param local_run: what to start.
     :param options: command line.
-    :param say: takes progress lines.
+    :param log_progress: takes progress lines.
     :returns: exit code.
     """
-    work = asyncio.ensure_future(_start_and_load(local_run, options, say))
+    load_task = asyncio.ensure_future(
+        _start_and_load(local_run, options, log_progress)
+    )
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, work.cancel)
+        loop.add_signal_handler(number, load_task.cancel)
     try:
-        return await work
+        return await load_task
     except asyncio.CancelledError:
-        say('interrupted')
-        return _INTERRUPTED
+        log_progress('interrupted')
+        return _EXIT_INTERRUPTED
     finally:
         killed = await local_run.stop()
-        say(f'stopped; killed after the cap: {", ".join(killed) or "none"}')
+        log_progress(
+            f'stopped; killed after the cap: {", ".join(killed) or "none"}'
+        )
 
 
 async def _start_and_load(
     local_run: LocalRun,
     options: argparse.Namespace,
-    say: Callable[[str], None],
+    log_progress: Callable[[str], None],
 ) -> int:
     started = await local_run.start()
     if isinstance(started, StartFailed):
-        say(f'not started: {started.reason}')
-        return _NOT_STARTED
-    say(f'all ready; load of {options.seconds} s begins')
-    trial = Trial(local_run)
+        log_progress(f'not started: {started.reason}')
+        return _EXIT_NOT_STARTED
+    log_progress(f'all ready; load of {options.seconds} s begins')
+    trial = LoadTest(local_run)
     await trial.load(options.seconds)
-    say(f'load ended after {len(trial.callers.calls)} requests')
+    log_progress(f'load ended after {len(trial.callers.calls)} requests')
     report = await trial.report(options.seconds)
     sys.stdout.write(await write_results(local_run, report, options.output))
     if options.keep:
         for daemon in local_run.layout.daemons:
-            say(f'{daemon.daemon_id} serves at {daemon.url}')
-        say('running until Ctrl-C')
+            log_progress(f'{daemon.daemon_id} serves at {daemon.url}')
+        log_progress('running until Ctrl-C')
         await asyncio.Event().wait()
-    return _FINDINGS if report.findings else 0
+    return _EXIT_FINDINGS if report.findings else 0
 
 
 def _arguments() -> argparse.Namespace:
@@ -101,7 +105,7 @@
     parser.add_argument(
         '--seconds',
         type=int,
-        default=_DEFAULT_SECONDS,
+        default=_DEFAULT_LOAD_S,
         help='length of the load, in seconds',
     )
     parser.add_argument(
@@ -116,14 +120,14 @@
     return parser.parse_args()
 
 
-def _progress() -> Callable[[str], None]:
+def _progress_logger() -> Callable[[str], None]:
     start_s = time.monotonic()
 
-    def _say(line: str) -> None:
+    def _log_progress(line: str) -> None:
         elapsed_s = time.monotonic() - start_s
         sys.stderr.write(f'[{elapsed_s:5.1f} s] {line}\n')
 
-    return _say
+    return _log_progress
 
 
 if __name__ == '__main__':
--- a/waxwingford_standins/layout.py
+++ b/waxwingford_standins/layout.py
@@ -85,11 +85,11 @@
     start = random.SystemRandom().randrange(span)
     for step in range(span):
         port = _FIRST_PORT + (start + step) % span
-        if _is_free(port):
+        if _can_bind(port):
             yield port
 
 
-def lay_out(deployment: Deployment, scheme: str = 'http') -> Layout:
+def allocate_layout(deployment: Deployment, scheme: str = 'http') -> Layout:
     """Choose all ports of a run.
 
     :param deployment: what to start.
@@ -100,7 +100,7 @@
     platform_port, backend_port, relay_port = itertools.islice(ports, 3)
     vms = tuple(
         itertools.chain.from_iterable(
-            _servers(deployment, domain, ports)
+            _allocate_vms(deployment, domain, ports)
             for domain in deployment.failure_domains
         )
     )
@@ -109,11 +109,11 @@
         for domain in deployment.failure_domains
         for daemon_id in domain.daemons
     )
-    links = tuple(_links(deployment, daemons, platform_port, ports))
+    links = tuple(_allocate_links(deployment, daemons, platform_port, ports))
     return Layout(platform_port, backend_port, relay_port, vms, daemons, links)
 
 
-def _servers(
+def _allocate_vms(
     deployment: Deployment, domain: DomainPlan, ports: Iterator[int]
 ) -> Iterator[Vm]:
     servers = deployment.servers
@@ -133,7 +133,7 @@
             )
 
 
-def _links(
+def _allocate_links(
     deployment: Deployment,
     daemons: tuple[DaemonPlace, ...],
     platform_port: int,
@@ -156,7 +156,7 @@
                 )
 
 
-def _is_free(port: int) -> bool:
+def _can_bind(port: int) -> bool:
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/waxwingford_standins/load.py
+++ b/waxwingford_standins/load.py
@@ -20,10 +20,10 @@
 from waxwingford_standins.layout import Layout
 from waxwingford_standins.server_service import ServiceEcho
 
-_MS_IN_S = 1000
-_SLACK_S = 1
+_MS_PER_S = 1000
+_TIMEOUT_MARGIN_S = 1
 _DEFAULT_RETRY_S = 0.2
-_MOST_RETRY_S = 5
+_MAX_RETRY_S = 5
 _OK = 200
 
 
@@ -40,25 +40,25 @@
 
 
 #: Outcomes that say that the attempt was certainly not run.
-NOT_RUN = frozenset((CallOutcome.refused, CallOutcome.unreachable))
-_FINAL = frozenset(
+NOT_RUN_OUTCOMES = frozenset((CallOutcome.refused, CallOutcome.unreachable))
+_FINAL_OUTCOMES = frozenset(
     (CallOutcome.answered, CallOutcome.rejected, CallOutcome.foreign)
 )
 
 
-class Attempted(NamedTuple):
+class AttemptResult(NamedTuple):
     """One attempt of a call.
 
     :ivar outcome: how it ended.
-    :ivar retry_s: when to come back, in seconds.
+    :ivar retry_after_s: when to come back, in seconds.
     :ivar reason: what the daemon gave as the reason.
-    :ivar entry: daemon that it went to.
+    :ivar daemon_id: daemon that it went to.
     """
 
     outcome: CallOutcome
-    retry_s: float = _DEFAULT_RETRY_S
+    retry_after_s: float = _DEFAULT_RETRY_S
     reason: str = ''
-    entry: str = ''
+    daemon_id: str = ''
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     :ivar idempotent: whether it may run more than once.
     :ivar outcomes: of its attempts, in order.
     :ivar latency_ms: from the first attempt to the end, in milliseconds.
-    :ivar entry: daemon that the last attempt went to.
+    :ivar daemon_id: daemon that the last attempt went to.
     :ivar started_s: monotonic time of the first attempt, in seconds.
     """
 
@@ -79,7 +79,7 @@
     idempotent: bool
     outcomes: tuple[CallOutcome, ...]
     latency_ms: float
-    entry: str = ''
+    daemon_id: str = ''
     started_s: float = 0
 
     @property
@@ -91,7 +91,7 @@
         return self.outcomes[-1]
 
 
-class _Explanation(msgspec.Struct):
+class _ErrorBody(msgspec.Struct):
     reason: str
 
 
@@ -123,7 +123,7 @@
         self._label = label
         self._tls = tls
         self._random = random.Random(deployment.seed)
-        self._numbers = itertools.count(1)
+        self._call_numbers = itertools.count(1)
 
     async def run(self, seconds: float) -> None:
         """Call for some time, then wait for the calls that are out.
@@ -136,9 +136,11 @@
             asyncio.TaskGroup() as group,
         ):
             for plan in self._deployment.callers:
-                group.create_task(self._arrivals(group, client, plan, seconds))
+                group.create_task(
+                    self._generate_arrivals(group, client, plan, seconds)
+                )
 
-    async def _arrivals(
+    async def _generate_arrivals(
         self,
         group: asyncio.TaskGroup,
         client: aiohttp.ClientSession,
@@ -153,26 +155,26 @@
         while next_s < until_s:
             next_s += self._random.expovariate(plan.requests_per_s)
             await asyncio.sleep(max(next_s - loop.time(), 0))
-            group.create_task(self._call(client, plan))
+            group.create_task(self._make_call(client, plan))
 
-    async def _call(
+    async def _make_call(
         self, client: aiohttp.ClientSession, plan: CallerPlan
     ) -> None:
-        token = f'{self._label}-{plan.name}-{next(self._numbers)}'
+        token = f'{self._label}-{plan.name}-{next(self._call_numbers)}'
         loop = asyncio.get_running_loop()
         start_s = loop.time()
         outcomes: list[CallOutcome] = []
         for attempt in range(1, plan.attempts + 1):
-            age_ms = int((loop.time() - start_s) * _MS_IN_S)
+            age_ms = int((loop.time() - start_s) * _MS_PER_S)
             headers = _headers(plan, token, attempt, age_ms)
-            attempted = await self._attempt(client, plan, token, headers)
-            outcomes.append(attempted.outcome)
-            if attempted.outcome is not CallOutcome.answered:
-                self.reasons[f'{attempted.outcome}: {attempted.reason}'] += 1
-            if attempted.outcome in _FINAL or attempt == plan.attempts:
+            result = await self._attempt(client, plan, token, headers)
+            outcomes.append(result.outcome)
+            if result.outcome is not CallOutcome.answered:
+                self.reasons[f'{result.outcome}: {result.reason}'] += 1
+            if result.outcome in _FINAL_OUTCOMES or attempt == plan.attempts:
                 break
-            await asyncio.sleep(min(attempted.retry_s, _MOST_RETRY_S))
-        latency_ms = (loop.time() - start_s) * _MS_IN_S
+            await asyncio.sleep(min(result.retry_after_s, _MAX_RETRY_S))
+        latency_ms = (loop.time() - start_s) * _MS_PER_S
         self.calls.append(
             Call(
                 plan.name,
@@ -180,7 +182,7 @@
                 plan.idempotent,
                 tuple(outcomes),
                 latency_ms,
-                attempted.entry,
+                result.daemon_id,
                 start_s,
             )
         )
@@ -191,10 +193,10 @@
         plan: CallerPlan,
         token: str,
         headers: dict[str, str],
-    ) -> Attempted:
+    ) -> AttemptResult:
         service = self._deployment.service.name
         daemon = self._random.choice(self._daemons)
-        client_s = self._deployment.network.client_ms / _MS_IN_S
+        client_s = self._deployment.network.client_ms / _MS_PER_S
         await asyncio.sleep(client_s)
         try:
             async with client.post(
@@ -202,18 +204,18 @@
                 data=_body(plan, token),
                 headers=headers,
                 timeout=aiohttp.ClientTimeout(
-                    total=plan.deadline_ms / _MS_IN_S + _SLACK_S
+                    total=plan.deadline_ms / _MS_PER_S + _TIMEOUT_MARGIN_S
                 ),
             ) as answer:
-                attempted = _judge(answer, await answer.read(), token)
+                result = _classify_response(answer, await answer.read(), token)
         except aiohttp.ClientConnectorError:
-            attempted = Attempted(CallOutcome.unreachable)
+            result = AttemptResult(CallOutcome.unreachable)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            attempted = Attempted(
+            result = AttemptResult(
                 CallOutcome.broken_off, reason=type(error).__name__
             )
         await asyncio.sleep(client_s)
-        return attempted._replace(entry=daemon.daemon_id)
+        return result._replace(daemon_id=daemon.daemon_id)
 
 
 def _headers(
@@ -238,9 +240,9 @@
     return msgspec.json.encode(ServiceEcho(token=token, key=key))
 
 
-def _judge(
+def _classify_response(
     answer: aiohttp.ClientResponse, body: bytes, token: str
-) -> Attempted:
+) -> AttemptResult:
     """Tag an answer; an answered one must carry the request's own token.
 
     :param answer: status and headers.
@@ -250,28 +252,30 @@
     """
     tag = answer.headers.get('Waxwingford-Outcome', '')
     if tag == CallOutcome.answered:
-        return Attempted(_answered(answer.status, body, token))
+        return AttemptResult(_check_echo(answer.status, body, token))
     retry_ms = answer.headers.get('Waxwingford-Retry-After-Ms', '')
-    retry_s = (
-        int(retry_ms) / _MS_IN_S if retry_ms.isdigit() else _DEFAULT_RETRY_S
+    retry_after_s = (
+        int(retry_ms) / _MS_PER_S if retry_ms.isdigit() else _DEFAULT_RETRY_S
     )
     outcome = CallOutcome.unknown
     if tag in {CallOutcome.refused, CallOutcome.rejected}:
         outcome = CallOutcome(tag)
-    return Attempted(outcome, retry_s, _reason(answer.status, body))
+    return AttemptResult(
+        outcome, retry_after_s, _read_reason(answer.status, body)
+    )
 
 
-def _reason(status: int, body: bytes) -> str:
+def _read_reason(status: int, body: bytes) -> str:
     try:
-        return msgspec.json.decode(body, type=_Explanation).reason
+        return msgspec.json.decode(body, type=_ErrorBody).reason
     except msgspec.DecodeError:
         return f'status {status}'
 
 
-def _answered(status: int, body: bytes, token: str) -> CallOutcome:
+def _check_echo(status: int, body: bytes, token: str) -> CallOutcome:
     try:
         echo = msgspec.json.decode(body, type=ServiceEcho)
     except msgspec.DecodeError:
         return CallOutcome.foreign
-    own = status == _OK and echo.token == token
-    return CallOutcome.answered if own else CallOutcome.foreign
+    is_own = status == _OK and echo.token == token
+    return CallOutcome.answered if is_own else CallOutcome.foreign
--- a/waxwingford_standins/local_run.py
+++ b/waxwingford_standins/local_run.py
@@ -22,18 +22,18 @@
 from waxwingford_standins.configs import (
     RunFiles,
     RunOptions,
-    make_keys,
+    generate_keys,
     write_files,
 )
 from waxwingford_standins.deployment import Deployment
-from waxwingford_standins.layout import lay_out
+from waxwingford_standins.layout import allocate_layout
 from waxwingford_standins.processes import ProcessGroup
 from waxwingford_standins.switches import Switches
 
-_USUAL_OPTIONS = RunOptions()
+_DEFAULT_OPTIONS = RunOptions()
 _POLL_S = 0.1
-_STAND_INS_S = 10
-_READY_S = 30
+_STAND_INS_TIMEOUT_S = 10
+_READY_TIMEOUT_S = 30
 _LOG_TIMEOUT_MS = 2000
 _OK = 200
 _PACKAGE = 'waxwingford_standins'
@@ -71,20 +71,20 @@
         deployment: Deployment,
         bundle: Bundle,
         directory: pathlib.Path,
-        say: Callable[[str], None],
-        options: RunOptions = _USUAL_OPTIONS,
+        log_progress: Callable[[str], None],
+        options: RunOptions = _DEFAULT_OPTIONS,
     ) -> None:
         """Choose ports and write files; nothing runs yet.
 
         :param deployment: what to start.
         :param bundle: first configuration bundle.
         :param directory: for files and logs.
-        :param say: takes progress lines.
+        :param log_progress: takes progress lines.
         :param options: leases and TLS.
         """
         self.deployment = deployment
-        self.layout = lay_out(deployment, options.scheme)
-        self.key_by_member = make_keys(bundle.members)
+        self.layout = allocate_layout(deployment, options.scheme)
+        self.key_by_member = generate_keys(bundle.members)
         self.processes = ProcessGroup(directory / 'logs')
         self.files: RunFiles = write_files(
             directory / 'config',
@@ -94,7 +94,7 @@
             options,
         )
         self._bundle = bundle
-        self._say = say
+        self._log_progress = log_progress
         self.switches = Switches(self.layout, self.files.authorities)
 
     async def start(self) -> Started | StartFailed:
@@ -139,8 +139,10 @@
             '--config',
             str(self.files.backends),
         )
-        self._say(f'stand-ins of {len(layout.vms)} backend servers started')
-        return await self._poll(self._all_vms_listed, _STAND_INS_S)
+        self._log_progress(
+            f'stand-ins of {len(layout.vms)} backend servers started'
+        )
+        return await self._poll(self._all_vms_listed, _STAND_INS_TIMEOUT_S)
 
     async def publish_bundle(self) -> str:
         """Publish the first bundle.
@@ -149,7 +151,7 @@
         """
         outcome = await self.publish(self._bundle)
         if isinstance(outcome, Published):
-            self._say(f'bundle version {outcome.version} published')
+            self._log_progress(f'bundle version {outcome.version} published')
             return ''
         return f'bundle was not published: {outcome}'
 
@@ -181,15 +183,15 @@
         """
         for daemon in self.layout.daemons:
             await self.start_daemon(daemon.daemon_id)
-        self._say(f'{len(self.layout.daemons)} daemons started')
+        self._log_progress(f'{len(self.layout.daemons)} daemons started')
         return await self.wait_ready()
 
     async def wait_ready(self) -> str:
-        """Wait until every daemon is ready, with a cap.
+        """Wait until every daemon is ready, up to a time limit.
 
         :returns: what the first daemon that is not ready says, else empty.
         """
-        return await self._poll(self.unready, _READY_S)
+        return await self._poll(self.unready, _READY_TIMEOUT_S)
 
     async def start_daemon(self, daemon_id: str) -> None:
         """Start one daemon, for the first time or again.
@@ -229,22 +231,22 @@
         return f'{missing} backend servers are not listed' if missing else ''
 
     async def _poll(
-        self, missing: Callable[[], Awaitable[str]], cap_s: float
+        self, missing: Callable[[], Awaitable[str]], timeout_s: float
     ) -> str:
         """Poll a condition.
 
         :param missing: gives what is missing, empty once nothing is.
-        :param cap_s: give up after this time, in seconds.
+        :param timeout_s: give up after this time, in seconds.
         :returns: what is missing at the end.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + cap_s
+        until_s = loop.time() + timeout_s
         while True:
             reason = await missing()
             ended = self.processes.ended()
             if ended:
                 return f'{", ".join(ended)} (see its file in logs/)'
-            if not reason or loop.time() > until:
+            if not reason or loop.time() > until_s:
                 return reason
             await asyncio.sleep(_POLL_S)
 
--- a/waxwingford_standins/night.py
+++ b/waxwingford_standins/night.py
@@ -17,12 +17,12 @@
 from waxwingford_standins.operator import ACCEPTED_STATUSES, Operator
 from waxwingford_standins.server_tasks import Work
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 _READ_LIMIT = 500
 _LOG_TIMEOUT_MS = 2000
 
 
-class Submitted(NamedTuple):
+class SubmittedJob(NamedTuple):
     """A job and what became of its submission.
 
     :ivar job_id: which job.
@@ -80,7 +80,7 @@
         :param local_run: where the daemons are.
         :param label: makes job ids unique in the log.
         """
-        self.submitted: list[Submitted] = []
+        self.submitted: list[SubmittedJob] = []
         self._run = local_run
         self._operator = Operator(local_run)
         self._label = label
@@ -90,24 +90,24 @@
         """Submit and cancel every job of the deployment."""
         await asyncio.gather(
             *(
-                self._job(plan, number)
+                self._run_job(plan, number)
                 for plan in self._run.deployment.jobs
                 for number in range(plan.jobs)
             )
         )
 
-    async def _job(self, plan: JobPlan, number: int) -> None:
-        await asyncio.sleep(plan.submit_at_ms / _MS_IN_S)
+    async def _run_job(self, plan: JobPlan, number: int) -> None:
+        await asyncio.sleep(plan.submit_at_ms / _MS_PER_S)
         job_id = f'{plan.member}.{plan.name}-{number}-{self._label}'
         daemon = self._random.choice(self._run.layout.daemons)
-        body = encode_json(_fields(plan, job_id))
+        body = encode_json(_job_request(plan, job_id))
         status, reply = await self._operator.post_until_final(
             plan.member, daemon, '/v1/jobs', body
         )
         domain = daemon.failure_domain
-        self.submitted.append(Submitted(job_id, plan, status, reply, domain))
+        self.submitted.append(SubmittedJob(job_id, plan, status, reply, domain))
         if plan.cancel_after_ms and status in ACCEPTED_STATUSES:
-            await asyncio.sleep(plan.cancel_after_ms / _MS_IN_S)
+            await asyncio.sleep(plan.cancel_after_ms / _MS_PER_S)
             await self._operator.post_until_final(
                 plan.member, daemon, f'/v1/jobs/{job_id}/cancel'
             )
@@ -117,7 +117,7 @@
 
         :returns: how many tasks will be evicted, as the daemons say.
         """
-        asked = await asyncio.gather(
+        replies = await asyncio.gather(
             *(
                 self._operator.post(
                     job.plan.member,
@@ -130,7 +130,7 @@
                 for index in range(job.plan.tasks)
             )
         )
-        return sum(status in ACCEPTED_STATUSES for status, _ in asked)
+        return sum(status in ACCEPTED_STATUSES for status, _ in replies)
 
 
 async def read_tracker(local_run: LocalRun, domain: str) -> DomainTracker:
@@ -144,15 +144,17 @@
     log = HttpLog(f'http://{HOST}:{port}', _LOG_TIMEOUT_MS)
     tracker = DomainTracker()
     try:
-        more = True
-        while more:
-            more = await _fold_more(log, domain, tracker)
+        has_more = True
+        while has_more:
+            has_more = await _apply_next_block(log, domain, tracker)
     finally:
         await log.close()
     return tracker
 
 
-async def _fold_more(log: HttpLog, domain: str, tracker: DomainTracker) -> bool:
+async def _apply_next_block(
+    log: HttpLog, domain: str, tracker: DomainTracker
+) -> bool:
     state = tracker.state
     block = await log.read(f'domain/{domain}', state.next_offset, _READ_LIMIT)
     if isinstance(block, LogUnavailable):
@@ -168,7 +170,7 @@
     return state.next_offset < block.next_offset
 
 
-def _fields(plan: JobPlan, job_id: str) -> JobFields:
+def _job_request(plan: JobPlan, job_id: str) -> JobFields:
     now_ms = _wall_ms()
     deadline_ms = now_ms + plan.finish_within_ms
     return JobFields(
@@ -182,12 +184,12 @@
         plan.priority,
         deadline_ms if plan.finish_within_ms else 0,
         plan.lost_after_ms,
-        _payload(plan),
+        _work_payload(plan),
         now_ms,
     )
 
 
-def _payload(plan: JobPlan) -> str:
+def _work_payload(plan: JobPlan) -> str:
     uses = Resources(
         plan.real_processors_milli or plan.processors_milli,
         plan.real_memory_mb or plan.memory_mb,
@@ -198,4 +200,4 @@
 
 
 def _wall_ms() -> int:
-    return int(time.time() * _MS_IN_S)
+    return int(time.time() * _MS_PER_S)
--- a/waxwingford_standins/operator.py
+++ b/waxwingford_standins/operator.py
@@ -9,10 +9,10 @@
 from waxwingford_standins.layout import DaemonPlace
 from waxwingford_standins.local_run import LocalRun
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 _RETRY_S = 0.3
-_HTTP_S = 5
-_TRIES = 20
+_HTTP_TIMEOUT_S = 5
+_MAX_ATTEMPTS = 20
 ACCEPTED_STATUSES = frozenset((200, 201, 202))
 _FINAL_STATUSES = ACCEPTED_STATUSES | {400, 409, 413, 422}
 
@@ -42,15 +42,16 @@
         :returns: status and text of the last answer.
         """
         others = [
-            place
-            for place in self._run.layout.daemons
-            if place.failure_domain == daemon.failure_domain and place != daemon
+            target
+            for target in self._run.layout.daemons
+            if target.failure_domain == daemon.failure_domain
+            and target != daemon
         ]
-        nearby = [daemon, *others]
+        candidates = [daemon, *others]
         status, reply = 0, ''
-        for attempt in range(_TRIES):
-            place = nearby[attempt % len(nearby)]
-            status, reply = await self.post(member, place, path, body)
+        for attempt in range(_MAX_ATTEMPTS):
+            target = candidates[attempt % len(candidates)]
+            status, reply = await self.post(member, target, path, body)
             if status in _FINAL_STATUSES:
                 break
             await asyncio.sleep(_RETRY_S)
@@ -73,14 +74,14 @@
             'POST',
             path,
             body,
-            int(time.time() * _MS_IN_S),
+            int(time.time() * _MS_PER_S),
         )
         try:
             async with self._run.switches.client.post(
                 f'{daemon.url}{path}',
                 data=body,
                 headers=headers,
-                timeout=aiohttp.ClientTimeout(total=_HTTP_S),
+                timeout=aiohttp.ClientTimeout(total=_HTTP_TIMEOUT_S),
             ) as answer:
                 return answer.status, await answer.text()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
--- a/waxwingford_standins/platform_list.py
+++ b/waxwingford_standins/platform_list.py
@@ -40,7 +40,7 @@
         self._expire_ms = expire_ms
         self._last_by_id: dict[str, tuple[int, Vm]] = {}
         self._changes: collections.deque[_Change] = collections.deque()
-        self._shown_by_id: dict[str, Vm] = {}
+        self._visible_by_id: dict[str, Vm] = {}
 
     def heartbeat(self, vm: Vm, now_ms: int) -> None:
         """Register a VM or say that it is still there.
@@ -48,9 +48,9 @@
         :param vm: its present description.
         :param now_ms: monotonic time.
         """
-        known = self._last_by_id.get(vm.server_id)
+        previous = self._last_by_id.get(vm.server_id)
         self._last_by_id[vm.server_id] = (now_ms, vm)
-        if known is None or known[1] != vm:
+        if previous is None or previous[1] != vm:
             self._changes.append(_Change(now_ms, vm.server_id, vm))
 
     def read(self, now_ms: int) -> VmList | VmListUnavailable:
@@ -64,22 +64,22 @@
         self._expire(now_ms)
         shown_until = now_ms - self.faults.lag_ms
         while self._changes and self._changes[0].at_ms <= shown_until:
-            self._show(self._changes.popleft())
-        return VmList(tuple(self._shown_by_id.values()))
+            self._apply(self._changes.popleft())
+        return VmList(tuple(self._visible_by_id.values()))
 
     def _expire(self, now_ms: int) -> None:
         oldest_ms = now_ms - self._expire_ms
-        gone = [
+        expired = [
             server_id
             for server_id, (seen_ms, _) in self._last_by_id.items()
             if seen_ms < oldest_ms
         ]
-        for server_id in gone:
+        for server_id in expired:
             self._last_by_id.pop(server_id)
             self._changes.append(_Change(now_ms, server_id, None))
 
-    def _show(self, change: _Change) -> None:
+    def _apply(self, change: _Change) -> None:
         if change.vm is None:
-            self._shown_by_id.pop(change.server_id, None)
+            self._visible_by_id.pop(change.server_id, None)
         else:
-            self._shown_by_id[change.server_id] = change.vm
+            self._visible_by_id[change.server_id] = change.vm
--- a/waxwingford_standins/platform_log.py
+++ b/waxwingford_standins/platform_log.py
@@ -116,15 +116,15 @@
                 return AppendRefused(OUT_OF_SERVICE, _OUTAGE_RETRY_MS)
             case Outage.hang:
                 return AppendUnknown('log does not answer')
-        refused = self._refusal(payload, now_ms)
+        refused = self._check_limits(payload, now_ms)
         if refused is not None:
             return refused
-        kept = self._stream_by_name.setdefault(stream, _Stream())
+        stored = self._stream_by_name.setdefault(stream, _Stream())
         self._recent_ms.append(now_ms)
-        kept.payloads.append(payload)
-        kept.appended_ms.append(now_ms)
-        offset = kept.first + len(kept.payloads) - 1
-        self._retain(kept, now_ms)
+        stored.payloads.append(payload)
+        stored.appended_ms.append(now_ms)
+        offset = stored.first + len(stored.payloads) - 1
+        self._apply_retention(stored, now_ms)
         if self._random.random() < self.faults.lost_share:
             return AppendUnknown('acknowledgement was lost')
         return Appended(offset)
@@ -142,15 +142,15 @@
         """
         if self.faults.outage is not Outage.none:
             return LogUnavailable(OUT_OF_SERVICE)
-        kept = self._stream_by_name.get(stream, _Stream())
-        self._retain(kept, now_ms)
-        start = max(from_offset - kept.first, 0)
-        chosen = kept.payloads[start : start + max(limit, 0)]
-        first = kept.first + start
+        stored = self._stream_by_name.get(stream, _Stream())
+        self._apply_retention(stored, now_ms)
+        start = max(from_offset - stored.first, 0)
+        chosen = stored.payloads[start : start + max(limit, 0)]
+        first = stored.first + start
         return LogRead(
-            tuple(_number(first, chosen)),
-            next_offset=kept.first + len(kept.payloads),
-            oldest_offset=kept.first,
+            tuple(_number_entries(first, chosen)),
+            next_offset=stored.first + len(stored.payloads),
+            oldest_offset=stored.first,
         )
 
     def truncate(self, stream: str, before_offset: int) -> None:
@@ -159,11 +159,13 @@
         :param stream: its name.
         :param before_offset: first offset that stays.
         """
-        kept = self._stream_by_name.get(stream)
-        if kept is not None:
-            _drop(kept, before_offset - kept.first)
+        stored = self._stream_by_name.get(stream)
+        if stored is not None:
+            _drop_oldest(stored, before_offset - stored.first)
 
-    def _refusal(self, payload: bytes, now_ms: int) -> AppendRefused | None:
+    def _check_limits(
+        self, payload: bytes, now_ms: int
+    ) -> AppendRefused | None:
         if len(payload) > _MAX_PAYLOAD_BYTES:
             return AppendRefused(TOO_LARGE, _TOO_LARGE_RETRY_MS)
         recent = self._recent_ms
@@ -173,15 +175,15 @@
             return None
         return AppendRefused(RATE_CAP, recent[0] + _RATE_WINDOW_MS - now_ms)
 
-    def _retain(self, kept: _Stream, now_ms: int) -> None:
+    def _apply_retention(self, stored: _Stream, now_ms: int) -> None:
         by_age = bisect.bisect_left(
-            kept.appended_ms, now_ms - self._limits.retain_ms
+            stored.appended_ms, now_ms - self._limits.retain_ms
         )
-        by_count = len(kept.payloads) - self._limits.retain_entries
-        _drop(kept, max(by_age, by_count))
+        by_count = len(stored.payloads) - self._limits.retain_entries
+        _drop_oldest(stored, max(by_age, by_count))
 
 
-def _number(first: int, payloads: list[bytes]) -> list[LogEntry]:
+def _number_entries(first: int, payloads: list[bytes]) -> list[LogEntry]:
     """Number payloads.
 
     :param first: offset of the first.
@@ -194,17 +196,17 @@
     ]
 
 
-def _drop(kept: _Stream, count: int) -> None:
+def _drop_oldest(stored: _Stream, count: int) -> None:
     """Forget the oldest entries of a stream.
 
-    :param kept: the stream.
+    :param stored: the stream.
     :param count: how many; nothing happens if not positive.
     """
-    gone = min(max(count, 0), len(kept.payloads))
-    if gone:
-        kept.first += gone
-        kept.payloads = kept.payloads[gone:]
-        kept.appended_ms = kept.appended_ms[gone:]
+    dropped = min(max(count, 0), len(stored.payloads))
+    if dropped:
+        stored.first += dropped
+        stored.payloads = stored.payloads[dropped:]
+        stored.appended_ms = stored.appended_ms[dropped:]
 
 
 class FakeLog:
--- a/waxwingford_standins/platform_main.py
+++ b/waxwingford_standins/platform_main.py
@@ -46,12 +46,12 @@
 )
 from waxwingford_standins.serving import run_process, start_site
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 _HANG_CHECK_S = 0.05
-_MOST_WAIT_MS = 30_000
-_MOST_BODY_BYTES = 2_097_152
+_MAX_WAIT_MS = 30_000
+_MAX_BODY_BYTES = 2_097_152
 _CREATED = 201
-_UNAVAILABLE = 503
+_SERVICE_UNAVAILABLE = 503
 _STATUS_BY_REASON = {RATE_CAP: 429, TOO_LARGE: 413, OUT_OF_SERVICE: 503}
 
 
@@ -72,14 +72,14 @@
         self._log = log
         self._vms = vms
         self._clock = clock
-        self._grown = asyncio.Event()
+        self._data_available = asyncio.Event()
 
     def application(self) -> web.Application:
         """Lay out the routes.
 
         :returns: the application.
         """
-        app = web.Application(client_max_size=_MOST_BODY_BYTES)
+        app = web.Application(client_max_size=_MAX_BODY_BYTES)
         app.add_routes(
             (
                 web.post('/v1/log/append', self.append),
@@ -102,18 +102,18 @@
         :returns: 201 with the offset, or a refusal.
         """
         payload = await request.read()
-        await self._delay()
+        await self._apply_delay_faults()
         stream = request.query['stream']
         match self._log.append(stream, payload, self._clock.monotonic_ms()):
             case Appended(offset):
                 self._count_append(payload)
-                return _json(AppendReply(offset), status=_CREATED)
+                return _json_response(AppendReply(offset), status=_CREATED)
             case AppendRefused(reason, retry_after_ms):
                 self.counts.refused += 1
-                return _refused(reason, retry_after_ms)
+                return _refused_response(reason, retry_after_ms)
             case AppendUnknown():
                 self._count_append(payload)
-                return _break_off(request)
+                return _drop_response(request)
 
     async def read(self, request: web.Request) -> web.StreamResponse:
         """Read a stream, holding the call while there is nothing new.
@@ -121,11 +121,11 @@
         :param request: query ``stream``, ``from``, ``limit``, ``wait_ms``.
         :returns: msgpack.
         """
-        await self._delay()
-        held_ms = min(int(request.query.get('wait_ms', 0)), _MOST_WAIT_MS)
-        until_ms = self._clock.monotonic_ms() + held_ms
+        await self._apply_delay_faults()
+        hold_ms = min(int(request.query.get('wait_ms', 0)), _MAX_WAIT_MS)
+        until_ms = self._clock.monotonic_ms() + hold_ms
         while True:
-            grown = self._grown
+            data_available = self._data_available
             now_ms = self._clock.monotonic_ms()
             outcome = self._log.read(
                 request.query['stream'],
@@ -134,12 +134,14 @@
                 now_ms,
             )
             if isinstance(outcome, LogUnavailable):
-                return web.Response(status=_UNAVAILABLE, text=outcome.reason)
+                return web.Response(
+                    status=_SERVICE_UNAVAILABLE, text=outcome.reason
+                )
             if outcome.entries or now_ms >= until_ms:
-                return self._read_answer(outcome)
+                return self._read_response(outcome)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(
-                    grown.wait(), (until_ms - now_ms) / _MS_IN_S
+                    data_available.wait(), (until_ms - now_ms) / _MS_PER_S
                 )
 
     async def list_vms(self, _: web.Request) -> web.StreamResponse:
@@ -149,9 +151,9 @@
         """
         match self._vms.read(self._clock.monotonic_ms()):
             case VmListUnavailable(reason):
-                return web.Response(status=_UNAVAILABLE, text=reason)
-            case VmList() as shown:
-                return _json(shown)
+                return web.Response(status=_SERVICE_UNAVAILABLE, text=reason)
+            case VmList() as vm_list:
+                return _json_response(vm_list)
 
     async def heartbeats(self, request: web.Request) -> web.StreamResponse:
         """Take the heartbeats of VMs.
@@ -176,11 +178,11 @@
             )
         except msgspec.DecodeError as error:
             return web.Response(status=400, text=str(error))
-        _set_known(self._log.faults, 'outage', fault.outage)
-        _set_known(self._log.faults, 'slow_ms', fault.slow_ms)
-        _set_known(self._log.faults, 'lost_share', fault.lost_share)
-        _set_known(self._vms.faults, 'outage', fault.list_outage)
-        _set_known(self._vms.faults, 'lag_ms', fault.list_lag_ms)
+        _set_if_given(self._log.faults, 'outage', fault.outage)
+        _set_if_given(self._log.faults, 'slow_ms', fault.slow_ms)
+        _set_if_given(self._log.faults, 'lost_share', fault.lost_share)
+        _set_if_given(self._vms.faults, 'outage', fault.list_outage)
+        _set_if_given(self._vms.faults, 'lag_ms', fault.list_lag_ms)
         self._wake_readers()
         return web.Response()
 
@@ -189,13 +191,13 @@
 
         :returns: JSON.
         """
-        return _json(self.counts)
+        return _json_response(self.counts)
 
-    async def _delay(self) -> None:
+    async def _apply_delay_faults(self) -> None:
         while self._log.faults.outage is Outage.hang:
             await asyncio.sleep(_HANG_CHECK_S)
         if self._log.faults.slow_ms:
-            await asyncio.sleep(self._log.faults.slow_ms / _MS_IN_S)
+            await asyncio.sleep(self._log.faults.slow_ms / _MS_PER_S)
 
     def _count_append(self, payload: bytes) -> None:
         self.counts.appends += 1
@@ -203,22 +205,22 @@
         self._wake_readers()
 
     def _wake_readers(self) -> None:
-        self._grown.set()
-        self._grown = asyncio.Event()
+        self._data_available.set()
+        self._data_available = asyncio.Event()
 
-    def _read_answer(self, entries: LogRead) -> web.Response:
+    def _read_response(self, entries: LogRead) -> web.Response:
         body = encode_log_read(entries)
         self.counts.reads += 1
         self.counts.read_bytes += len(body)
         return web.Response(body=body, content_type='application/msgpack')
 
 
-def _set_known(faults: object, name: str, setting: Any) -> None:
+def _set_if_given(faults: object, name: str, setting: Any) -> None:
     if setting is not None:
         setattr(faults, name, setting)
 
 
-def _json(content: Any, status: int = 200) -> web.Response:
+def _json_response(content: Any, status: int = 200) -> web.Response:
     return web.Response(
         body=encode_json(content),
         status=status,
@@ -226,19 +228,19 @@
     )
 
 
-def _refused(reason: str, retry_after_ms: int) -> web.Response:
+def _refused_response(reason: str, retry_after_ms: int) -> web.Response:
     return web.Response(
         status=_STATUS_BY_REASON[reason],
         text=reason,
         headers={
             NOT_RUN_HEADER: '1',
             RETRY_AFTER_MS_HEADER: str(retry_after_ms),
-            'Retry-After': str(math.ceil(retry_after_ms / _MS_IN_S)),
+            'Retry-After': str(math.ceil(retry_after_ms / _MS_PER_S)),
         },
     )
 
 
-def _break_off(request: web.Request) -> web.Response:
+def _drop_response(request: web.Request) -> web.Response:
     """Lose the answer: break the connection off.
 
     :param request: whose connection.
--- a/waxwingford_standins/processes.py
+++ b/waxwingford_standins/processes.py
@@ -8,8 +8,8 @@
 from asyncio.subprocess import Process
 from collections.abc import Iterable
 
-_STOP_S = 8
-_KILL_S = 2
+_STOP_TIMEOUT_S = 8
+_KILL_TIMEOUT_S = 2
 
 
 class ProcessGroup:
@@ -92,10 +92,10 @@
             # A process stopped by SIGSTOP takes no other signal before.
             self.send(name, signal.SIGCONT)
             self.send(name, signal.SIGTERM)
-        killed = await self._stubborn(chosen, _STOP_S)
+        killed = await self._wait_for_exit(chosen, _STOP_TIMEOUT_S)
         for name in killed:
             self.send(name, signal.SIGKILL)
-        await self._stubborn(killed, _KILL_S)
+        await self._wait_for_exit(killed, _KILL_TIMEOUT_S)
         return killed
 
     async def stop_all(self) -> list[str]:
@@ -108,7 +108,9 @@
         killed = await self.stop(daemons)
         return killed + await self.stop(stand_ins)
 
-    async def _stubborn(self, names: list[str], wait_s: float) -> list[str]:
+    async def _wait_for_exit(
+        self, names: list[str], wait_s: float
+    ) -> list[str]:
         """Wait for processes to end.
 
         :param names: which.
--- a/waxwingford_standins/relay_main.py
+++ b/waxwingford_standins/relay_main.py
@@ -16,11 +16,11 @@
 
 from waxwingford_standins.serving import run_process, start_site
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 _CHUNK_BYTES = 65_536
 _HOST = '127.0.0.1'
-_CLOSE_S = 1
-_CONNECT_S = 2
+_CLOSE_TIMEOUT_S = 1
+_CONNECT_TIMEOUT_S = 2
 
 
 class Link(msgspec.Struct, frozen=True):
@@ -72,7 +72,7 @@
         self._changed = asyncio.Event()
         self._connections: set[asyncio.Task[None]] = set()
 
-    def admin(self) -> web.Application:
+    def admin_application(self) -> web.Application:
         """Lay out the administration's routes.
 
         :returns: the application.
@@ -124,36 +124,44 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         with contextlib.closing(writer):
-            await self._passable(link)
+            await self._wait_until_connected(link)
             try:
-                async with asyncio.timeout(_CONNECT_S):
-                    there = await asyncio.open_connection(
+                async with asyncio.timeout(_CONNECT_TIMEOUT_S):
+                    target = await asyncio.open_connection(
                         _HOST, link.target_port
                     )
             except (OSError, TimeoutError):
                 return
-            with contextlib.closing(there[1]):
-                await self._both_ways(link, (reader, writer), there)
+            with contextlib.closing(target[1]):
+                await self._relay_both_directions(
+                    link, (reader, writer), target
+                )
 
-    async def _both_ways(self, link: Link, near: tuple, far: tuple) -> None:
+    async def _relay_both_directions(
+        self, link: Link, source_streams: tuple, target_streams: tuple
+    ) -> None:
         """Relay until either side ends.
 
         :param link: for its delay and its ends.
-        :param near: reader and writer of the source.
-        :param far: reader and writer of the destination.
+        :param source_streams: reader and writer of the source.
+        :param target_streams: reader and writer of the destination.
         """
-        pumps = [
-            asyncio.ensure_future(self._pump(link, near[0], far[1])),
-            asyncio.ensure_future(self._pump(link, far[0], near[1])),
+        directions = [
+            asyncio.ensure_future(
+                self._forward(link, source_streams[0], target_streams[1])
+            ),
+            asyncio.ensure_future(
+                self._forward(link, target_streams[0], source_streams[1])
+            ),
         ]
         try:
-            await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for pump in pumps:
-                pump.cancel()
-            await asyncio.wait(pumps, timeout=_CLOSE_S)
+            for direction in directions:
+                direction.cancel()
+            await asyncio.wait(directions, timeout=_CLOSE_TIMEOUT_S)
 
-    async def _pump(
+    async def _forward(
         self,
         link: Link,
         reader: asyncio.StreamReader,
@@ -161,12 +169,12 @@
     ) -> None:
         with contextlib.suppress(ConnectionError):
             while chunk := await reader.read(_CHUNK_BYTES):
-                await asyncio.sleep(link.delay_ms / _MS_IN_S)
-                await self._passable(link)
+                await asyncio.sleep(link.delay_ms / _MS_PER_S)
+                await self._wait_until_connected(link)
                 writer.write(chunk)
                 await writer.drain()
 
-    async def _passable(self, link: Link) -> None:
+    async def _wait_until_connected(self, link: Link) -> None:
         while self._is_cut(link):
             await self._changed.wait()
 
@@ -189,7 +197,9 @@
         for link in config.links:
             server = await relay.open(link)
             stack.callback(server.close)
-        runner = await start_site(relay.admin(), _HOST, config.admin_port)
+        runner = await start_site(
+            relay.admin_application(), _HOST, config.admin_port
+        )
         stack.push_async_callback(runner.cleanup)
 
     run_process(_open)
--- a/waxwingford_standins/report.py
+++ b/waxwingford_standins/report.py
@@ -8,7 +8,7 @@
 
 from waxwingford_standins.audit import (
     Finding,
-    FinishedTasks,
+    FinishedJob,
     audit_attempts,
     audit_calls,
     audit_jobs,
@@ -17,11 +17,11 @@
 from waxwingford_standins.backend_server import ServerAudit
 from waxwingford_standins.latencies import LatencyRow, latency_rows
 from waxwingford_standins.load import Callers
-from waxwingford_standins.night import DomainTracker, Submitted
+from waxwingford_standins.night import DomainTracker, SubmittedJob
 from waxwingford_standins.operator import ACCEPTED_STATUSES
 
-_MOST_FINDINGS = 20
-_MOST_REASONS = 12
+_MAX_FINDINGS = 20
+_MAX_REASONS = 12
 
 
 class BatchReport(msgspec.Struct):
@@ -80,7 +80,7 @@
     seconds: float,
     callers: Callers,
     servers: Sequence[ServerAudit],
-    submitted: Sequence[Submitted],
+    submitted: Sequence[SubmittedJob],
     trackers: Sequence[DomainTracker],
     platform: dict[str, int],
 ) -> RunReport:
@@ -96,15 +96,15 @@
     :returns: the report.
     """
     in_log = frozenset().union(*(tracker.accepted for tracker in trackers))
-    finished = list(_finished(trackers))
-    answered_for = (
+    finished = list(_finished_jobs(trackers))
+    acknowledged = (
         job.job_id for job in submitted if job.status in ACCEPTED_STATUSES
     )
     findings = [
         *audit_calls(callers.calls, servers),
         *audit_attempts(servers),
         *audit_leaving(servers),
-        *audit_jobs(answered_for, in_log, finished, servers),
+        *audit_jobs(acknowledged, in_log, finished, servers),
     ]
     outcomes = itertools.chain.from_iterable(
         call.outcomes for call in callers.calls
@@ -114,9 +114,9 @@
         seconds,
         latency_rows(callers.calls),
         dict(collections.Counter(outcome.value for outcome in outcomes)),
-        dict(callers.reasons.most_common(_MOST_REASONS)),
+        dict(callers.reasons.most_common(_MAX_REASONS)),
         sum(server.refused for server in servers),
-        _batch(submitted, in_log, finished, trackers, servers),
+        _batch_report(submitted, in_log, finished, trackers, servers),
         findings,
         platform,
     )
@@ -128,19 +128,19 @@
     :param report: the report.
     :returns: text.
     """
-    return '\n'.join((*_lines(report), ''))
+    return '\n'.join((*_report_lines(report), ''))
 
 
-def _finished(trackers: Iterable[DomainTracker]) -> Iterator[FinishedTasks]:
+def _finished_jobs(trackers: Iterable[DomainTracker]) -> Iterator[FinishedJob]:
     for tracker in trackers:
         for job in tracker.state.finished.kept_by_id.values():
-            yield FinishedTasks(job.job_id, job.done, job.failed, job.cancelled)
+            yield FinishedJob(job.job_id, job.done, job.failed, job.cancelled)
 
 
-def _batch(
-    submitted: Sequence[Submitted],
+def _batch_report(
+    submitted: Sequence[SubmittedJob],
     in_log: frozenset[str],
-    finished: Sequence[FinishedTasks],
+    finished: Sequence[FinishedJob],
     trackers: Iterable[DomainTracker],
     servers: Iterable[ServerAudit],
 ) -> BatchReport:
@@ -167,15 +167,15 @@
     )
 
 
-def _lines(report: RunReport) -> Iterator[str]:
+def _report_lines(report: RunReport) -> Iterator[str]:
     yield f'deployment {report.deployment}, load of {report.seconds:.0f} s'
     yield from _request_lines(report)
     yield from _batch_lines(report.batch)
-    yield f'platform: {_counts(report.platform)}'
+    yield f'platform: {_format_counts(report.platform)}'
     yield f'audit: {len(report.findings)} findings'
     yield from (
         f'  {finding.check}: {finding.detail}'
-        for finding in report.findings[:_MOST_FINDINGS]
+        for finding in report.findings[:_MAX_FINDINGS]
     )
 
 
@@ -189,7 +189,7 @@
         f'{row.p50_ms:>9.1f}{row.p99_ms:>9.1f}{row.p999_ms:>9.1f}'
         for row in report.latencies
     )
-    yield f'attempts by outcome: {_counts(report.attempts_by_outcome)}'
+    yield f'attempts by outcome: {_format_counts(report.attempts_by_outcome)}'
     yield from (
         f'  {count:>6} {reason}' for reason, count in report.reasons.items()
     )
@@ -205,13 +205,13 @@
         f'tasks of finished jobs: {batch.tasks_done} done, '
         f'{batch.tasks_failed} failed, {batch.tasks_cancelled} cancelled'
     )
-    yield f'attempts by end: {_counts(batch.attempts_by_phase)}'
+    yield f'attempts by end: {_format_counts(batch.attempts_by_phase)}'
     evictions = batch.attempts_by_phase.get('checkpointed', 0)
     yield f'evictions (checkpointed attempts): {evictions}'
     yield from (f'impossible job: {line}' for line in batch.told_impossible)
 
 
-def _counts(count_by_name: dict[str, int]) -> str:
+def _format_counts(count_by_name: dict[str, int]) -> str:
     return ', '.join(
         f'{name} {count}' for name, count in sorted(count_by_name.items())
     )
--- a/waxwingford_standins/run_certificates.py
+++ b/waxwingford_standins/run_certificates.py
@@ -28,9 +28,9 @@
     now = datetime.datetime.now(datetime.UTC)
     tls_by_daemon = {}
     for daemon_id in daemon_ids:
-        fault = make_certificate(directory, daemon_id, HOST, now)
-        if fault:
-            raise RuntimeError(fault)
+        error = make_certificate(directory, daemon_id, HOST, now)
+        if error:
+            raise RuntimeError(error)
         tls_by_daemon[daemon_id] = Tls(
             certificate_file=str(directory / f'{daemon_id}.crt'),
             key_file=str(directory / f'{daemon_id}.key'),
@@ -39,15 +39,17 @@
     return tls_by_daemon
 
 
-def trusting(authorities: Iterable[pathlib.Path]) -> ssl.SSLContext | bool:
+def client_ssl_context(
+    authorities: Iterable[pathlib.Path],
+) -> ssl.SSLContext | bool:
     """Prepare a caller's side.
 
     :param authorities: certificates of authorities to trust.
     :returns: context; the usual checks without any authority.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    known = False
+    has_authority = False
     for authority in authorities:
         context.load_verify_locations(authority)
-        known = True
-    return context if known else True
+        has_authority = True
+    return context if has_authority else True
--- a/waxwingford_standins/server_attempts.py
+++ b/waxwingford_standins/server_attempts.py
@@ -14,8 +14,8 @@
 )
 from waxwingford_standins.server_tasks import (
     AttemptRun,
-    RunningAttempt,
-    begin,
+    ServerAttempt,
+    create_attempt,
 )
 
 _UNKNOWN_ATTEMPT = 'attempt is not known here'
@@ -37,7 +37,7 @@
         self.fails_starts = False
         self._server_id = server_id
         self._total = total
-        self._attempt_by_key: dict[TaskKey, RunningAttempt] = {}
+        self._attempt_by_key: dict[TaskKey, ServerAttempt] = {}
         self._history: list[AttemptRun] = []
 
     def advance(self, now_ms: int) -> None:
@@ -60,9 +60,7 @@
         for key in self._attempt_by_key.keys() & set(keys):
             self._attempt_by_key[key].lease_until_ms = now_ms + lease_ms
 
-    def carry_out(
-        self, command: ServerCommand, now_ms: int, boot_id: str
-    ) -> str:
+    def execute(self, command: ServerCommand, now_ms: int, boot_id: str) -> str:
         """Carry out one command other than a start.
 
         :param command: the command.
@@ -98,13 +96,13 @@
         reason = self._start_refusal(start)
         if reason:
             return reason
-        attempt = begin(start, now_ms)
+        attempt = create_attempt(start, now_ms)
         self._attempt_by_key[start.key] = attempt
         if self.fails_starts:
             attempt.end(TaskPhase.failed, 'server fails each start', now_ms)
         return ''
 
-    def running(self) -> list[RunningAttempt]:
+    def running(self) -> list[ServerAttempt]:
         """List what runs.
 
         :returns: attempts.
@@ -115,7 +113,7 @@
             if attempt.phase is TaskPhase.running
         ]
 
-    def ran_since(self, since_ms: int) -> list[RunningAttempt]:
+    def ran_since(self, since_ms: int) -> list[ServerAttempt]:
         """List what ran in a window that ends now.
 
         :param since_ms: monotonic time at which the window began.
@@ -132,7 +130,9 @@
 
         :returns: reports.
         """
-        return tuple(kept.report() for kept in self._attempt_by_key.values())
+        return tuple(
+            attempt.report() for attempt in self._attempt_by_key.values()
+        )
 
     def runs(self, boot_id: str) -> list[AttemptRun]:
         """Tell what ever ran here.
@@ -143,8 +143,8 @@
         return [
             *self._history,
             *(
-                kept.run(self._server_id, boot_id)
-                for kept in self._attempt_by_key.values()
+                attempt.run(self._server_id, boot_id)
+                for attempt in self._attempt_by_key.values()
             ),
         ]
 
@@ -165,20 +165,22 @@
         running = self.running()
         if any(other.key.task_id == start.key.task_id for other in running):
             return 'task runs here already'
-        taken = [other.start.resources for other in running]
-        return _overcommitted([*taken, start.resources], self._total)
+        committed = [other.start.resources for other in running]
+        return _find_exceeded_dimension(
+            [*committed, start.resources], self._total
+        )
 
 
-def _overcommitted(parts: list[Resources], total: Resources) -> str:
+def _find_exceeded_dimension(parts: list[Resources], total: Resources) -> str:
     """Check a vector of sums.
 
     :param parts: what would run together.
     :param total: size of the VM.
     :returns: name of the first dimension that does not fit, else empty.
     """
-    short = (
+    exceeded = (
         f'not enough {dimension}'
         for dimension, size in total._asdict().items()
         if sum(getattr(part, dimension) for part in parts) > size
     )
-    return next(short, '')
+    return next(exceeded, '')
--- a/waxwingford_standins/server_changes.py
+++ b/waxwingford_standins/server_changes.py
@@ -1,11 +1,11 @@
-"""Which attempts of a stand-in backend server changed since an answer."""
+"""Tracks which attempts of a stand-in backend server changed."""
 
 from collections.abc import Iterable
 
 from waxwingford.ports import TaskKey, TaskReport
 
 
-class ChangeCounter:
+class ChangeTracker:
     """Counts changes of attempts in one boot.
 
     :ivar version: changes so far.
@@ -15,49 +15,51 @@
         """Start with a boot."""
         self.version = 0
         self._version_by_key: dict[TaskKey, int] = {}
-        self._first_by_key: dict[TaskKey, int] = {}
-        self._shown_by_key: dict[TaskKey, tuple[str, bool]] = {}
+        self._first_version_by_key: dict[TaskKey, int] = {}
+        self._reported_by_key: dict[TaskKey, tuple[str, bool]] = {}
 
-    def note(self, reports: Iterable[TaskReport]) -> None:
+    def record(self, reports: Iterable[TaskReport]) -> None:
         """Compare all attempts with what was noted before.
 
         :param reports: every attempt that the server knows now.
         """
-        known = set()
+        current_keys = set()
         for report in reports:
-            known.add(report.key)
-            shown = (report.phase.value, report.throttled)
-            if self._shown_by_key.get(report.key) != shown:
+            current_keys.add(report.key)
+            reported = (report.phase.value, report.throttled)
+            if self._reported_by_key.get(report.key) != reported:
                 self.version += 1
-                self._shown_by_key[report.key] = shown
+                self._reported_by_key[report.key] = reported
                 self._version_by_key[report.key] = self.version
-                self._first_by_key.setdefault(report.key, self.version)
-        for key in self._shown_by_key.keys() - known:
-            self._shown_by_key.pop(key)
+                self._first_version_by_key.setdefault(report.key, self.version)
+        for key in self._reported_by_key.keys() - current_keys:
+            self._reported_by_key.pop(key)
             self._version_by_key.pop(key)
-            self._first_by_key.pop(key)
+            self._first_version_by_key.pop(key)
 
-    def changed(
-        self, reports: Iterable[TaskReport], since: int
+    def changed_since(
+        self, reports: Iterable[TaskReport], version: int
     ) -> tuple[TaskReport, ...]:
-        """Choose what changed after a version.
+        """Select the reports that changed after a version.
 
         :param reports: every attempt, as noted just now.
-        :param since: the version.
-        :returns: the changed ones.
+        :param version: the version.
+        :returns: the changed reports.
         """
         return tuple(
             report
             for report in reports
-            if self._version_by_key[report.key] > since
+            if self._version_by_key[report.key] > version
         )
 
-    def named(self, version: int) -> tuple[TaskKey, ...]:
-        """List attempts that an answer of a version, or one before, named.
+    def reported_by(self, version: int) -> tuple[TaskKey, ...]:
+        """List attempts that responses up to a version reported.
 
         :param version: the version.
-        :returns: keys of attempts that are still known.
+        :returns: keys of attempts that the server still keeps.
         """
         return tuple(
-            key for key, first in self._first_by_key.items() if first <= version
+            key
+            for key, first in self._first_version_by_key.items()
+            if first <= version
         )
--- a/waxwingford_standins/server_lease.py
+++ b/waxwingford_standins/server_lease.py
@@ -28,12 +28,12 @@
         stale_ms = request.stamp_ms + request.good_for_ms
         if request.good_for_ms and now_ms > stale_ms:
             return False
-        free = not self.holder or now_ms >= self.until_ms
-        mine = self.holder == request.holder
+        is_free = not self.holder or now_ms >= self.until_ms
+        is_holder = self.holder == request.holder
         if request.epoch:
-            granted = mine and request.epoch == self.epoch
+            granted = is_holder and request.epoch == self.epoch
         else:
-            granted = free or mine
+            granted = is_free or is_holder
             self.epoch += granted
         if granted:
             self.holder = request.holder
--- a/waxwingford_standins/server_service.py
+++ b/waxwingford_standins/server_service.py
@@ -15,9 +15,9 @@
 
 from waxwingford.ports import ServiceCall
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 #: Share of a pair's interference that is there without load.
-_IDLE_SHARE = 0.25
+_IDLE_INTERFERENCE_SHARE = 0.25
 
 
 class ServiceModel(NamedTuple):
@@ -42,11 +42,11 @@
     """The server runs the request.
 
     :ivar number: handle to end it with.
-    :ivar takes_ms: how long it runs, in milliseconds.
+    :ivar duration_ms: how long it runs, in milliseconds.
     """
 
     number: int
-    takes_ms: float
+    duration_ms: float
 
 
 class CallRefused(NamedTuple):
@@ -96,9 +96,9 @@
         self._model = model
         self._slots = slots
         self._random = random.Random(seed)
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._started_by_number: dict[int, int] = {}
-        self._busy_until_ms = 0
+        self._busy_counted_to_ms = 0
         self._busy_slot_ms = 0
         self._latencies_ms: list[float] = []
 
@@ -123,15 +123,15 @@
         if len(self._started_by_number) >= self._slots:
             self.refused += 1
             return CallRefused('all slots are busy')
-        self._count_busy(now_ms)
-        number = next(self._numbers)
+        self._accumulate_busy_time(now_ms)
+        number = next(self._request_numbers)
         self._started_by_number[number] = now_ms
         self.most_at_once = max(self.most_at_once, len(self._started_by_number))
-        echo = read_echo(call.body)
+        echo = decode_echo(call.body)
         self.runs_by_token[echo.token or call.request_id] += 1
         if echo.key:
             self.runs_by_key[echo.key] += 1
-        return CallStarted(number, self._draw_ms(kinds))
+        return CallStarted(number, self._sample_duration_ms(kinds))
 
     def end(self, number: int, now_ms: int) -> None:
         """Free the slot of a request.
@@ -139,7 +139,7 @@
         :param number: handle from its start; unknown after a reboot.
         :param now_ms: monotonic time.
         """
-        self._count_busy(now_ms)
+        self._accumulate_busy_time(now_ms)
         started_ms = self._started_by_number.pop(number, None)
         if started_ms is not None:
             self._latencies_ms.append(now_ms - started_ms)
@@ -156,10 +156,12 @@
         :param window_ms: its length, in milliseconds.
         :returns: mean load and 99th percentile of the latency.
         """
-        self._count_busy(now_ms)
+        self._accumulate_busy_time(now_ms)
         load = self._busy_slot_ms / (window_ms * self._slots)
-        ranked = sorted(self._latencies_ms)
-        p99_ms = ranked[math.ceil(len(ranked) * 0.99) - 1] if ranked else 0
+        sorted_ms = sorted(self._latencies_ms)
+        p99_ms = (
+            sorted_ms[math.ceil(len(sorted_ms) * 0.99) - 1] if sorted_ms else 0
+        )
         self._busy_slot_ms = 0
         self._latencies_ms.clear()
         return min(load, 1), p99_ms
@@ -171,29 +173,34 @@
         :param server_id: who answers.
         :returns: JSON body that repeats the request's token.
         """
-        echo = read_echo(call.body)
+        echo = decode_echo(call.body)
         echo.server_id = server_id
         echo.padding = 'x' * self._model.answer_bytes
         return msgspec.json.encode(echo)
 
-    def _count_busy(self, now_ms: int) -> None:
-        elapsed_ms = now_ms - self._busy_until_ms if self._busy_until_ms else 0
+    def _accumulate_busy_time(self, now_ms: int) -> None:
+        elapsed_ms = (
+            now_ms - self._busy_counted_to_ms if self._busy_counted_to_ms else 0
+        )
         self._busy_slot_ms += elapsed_ms * len(self._started_by_number)
-        self._busy_until_ms = now_ms
+        self._busy_counted_to_ms = now_ms
 
-    def _draw_ms(self, kinds: Iterable[tuple[str, int]]) -> float:
+    def _sample_duration_ms(self, kinds: Iterable[tuple[str, int]]) -> float:
         base_ms = self._model.median_ms * math.exp(
             self._random.gauss(0, self._model.sigma)
         )
-        pressure = _IDLE_SHARE + (1 - _IDLE_SHARE) * self.load**2
-        added = sum(
+        load_factor = (
+            _IDLE_INTERFERENCE_SHARE
+            + (1 - _IDLE_INTERFERENCE_SHARE) * self.load**2
+        )
+        slowdown = sum(
             self._model.slowdown_by_kind.get(kind, 0) * percent / 100
             for kind, percent in kinds
         )
-        return base_ms * (1 + added * pressure)
+        return base_ms * (1 + slowdown * load_factor)
 
 
-def read_echo(body: bytes) -> ServiceEcho:
+def decode_echo(body: bytes) -> ServiceEcho:
     """Read a request body of the load tool.
 
     :param body: request body.
--- a/waxwingford_standins/server_tasks.py
+++ b/waxwingford_standins/server_tasks.py
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class RunningAttempt:
+class ServerAttempt:
     """An attempt that the server knows, running or ended.
 
     :ivar start: command that started it.
@@ -120,7 +120,7 @@
         )
         if done_ms <= until_ms:
             self.progress_ms = self.work.run_ms
-            self._finish(int(done_ms))
+            self._complete(int(done_ms))
             return
         self.progress_ms += max(until_ms - self.updated_ms, 0) * speed
         self.updated_ms = max(until_ms, self.updated_ms)
@@ -182,31 +182,31 @@
             self.detail,
         )
 
-    def _finish(self, now_ms: int) -> None:
+    def _complete(self, now_ms: int) -> None:
         if self.work.fail:
             self.end(TaskPhase.failed, 'work failed', now_ms)
         else:
             self.end(TaskPhase.done, self.work.result, now_ms)
 
 
-def begin(start: StartTask, now_ms: int) -> RunningAttempt:
+def create_attempt(start: StartTask, now_ms: int) -> ServerAttempt:
     """Start an attempt, from its checkpoint if it has one.
 
     :param start: the command.
     :param now_ms: monotonic time.
     :returns: the attempt.
     """
-    return RunningAttempt(
+    return ServerAttempt(
         start,
-        _work(start.payload),
+        _decode_work(start.payload),
         started_ms=now_ms,
         updated_ms=now_ms,
         lease_until_ms=now_ms + start.lease_ms,
-        progress_ms=progress_in(start.resume_from),
+        progress_ms=parse_progress(start.resume_from),
     )
 
 
-def progress_in(reference: str) -> int:
+def parse_progress(reference: str) -> int:
     """Read the progress that a checkpoint reference names.
 
     :param reference: ``ckpt:<task>:<attempt>:<progress>`` or empty.
@@ -218,7 +218,7 @@
     return 0
 
 
-def _work(payload: str) -> Work:
+def _decode_work(payload: str) -> Work:
     try:
         return msgspec.json.decode(payload, type=Work)
     except msgspec.DecodeError:
--- a/waxwingford_standins/serving.py
+++ b/waxwingford_standins/serving.py
@@ -8,8 +8,8 @@
 
 from aiohttp import web
 
-_ORPHAN_CHECK_S = 1
-_SHUTDOWN_S = 0.2
+_PARENT_CHECK_S = 1
+_SHUTDOWN_TIMEOUT_S = 0.2
 
 
 async def start_site(
@@ -22,13 +22,15 @@
     :param port: TCP port.
     :returns: runner; clean it up to stop.
     """
-    runner = web.AppRunner(app, access_log=None, shutdown_timeout=_SHUTDOWN_S)
+    runner = web.AppRunner(
+        app, access_log=None, shutdown_timeout=_SHUTDOWN_TIMEOUT_S
+    )
     await runner.setup()
     await web.TCPSite(runner, host, port, reuse_address=True).start()
     return runner
 
 
-async def _orphaned(parent: int) -> None:
+async def _wait_for_parent_exit(parent: int) -> None:
     """Return once the parent is gone.
 
     A launcher killed without warning would leave its stand-ins running; one
@@ -37,15 +39,15 @@
     :param parent: process id of the launcher.
     """
     while os.getppid() == parent:
-        await asyncio.sleep(_ORPHAN_CHECK_S)
+        await asyncio.sleep(_PARENT_CHECK_S)
 
 
-async def _stopped() -> None:
+async def _wait_for_stop() -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    watch = asyncio.ensure_future(_orphaned(os.getppid()))
+    watch = asyncio.ensure_future(_wait_for_parent_exit(os.getppid()))
     waiting = asyncio.ensure_future(stop.wait())
     await asyncio.wait((watch, waiting), return_when=asyncio.FIRST_COMPLETED)
     watch.cancel()
@@ -63,6 +65,6 @@
     async def _run() -> None:
         async with contextlib.AsyncExitStack() as stack:
             await open_parts(stack)
-            await _stopped()
+            await _wait_for_stop()
 
     asyncio.run(_run())
--- a/waxwingford_standins/switches.py
+++ b/waxwingford_standins/switches.py
@@ -8,9 +8,9 @@
 
 from waxwingford.adapters import encode_json
 from waxwingford_standins.layout import HOST, PLATFORM, Layout
-from waxwingford_standins.run_certificates import trusting
+from waxwingford_standins.run_certificates import client_ssl_context
 
-_HTTP_S = 5
+_HTTP_TIMEOUT_S = 5
 _OK = 200
 
 
@@ -32,7 +32,7 @@
         self.platform_url = f'http://{HOST}:{layout.platform_port}'
         self._backends_url = f'http://{HOST}:{layout.backend_admin_port}'
         self._relay_url = f'http://{HOST}:{layout.relay_admin_port}'
-        self.tls = trusting(authorities)
+        self.tls = client_ssl_context(authorities)
         self._client: aiohttp.ClientSession | None = None
 
     @property
@@ -44,7 +44,7 @@
         if self._client is None:
             self._client = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(ssl=self.tls),
-                timeout=aiohttp.ClientTimeout(total=_HTTP_S),
+                timeout=aiohttp.ClientTimeout(total=_HTTP_TIMEOUT_S),
             )
         return self._client
 
@@ -92,14 +92,14 @@
 
         :returns: JSON array of ServerAudit, empty without an answer.
         """
-        return await self._read(f'{self._backends_url}/audit')
+        return await self._get_body(f'{self._backends_url}/audit')
 
     async def platform_audit(self) -> bytes:
         """Ask the platform what it counted.
 
         :returns: JSON of PlatformCounts, empty without an answer.
         """
-        return await self._read(f'{self.platform_url}/audit')
+        return await self._get_body(f'{self.platform_url}/audit')
 
     async def get(self, url: str) -> tuple[int, str]:
         """Read a URL.
@@ -113,7 +113,7 @@
         except (aiohttp.ClientError, TimeoutError) as error:
             return 0, f'{type(error).__name__}: {error}'
 
-    async def _read(self, url: str) -> bytes:
+    async def _get_body(self, url: str) -> bytes:
         status, text = await self.get(url)
         return text.encode() if status == _OK else b''
 
--- a/waxwingford_standins/tests/audit_steps.py
+++ b/waxwingford_standins/tests/audit_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from waxwingford_standins.audit import (
-    FinishedTasks,
+    FinishedJob,
     audit_attempts,
     audit_calls,
     audit_jobs,
@@ -15,10 +15,10 @@
 from waxwingford_standins.load import Call, CallOutcome
 from waxwingford_standins.server_tasks import AttemptRun
 
-REFERENCE = 'ckpt:t/0:1:500'
+CHECKPOINT = 'ckpt:t/0:1:500'
 
 
-def evidence(context):
+def collected(context):
     """Give what the scenario collected so far."""
     if 'audit_evidence' not in context:
         context.audit_evidence = collections.defaultdict(list)
@@ -30,7 +30,7 @@
     audit = ServerAudit(
         server_id, runs or {}, runs or {}, list(attempts), 1, 0, leaving_ms
     )
-    evidence(context)['servers'].append(audit)
+    collected(context)['servers'].append(audit)
 
 
 @given('a call "{token}" that ended "{outcomes}" and ran {runs:d} times')
@@ -39,7 +39,7 @@
     call = Call(
         'caller', token, idempotent=False, outcomes=tagged, latency_ms=1
     )
-    evidence(context)['calls'].append(call)
+    collected(context)['calls'].append(call)
     add_server(context, runs={token: runs} if runs else {})
 
 
@@ -50,10 +50,10 @@
 def attempt_ran(context, attempt, task_id, server_id, start_ms, end_ms, phase):
     earlier = [
         run.phase
-        for server in evidence(context)['servers']
+        for server in collected(context)['servers']
         for run in server.attempts
     ]
-    resume_from = REFERENCE if 'checkpointed' in earlier else ''
+    resume_from = CHECKPOINT if 'checkpointed' in earlier else ''
     run = AttemptRun(
         task_id,
         attempt,
@@ -63,7 +63,7 @@
         end_ms,
         phase,
         resume_from,
-        REFERENCE if phase == 'checkpointed' else '',
+        CHECKPOINT if phase == 'checkpointed' else '',
     )
     add_server(context, server_id, attempts=(run,))
 
@@ -81,12 +81,12 @@
 
 @given('the job "{job_id}" was accepted and is not in the log')
 def job_not_in_log(context, job_id):
-    evidence(context)['answered_for'].append(job_id)
+    collected(context)['acknowledged'].append(job_id)
 
 
 @given('the log says that {count:d} task of "{job_id}" is done')
 def log_says_done(context, count, job_id):
-    evidence(context)['finished'].append(FinishedTasks(job_id, count, 0, 0))
+    collected(context)['finished'].append(FinishedJob(job_id, count, 0, 0))
 
 
 @given(
@@ -98,13 +98,13 @@
 
 @when('the run is audited')
 def audit_run(context):
-    found = evidence(context)
+    found = collected(context)
     context.findings = [
         *audit_calls(found['calls'], found['servers']),
         *audit_attempts(found['servers']),
         *audit_leaving(found['servers']),
         *audit_jobs(
-            found['answered_for'],
+            found['acknowledged'],
             frozenset(),
             found['finished'],
             found['servers'],
--- a/waxwingford_standins/tests/faults_steps.py
+++ b/waxwingford_standins/tests/faults_steps.py
@@ -11,22 +11,22 @@
 from waxwingford_standins.deployment import load_deployment
 from waxwingford_standins.load import CallOutcome
 from waxwingford_standins.local_run import LocalRun, Started, open_bundle
-from waxwingford_standins.trial import Trial, read_servers
+from waxwingford_standins.trial import LoadTest, read_servers
 
 SMALL = pathlib.Path(__file__).parent / 'small'
 LOAD_S = 4
 #: Longer than the control lease of a local run.
-FROZEN_S = 3.6
-MOST = 0.5
-CUT_OFF = 'gulberg'
+FREEZE_S = 3.6
+MIN_ANSWERED_SHARE = 0.5
+ISOLATED_DOMAIN = 'gulberg'
 CUT_S = 3
 #: Time in which a daemon may find out that a peer is cut off.
-NOTICE_S = 1
+DETECTION_S = 1
 #: One deployment serves all scenarios: its start is most of their cost.
 shared = {}
 
 
-def say(line):
+def print_progress(line):
     """Print a progress line, which behave shows for failed steps."""
     sys.stdout.write(f'{line}\n')
 
@@ -51,7 +51,7 @@
                 load_deployment(SMALL / 'deployment.toml'),
                 open_bundle(SMALL / 'bundle.toml'),
                 pathlib.Path(directory.name),
-                say,
+                print_progress,
             ),
             findings=set(),
         )
@@ -65,11 +65,15 @@
 async def kill_daemon(local_run):
     """Kill a daemon while servers hold its requests, and start it again."""
     await asyncio.sleep(2)
-    await local_run.switches.server_fault(failure_domain=CUT_OFF, frozen=True)
+    await local_run.switches.server_fault(
+        failure_domain=ISOLATED_DOMAIN, frozen=True
+    )
     await asyncio.sleep(0.5)
     local_run.processes.send('small-1', signal.SIGKILL)
     await asyncio.sleep(0.7)
-    await local_run.switches.server_fault(failure_domain=CUT_OFF, frozen=False)
+    await local_run.switches.server_fault(
+        failure_domain=ISOLATED_DOMAIN, frozen=False
+    )
     await local_run.start_daemon('small-1')
 
 
@@ -77,7 +81,7 @@
     """Stop a daemon for longer than its leases last."""
     await asyncio.sleep(1)
     local_run.processes.send('small-2', signal.SIGSTOP)
-    await asyncio.sleep(FROZEN_S)
+    await asyncio.sleep(FREEZE_S)
     local_run.processes.send('small-2', signal.SIGCONT)
 
 
@@ -99,16 +103,16 @@
     await asyncio.sleep(1)
     local_run.processes.send('small-1', signal.SIGKILL)
     # Longer than the leases last: another takes over without the log.
-    await asyncio.sleep(FROZEN_S)
+    await asyncio.sleep(FREEZE_S)
     await local_run.start_daemon('small-1')
     await asyncio.sleep(1)
     await local_run.switches.platform_fault(outage='none')
 
 
-async def cut_domain_off(local_run):
+async def isolate_domain(local_run):
     """Cut a failure domain off from the other and from the platform."""
     await asyncio.sleep(1)
-    await local_run.switches.isolate(CUT_OFF)
+    await local_run.switches.isolate(ISOLATED_DOMAIN)
     shared['cut_s'] = asyncio.get_running_loop().time()
     await asyncio.sleep(CUT_S)
     await local_run.switches.isolate()
@@ -161,7 +165,7 @@
     'a daemon is frozen past its leases': freeze_daemon,
     'the log hangs and then loses answers': hang_log,
     'a daemon is killed while the log is away': kill_without_log,
-    'a failure domain is cut off': cut_domain_off,
+    'a failure domain is cut off': isolate_domain,
     'a backend server dies and answers are lost': kill_server,
     'all tasks are evicted and answers are lost': evict_tasks,
     'a backend server leaves': leave_server,
@@ -172,7 +176,7 @@
 @when('it is loaded while {fault}')
 def load_while(context, fault):
     local_run = shared['local_run']
-    context.trial = Trial(local_run)
+    context.trial = LoadTest(local_run)
     shared['trial'] = context.trial
 
     async def _load():
@@ -182,7 +186,7 @@
         return await context.trial.report(LOAD_S)
 
     context.report = shared['runner'].run(_load())
-    say(context.report)
+    print_progress(context.report)
 
 
 @then('the audit finds nothing')
@@ -217,7 +221,7 @@
 def mostly_answered(context):
     outcomes = [call.outcome for call in context.trial.callers.calls]
     answered = outcomes.count(CallOutcome.answered)
-    assert answered > MOST * len(outcomes), context.report.reasons
+    assert answered > MIN_ANSWERED_SHARE * len(outcomes), context.report.reasons
 
 
 @then('callers of the failure domain were answered during the cut')
@@ -225,18 +229,18 @@
     inside = {
         daemon.daemon_id
         for daemon in shared['local_run'].layout.daemons
-        if daemon.failure_domain == CUT_OFF
+        if daemon.failure_domain == ISOLATED_DOMAIN
     }
-    since_s = shared['cut_s'] + NOTICE_S
+    since_s = shared['cut_s'] + DETECTION_S
     outcomes = [
         call.outcome
         for call in context.trial.callers.calls
-        if call.entry in inside
+        if call.daemon_id in inside
         and call.idempotent
         and since_s < call.started_s < shared['cut_s'] + CUT_S
     ]
     answered = outcomes.count(CallOutcome.answered)
-    assert answered > MOST * len(outcomes), context.report.reasons
+    assert answered > MIN_ANSWERED_SHARE * len(outcomes), context.report.reasons
 
 
 @then('no call was broken off')
--- a/waxwingford_standins/tests/launcher_steps.py
+++ b/waxwingford_standins/tests/launcher_steps.py
@@ -17,7 +17,7 @@
 from waxwingford_standins.relay_main import RelayConfig
 
 TESTS = pathlib.Path(__file__).parent
-CAP_S = 40
+TIMEOUT_S = 40
 
 
 @fixture
@@ -42,12 +42,12 @@
             text=True,
         )
         # A launcher that says nothing more would hold the test up for ever.
-        watchdog = threading.Timer(CAP_S, context.launcher.terminate)
+        watchdog = threading.Timer(TIMEOUT_S, context.launcher.terminate)
         watchdog.start()
         yield
         watchdog.cancel()
         context.launcher.terminate()
-        context.launcher.wait(CAP_S)
+        context.launcher.wait(TIMEOUT_S)
         context.launcher.stderr.close()
 
 
@@ -64,9 +64,9 @@
 
 @when('it says "{text}" and gets SIGTERM')
 def says_and_gets_sigterm(context, text):
-    context.said = []
+    context.output_lines = []
     for line in context.launcher.stderr:
-        context.said.append(line)
+        context.output_lines.append(line)
         if text in line:
             context.launcher.send_signal(signal.SIGTERM)
 
@@ -82,7 +82,7 @@
 
 @then('it exits with code {code:d}')
 def exits_with(context, code):
-    assert context.launcher.wait(CAP_S) == code, context.said
+    assert context.launcher.wait(TIMEOUT_S) == code, context.output_lines
 
 
 @then('no port of the deployment is open')
--- a/waxwingford_standins/tests/platform_steps.py
+++ b/waxwingford_standins/tests/platform_steps.py
@@ -19,7 +19,7 @@
 STREAM = 'domain/d'
 
 
-def use_log(context, limits=None):
+def create_log(context, limits=None):
     """Start a log at time zero."""
     context.clock = ManualClock()
     context.log = LogCore(limits or LogLimits())
@@ -27,28 +27,28 @@
 
 @given('a stand-in log')
 def stand_in_log(context):
-    use_log(context)
+    create_log(context)
 
 
 @given('a stand-in log that loses {percent:d} percent of acknowledgements')
 def log_that_loses(context, percent):
-    use_log(context)
+    create_log(context)
     context.log.faults.lost_share = percent / 100
 
 
 @given('a stand-in log that keeps {count:d} entries')
 def log_that_keeps(context, count):
-    use_log(context, LogLimits(retain_entries=count))
+    create_log(context, LogLimits(retain_entries=count))
 
 
 @given('a stand-in log that keeps entries for {age_ms:d} ms')
 def log_that_keeps_for(context, age_ms):
-    use_log(context, LogLimits(retain_ms=age_ms))
+    create_log(context, LogLimits(retain_ms=age_ms))
 
 
 @given('a stand-in log that takes {count:d} appends a second')
 def log_that_takes(context, count):
-    use_log(context, LogLimits(appends_per_second=count))
+    create_log(context, LogLimits(appends_per_second=count))
 
 
 @given('a stand-in list with a lag of {lag_ms:d} ms')
@@ -137,7 +137,7 @@
     assert read_all(context).next_offset == offset
 
 
-def shown(context):
+def listed_vms(context):
     """Read the list as text."""
     listed = context.vms.read(context.clock.monotonic_ms()).vms
     return ', '.join(f'{vm.server_id} {vm.state}' for vm in listed)
@@ -145,9 +145,9 @@
 
 @then('the stand-in list shows ""')
 def shows_nothing(context):
-    assert not shown(context), shown(context)
+    assert not listed_vms(context), listed_vms(context)
 
 
 @then('the stand-in list shows "{vms}"')
 def shows(context, vms):
-    assert shown(context) == vms, shown(context)
+    assert listed_vms(context) == vms, listed_vms(context)
--- a/waxwingford_standins/tests/server_changes_steps.py
+++ b/waxwingford_standins/tests/server_changes_steps.py
@@ -21,7 +21,7 @@
 TASK_LEASE_MS = 5000
 
 
-def key_of(name):
+def task_key(name):
     return TaskKey(f'qadri.{name}/0', 1)
 
 
@@ -45,9 +45,9 @@
     context.holder.take_grant(request, context.answer, epoch_changed=False)
 
 
-def start_of(name):
+def start_command(name):
     return StartTask(
-        key_of(name), 'k', Resources(1000, 1000), '{"run_ms":900000}', '',
+        task_key(name), 'k', Resources(1000, 1000), '{"run_ms":900000}', '',
         TASK_LEASE_MS,
     )  # fmt: skip
 
@@ -64,7 +64,7 @@
     context.epoch = 0
     context.now_ms = 0
     ask(context)
-    ask(context, start_of(one), start_of(other))
+    ask(context, start_command(one), start_command(other))
 
 
 @when('the holder asks again with what it knows')
@@ -81,7 +81,7 @@
     'attempt "{name}" is stopped and the holder asks again with what it knows'
 )
 def stopped_and_asks(context, name):
-    ask(context, StopTask(key_of(name)))
+    ask(context, StopTask(task_key(name)))
 
 
 def names(reports):
@@ -113,12 +113,12 @@
     'seconds'
 )
 def renews_except(context, name, seconds):
-    renew_for(context, seconds, context.holder.known, (key_of(name),))
+    renew_for(context, seconds, context.holder.known, (task_key(name),))
 
 
 @when('attempt "{name}" starts and its answer is lost')
 def starts_unseen(context, name):
-    exchange(context, start_of(name))
+    exchange(context, start_command(name))
 
 
 @when('the holder renews all that it knew before for {seconds:d} seconds')
@@ -130,19 +130,19 @@
 def phases_are(context, one, phase, other, other_phase):
     exchange(context, known=0)
     found = {one.key: one.phase.value for one in context.answer.tasks}
-    assert found[key_of(one)] == phase, found
-    assert found[key_of(other)] == other_phase, found
+    assert found[task_key(one)] == phase, found
+    assert found[task_key(other)] == other_phase, found
 
 
 @when('"{name}" is stopped, and forgotten in an exchange whose answer is lost')
 def forgotten_unseen(context, name):
-    ask(context, StopTask(key_of(name)))
-    exchange(context, ForgetTask(key_of(name)))
+    ask(context, StopTask(task_key(name)))
+    exchange(context, ForgetTask(task_key(name)))
 
 
 @when('the holder forgets "{name}" once more')
 def forgets_again(context, name):
-    ask(context, ForgetTask(key_of(name)))
+    ask(context, ForgetTask(task_key(name)))
 
 
 @then('the holder knows of "{listed}" only')
--- a/waxwingford_standins/tests/tls_steps.py
+++ b/waxwingford_standins/tests/tls_steps.py
@@ -24,29 +24,29 @@
 
 SMALL = pathlib.Path(__file__).parent / 'small'
 DOMAIN = 'gulberg'
-GOOD = ('tls-1', 'tls-2')
-STRANGER = 'tls-3'
-CAP_S = 20
-BEAT_S = 1
+TRUSTED = ('tls-1', 'tls-2')
+UNTRUSTED = 'tls-3'
+TIMEOUT_S = 20
+HEARTBEAT_S = 1
 TIMEOUT_MS = 2000
 #: One deployment serves both scenarios: its start is most of their cost.
 shared = {}
 
 
-def certified_run(directory):
+def create_run(directory):
     deployment = load_deployment(SMALL / 'deployment.toml')
     # One server, so that the daemon without it has to forward.
-    domain = DomainPlan(name=DOMAIN, daemons=(*GOOD, STRANGER), racks=(1,))
+    domain = DomainPlan(name=DOMAIN, daemons=(*TRUSTED, UNTRUSTED), racks=(1,))
     return LocalRun(
         deployment.model_copy(update={'failure_domains': (domain,)}),
         open_bundle(SMALL / 'bundle.toml'),
         directory,
         sys.stdout.write,
-        RunOptions(tls=True, strangers=frozenset((STRANGER,))),
+        RunOptions(tls=True, untrusted_daemons=frozenset((UNTRUSTED,))),
     )
 
 
-def place(daemon_id):
+def daemon_address(daemon_id):
     return next(
         daemon
         for daemon in shared['run'].layout.daemons
@@ -54,49 +54,49 @@
     )
 
 
-def settings_of(daemon_id):
+def load_daemon_settings(daemon_id):
     path = shared['run'].files.settings_by_daemon[daemon_id]
     return load_settings(path).settings
 
 
-async def status_of(daemon_id):
-    url = f'{place(daemon_id).url}/v1/status'
+async def fetch_status(daemon_id):
+    url = f'{daemon_address(daemon_id).url}/v1/status'
     code, text = await shared['run'].switches.get(url)
     return msgspec.json.decode(text) if code == 200 else {}
 
 
-async def alive_for(daemon_id):
-    status = await status_of(daemon_id)
+async def alive_peers(daemon_id):
+    status = await fetch_status(daemon_id)
     return {peer['daemon_id'] for peer in status['peers'] if peer['alive']}
 
 
 async def poll(check):
-    async with asyncio.timeout(CAP_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while not await check():
             await asyncio.sleep(0.1)
 
 
-async def good_are_ready():
-    statuses = [await status_of(daemon_id) for daemon_id in GOOD]
+async def trusted_are_ready():
+    statuses = [await fetch_status(daemon_id) for daemon_id in TRUSTED]
     return all(status.get('ready') for status in statuses)
 
 
-async def one_holds():
-    statuses = [await status_of(daemon_id) for daemon_id in GOOD]
+async def one_holds_server():
+    statuses = [await fetch_status(daemon_id) for daemon_id in TRUSTED]
     ready = all(status.get('ready') for status in statuses)
     return ready and any(status['servers'] for status in statuses)
 
 
-async def stranger_runs():
+async def untrusted_runs():
     # Never ready: it holds no server and hears of no peer that has room.
-    status = await status_of(STRANGER)
+    status = await fetch_status(UNTRUSTED)
     return status.get('bundle', {}).get('version')
 
 
 def trust_first_authority():
     """Let the stranger trust the others, so that only they can refuse."""
-    stranger = pathlib.Path(settings_of(STRANGER).tls.authority_file)
-    good = pathlib.Path(settings_of(GOOD[0]).tls.authority_file)
+    stranger = pathlib.Path(load_daemon_settings(UNTRUSTED).tls.authority_file)
+    good = pathlib.Path(load_daemon_settings(TRUSTED[0]).tls.authority_file)
     stranger.write_bytes(stranger.read_bytes() + good.read_bytes())
 
 
@@ -106,22 +106,22 @@
     for step in (run.start_stand_ins, run.publish_bundle):
         reason = await step()
         assert not reason, reason
-    for daemon_id in GOOD:
+    for daemon_id in TRUSTED:
         await run.start_daemon(daemon_id)
     # The stranger comes later: alone, it would take the only server.
-    await poll(one_holds)
-    await run.start_daemon(STRANGER)
-    await poll(stranger_runs)
+    await poll(one_holds_server)
+    await run.start_daemon(UNTRUSTED)
+    await poll(untrusted_runs)
 
 
-def now(coroutine):
+def run_sync(coroutine):
     """Run a coroutine to its end."""
     return shared['runner'].run(coroutine)
 
 
 def stop_all():
     with shared['directory']:
-        now(shared['run'].stop())
+        run_sync(shared['run'].stop())
         shared['runner'].close()
     shared.clear()
 
@@ -133,36 +133,36 @@
     directory = tempfile.TemporaryDirectory()
     path = pathlib.Path(directory.name)
     shared.update(runner=asyncio.Runner(), directory=directory, path=path)
-    shared['run'] = certified_run(path)
+    shared['run'] = create_run(path)
     context.add_cleanup(stop_all, layer='feature')
-    now(start_all())
+    run_sync(start_all())
 
 
 @then('the daemons with certificates hear each other')
 def hear_each_other(context):
     async def _heard():
-        seen = [await alive_for(daemon_id) for daemon_id in GOOD]
-        return GOOD[1] in seen[0] and GOOD[0] in seen[1]
+        seen = [await alive_peers(daemon_id) for daemon_id in TRUSTED]
+        return TRUSTED[1] in seen[0] and TRUSTED[0] in seen[1]
 
-    now(poll(_heard))
+    run_sync(poll(_heard))
 
 
 @then('nobody hears the stranger for {rounds:d} rounds of heartbeats')
 def stranger_unheard(context, rounds):
     async def _watch():
         for _ in range(rounds):
-            await asyncio.sleep(BEAT_S)
-            for daemon_id in GOOD:
-                alive = await alive_for(daemon_id)
-                assert STRANGER not in alive, (daemon_id, alive)
-            assert not await alive_for(STRANGER)
+            await asyncio.sleep(HEARTBEAT_S)
+            for daemon_id in TRUSTED:
+                alive = await alive_peers(daemon_id)
+                assert UNTRUSTED not in alive, (daemon_id, alive)
+            assert not await alive_peers(UNTRUSTED)
 
-    now(_watch())
+    run_sync(_watch())
 
 
-async def call_as(daemon_id, tls):
+async def call_with(daemon_id, tls):
     """Exchange a heartbeat with the first daemon and forward a request."""
-    settings = settings_of(GOOD[0])
+    settings = load_daemon_settings(TRUSTED[0])
     clock = SystemClock()
     time_line = TimeLine(daemon_id, 'test', clock, 64)
     links = PeerLinks(daemon_id, settings.peers, clock, time_line, tls)
@@ -182,47 +182,47 @@
     )
     try:
         return (
-            await links.beat(GOOD[0], beat, TIMEOUT_MS),
-            await links.forward(GOOD[0], request, TIMEOUT_MS),
+            await links.beat(TRUSTED[0], beat, TIMEOUT_MS),
+            await links.forward(TRUSTED[0], request, TIMEOUT_MS),
         )
     finally:
         links.close()
 
 
-async def events_of(daemon_id):
-    url = f'{place(daemon_id).url}/v1/timeline?since=0'
+async def fetch_events(daemon_id):
+    url = f'{daemon_address(daemon_id).url}/v1/timeline?since=0'
     _, text = await shared['run'].switches.get(url)
     return msgspec.json.decode(text)
 
 
-async def was_taken(request_id):
+async def was_received(request_id):
     return any(
         event[3:5] == ['forward.taken', f'request:{request_id}']
-        for event in await events_of(GOOD[0])
+        for event in await fetch_events(TRUSTED[0])
     )
 
 
 @then("heartbeats and forwards with the stranger's certificate are refused")
 def stranger_refused(context):
-    tls = client_context(settings_of(STRANGER), Alpn.rpc)
-    heard, outcome = now(call_as(STRANGER, tls))
-    assert heard is None, heard
+    tls = client_context(load_daemon_settings(UNTRUSTED), Alpn.rpc)
+    reply, outcome = run_sync(call_with(UNTRUSTED, tls))
+    assert reply is None, reply
     assert not isinstance(outcome, Answered), outcome
-    assert not now(was_taken(f'{STRANGER}-forward'))
+    assert not run_sync(was_received(f'{UNTRUSTED}-forward'))
 
 
 @then('heartbeats with a good certificate are answered')
 def good_answered(context):
-    tls = client_context(settings_of(GOOD[1]), Alpn.rpc)
-    heard, _ = now(call_as(GOOD[1], tls))
-    assert heard is not None
-    assert now(was_taken(f'{GOOD[1]}-forward'))
+    tls = client_context(load_daemon_settings(TRUSTED[1]), Alpn.rpc)
+    reply, _ = run_sync(call_with(TRUSTED[1], tls))
+    assert reply is not None
+    assert run_sync(was_received(f'{TRUSTED[1]}-forward'))
 
 
 async def ask(daemon_id):
     token = secrets.token_hex(4)
     async with shared['run'].switches.client.post(
-        f'{place(daemon_id).url}/v1/services/report_desk/check-in',
+        f'{daemon_address(daemon_id).url}/v1/services/report_desk/check-in',
         data=msgspec.json.encode({'token': token}),
         headers={
             'Waxwingford-Member': 'qadri',
@@ -236,15 +236,17 @@
 
 @then('a request to either daemon is answered over https')
 def answered_over_https(context):
-    for daemon_id in GOOD:
-        assert place(daemon_id).url.startswith('https://')
-        now(poll(functools.partial(ask, daemon_id)))
+    for daemon_id in TRUSTED:
+        assert daemon_address(daemon_id).url.startswith('https://')
+        run_sync(poll(functools.partial(ask, daemon_id)))
 
 
 @then('one of the requests was forwarded between the daemons')
 def was_forwarded(context):
     kinds = {
-        event[3] for daemon_id in GOOD for event in now(events_of(daemon_id))
+        event[3]
+        for daemon_id in TRUSTED
+        for event in run_sync(fetch_events(daemon_id))
     }
     assert {'forward.sent', 'forward.taken', 'forward.answered'} <= kinds, kinds
 
@@ -252,20 +254,21 @@
 @then('plain HTTP gets no answer from either port')
 def no_plain_http(context):
     switches = shared['run'].switches
-    daemon = place(GOOD[0])
+    daemon = daemon_address(TRUSTED[0])
     for port in (daemon.http_port, daemon.rpc_port):
         url = f'http://127.0.0.1:{port}/healthz'
-        code, text = now(switches.get(url))
+        code, text = run_sync(switches.get(url))
         assert code == 0, (code, text)
-    heard, _ = now(call_as(GOOD[1], None))
-    assert heard is None, heard
+    reply, _ = run_sync(call_with(TRUSTED[1], None))
+    assert reply is None, reply
 
 
 def fleet_file(daemon_ids):
     addresses = ', '.join(
-        f'"127.0.0.1:{place(daemon_id).http_port}"' for daemon_id in daemon_ids
+        f'"127.0.0.1:{daemon_address(daemon_id).http_port}"'
+        for daemon_id in daemon_ids
     )
-    authority = settings_of(GOOD[0]).tls.authority_file
+    authority = load_daemon_settings(TRUSTED[0]).tls.authority_file
     path = shared['path'] / 'fleet.toml'
     path.write_text(
         f'daemons = [{addresses}]\nauthority_file = "{authority}"\n'
@@ -277,13 +280,13 @@
 def tool_works(context):
     key = shared['path'] / 'qadri.pem'
     write_private(key, private_pem(shared['run'].key_by_member['qadri']))
-    fleet = ('--fleet', fleet_file(GOOD))
+    fleet = ('--fleet', fleet_file(TRUSTED))
     who = ('--member', 'qadri', '--key', str(key))
     what = ('--team', 'deposits', '--kind', 'checkout_comparison')
     submit = ('jobs', 'submit', 'night', *what, *who, *fleet)
-    # The heartbeat that was sent under the second daemon's name told of no
-    # room; the first one is ready again once the real one is heard.
-    now(poll(good_are_ready))
+    # The heartbeat that was sent under the second daemon's name reported no
+    # free capacity; the first daemon is ready again after a real heartbeat.
+    run_sync(poll(trusted_are_ready))
     assert run_command(('status', *fleet)) == ExitCode.ok
     assert run_command(submit) == ExitCode.ok
     assert run_command(('jobs', 'list', *who, *fleet)) == ExitCode.ok
@@ -291,5 +294,5 @@
 
 @then("the command-line tool refuses the stranger's certificate")
 def tool_refuses(context):
-    told = run_command(('status', '--fleet', fleet_file((STRANGER,))))
-    assert told == ExitCode.unreachable, told
+    exit_code = run_command(('status', '--fleet', fleet_file((UNTRUSTED,))))
+    assert exit_code == ExitCode.unreachable, exit_code
--- a/waxwingford_standins/trial.py
+++ b/waxwingford_standins/trial.py
@@ -14,14 +14,14 @@
 from waxwingford_standins.report import RunReport, make_report, report_text
 
 _POLL_S = 0.2
-_FINISH_S = 15
+_JOBS_TIMEOUT_S = 15
 _LABEL_BYTES = 3
 _servers_decoder = msgspec.json.Decoder(list[ServerAudit])
 _counts_decoder = msgspec.json.Decoder(dict[str, int])
 _events_decoder = msgspec.json.Decoder(list[Event])
 
 
-class Trial:
+class LoadTest:
     """Callers and a night's batch of a running deployment.
 
     :ivar callers: with their ended calls.
@@ -56,7 +56,7 @@
         :param seconds: length of the load, for the report.
         :returns: the report.
         """
-        trackers = await _finish(self._run)
+        trackers = await _wait_for_jobs(self._run)
         switches = self._run.switches
         return make_report(
             self._run.deployment.name,
@@ -94,19 +94,19 @@
         msgspec.json.format(msgspec.json.encode(report))
     )
     picture = directory / 'timeline.svg'
-    merged = merge_events(await _events(local_run))
+    merged = merge_events(await _read_timelines(local_run))
     await asyncio.to_thread(render_picture, merged, str(picture))
     return text
 
 
-async def _finish(local_run: LocalRun) -> list[DomainTracker]:
+async def _wait_for_jobs(local_run: LocalRun) -> list[DomainTracker]:
     """Wait until the streams show no open job, with a cap.
 
     :param local_run: where the log is.
     :returns: streams of all failure domains.
     """
     loop = asyncio.get_running_loop()
-    until_s = loop.time() + _FINISH_S
+    until_s = loop.time() + _JOBS_TIMEOUT_S
     while True:
         trackers = [
             await read_tracker(local_run, domain.name)
@@ -118,7 +118,7 @@
         await asyncio.sleep(_POLL_S)
 
 
-async def _events(local_run: LocalRun) -> list[Event]:
+async def _read_timelines(local_run: LocalRun) -> list[Event]:
     events: list[Event] = []
     for daemon in local_run.layout.daemons:
         status, text = await local_run.switches.get(
