--- a/waxwingford_standins/__init__.py
+++ b/waxwingford_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the platform and backend servers; the product never imports them."""
+"""Test doubles of the platform and backend servers; not imported by the product."""
--- a/waxwingford_standins/audit.py
+++ b/waxwingford_standins/audit.py
@@ -1,4 +1,4 @@
-"""Audit of a run: what callers and the log say against what servers ran."""
+"""Checks responses and the log of a run against what the servers executed."""
 
 import collections
 import itertools
@@ -9,17 +9,17 @@
 from waxwingford_standins.load import NOT_RUN_OUTCOMES, Call, CallOutcome
 from waxwingford_standins.server_tasks import AttemptRun
 
-#: A leaving server gets nothing new after this time, in milliseconds.
+#: Time for a server's leaving state to reach all daemons, in milliseconds.
 _LEAVING_GRACE_MS = 3000
 _STILL_RUNNING = float('inf')
 _RUNNING = 'running'
 
 
 class Finding(NamedTuple):
-    """Something that must never happen, and did.
+    """A violated invariant.
 
-    :ivar check: name of the broken check.
-    :ivar detail: ids and figures.
+    :ivar check: name of the check that failed.
+    :ivar detail: ids, counts and times.
     """
 
     check: str
@@ -27,12 +27,12 @@
 
 
 class FinishedJob(NamedTuple):
-    """What a stream says of one finished job.
+    """Task counts of a finished job, as recorded in the log.
 
-    :ivar job_id: which job.
-    :ivar done: tasks done.
-    :ivar failed: tasks given up.
-    :ivar cancelled: tasks cancelled.
+    :ivar job_id: id of the job.
+    :ivar done: number of completed tasks.
+    :ivar failed: number of tasks that failed permanently.
+    :ivar cancelled: number of cancelled tasks.
     """
 
     job_id: str
@@ -44,11 +44,11 @@
 def audit_calls(
     calls: Iterable[Call], servers: Sequence[ServerAudit]
 ) -> list[Finding]:
-    """Check requests.
+    """Check that responses agree with what the servers executed.
 
-    :param calls: ended calls, as their callers saw them.
-    :param servers: what the servers ran.
-    :returns: findings, none if all is well.
+    :param calls: completed calls, as observed by their callers.
+    :param servers: audits of all servers.
+    :returns: violated invariants.
     """
     runs_by_key: collections.Counter[str] = collections.Counter()
     runs_by_token: collections.Counter[str] = collections.Counter()
@@ -67,10 +67,10 @@
 
 
 def audit_attempts(servers: Sequence[ServerAudit]) -> list[Finding]:
-    """Check batch attempts.
+    """Check that the attempts of a task neither overlap nor lose progress.
 
-    :param servers: what the servers ran.
-    :returns: findings, none if all is well.
+    :param servers: audits of all servers.
+    :returns: violated invariants.
     """
     runs_by_task: dict[str, list[AttemptRun]] = collections.defaultdict(list)
     for run in itertools.chain.from_iterable(
@@ -86,10 +86,10 @@
 
 
 def audit_leaving(servers: Iterable[ServerAudit]) -> list[Finding]:
-    """Check that leaving servers got nothing new.
+    """Check that leaving servers received no new work.
 
-    :param servers: what the servers ran.
-    :returns: findings, none if all is well.
+    :param servers: audits of all servers.
+    :returns: violated invariants.
     """
     return [
         Finding(
@@ -108,13 +108,13 @@
     finished: Iterable[FinishedJob],
     servers: Sequence[ServerAudit],
 ) -> list[Finding]:
-    """Check jobs.
+    """Check that no accepted job is lost and no task completed without a run.
 
-    :param acknowledged: ids of jobs whose submission was accepted.
-    :param in_log: ids of jobs accepted in the streams.
-    :param finished: finished jobs of the streams.
-    :param servers: what the servers ran.
-    :returns: findings, none if all is well.
+    :param acknowledged: ids of jobs whose submission was acknowledged.
+    :param in_log: ids of jobs recorded as accepted in the log.
+    :param finished: finished jobs recorded in the log.
+    :param servers: audits of all servers.
+    :returns: violated invariants.
     """
     lost = [
         Finding('job_lost', f'{job_id} was accepted but is not in the log')
@@ -155,9 +155,9 @@
 def _audit_task(task_id: str, runs: list[AttemptRun]) -> Iterator[Finding]:
     """Check all attempts of one task.
 
-    :param task_id: which task.
-    :param runs: its attempts in order of their starts.
-    :yields: findings.
+    :param task_id: id of the task.
+    :param runs: its attempts, ordered by start time.
+    :yields: violated invariants.
     """
     yield from _find_duplicates(task_id, runs)
     checkpoint = ''
--- a/waxwingford_standins/backend_host.py
+++ b/waxwingford_standins/backend_host.py
@@ -1,4 +1,4 @@
-"""Serves one stand-in backend server over HTTP and carries out its faults."""
+"""HTTP front end of a simulated backend server, with fault injection."""
 
 import asyncio
 import contextlib
@@ -29,19 +29,21 @@
 
 
 class ServerFault(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of ``POST /fault``; fields left out stay as they are.
-
-    :ivar server_id: which server; empty for all that match.
-    :ivar failure_domain: which failure domain; empty for all.
-    :ivar frozen: whether it gives no answers.
-    :ivar fails_starts: whether each start fails at once.
-    :ivar leave: begin to leave.
-    :ivar die: lose everything.
-    :ivar down_ms: after dying, stay away for so long, in milliseconds.
-    :ivar usage_lag_ms: age at which usage is reported, in milliseconds.
-    :ivar lost_control_share: share of control answers lost after the effect.
-    :ivar cut_share: share of service answers broken off half way.
-    :ivar foreign_share: share of service answers with another request's id.
+    """Body of ``POST /fault``; omitted fields keep their values.
+
+    :ivar server_id: id of the server; empty for any server.
+    :ivar failure_domain: name of the failure domain; empty for any.
+    :ivar frozen: whether responses are withheld.
+    :ivar fails_starts: whether each started task fails immediately.
+    :ivar leave: whether to enter the leaving state.
+    :ivar die: whether to crash, losing all state, and restart.
+    :ivar down_ms: time between crash and restart, in milliseconds.
+    :ivar usage_lag_ms: delay of usage reports, in milliseconds.
+    :ivar lost_control_share: fraction of control responses dropped after the
+        request was executed.
+    :ivar cut_share: fraction of service responses truncated half way.
+    :ivar foreign_share: fraction of service responses that carry the id of
+        another request.
     """
 
     server_id: str = ''
@@ -65,17 +67,17 @@
 
 
 class ServerHost:
-    """One backend server on its own port.
+    """HTTP server of one simulated backend server.
 
-    :ivar core: decisions of the server.
-    :ivar down: whether it is dead at present.
+    :ivar core: state machine of the server.
+    :ivar down: whether the server is crashed.
     """
 
     def __init__(self, core: BackendServerCore, clock: Clock) -> None:
-        """Prepare; nothing listens yet.
+        """Create the server without listening.
 
-        :param core: decisions of the server.
-        :param clock: source of time.
+        :param core: state machine of the server.
+        :param clock: monotonic clock.
         """
         self.core = core
         self.down = False
@@ -87,7 +89,7 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         app = web.Application(client_max_size=_MAX_BODY_BYTES)
         app.add_routes(
             (
@@ -101,7 +103,7 @@
         self.down = False
 
     async def stop(self) -> None:
-        """Break all connections off and stop listening."""
+        """Abort all connections and stop listening."""
         self.down = True
         self._unfrozen.set()
         if self._runner is not None:
@@ -112,10 +114,10 @@
             self._runner = None
 
     async def control(self, request: web.Request) -> web.StreamResponse:
-        """Carry out one control exchange.
+        """Handle a control request.
 
-        :param request: body is a control request.
-        :returns: granted or denied, as JSON.
+        :param request: HTTP request with an encoded control request as body.
+        :returns: encoded control reply; 400 if the body is malformed.
         """
         body = await request.read()
         await self._unfrozen.wait()
@@ -131,10 +133,10 @@
         )
 
     async def serve(self, request: web.Request) -> web.StreamResponse:
-        """Run one service request.
+        """Handle a service request.
 
-        :param request: path names service and path.
-        :returns: the service's answer, or 503 if it was not run.
+        :param request: HTTP request whose URL names the service and the path.
+        :returns: response of the service, or 503 if it was not executed.
         """
         call = await _read_call(request)
         if not self._within_connection_limit(request):
@@ -151,9 +153,9 @@
         return await self._respond(request, call)
 
     async def apply(self, fault: ServerFault) -> None:
-        """Set switches and carry out one-time faults.
+        """Apply persistent and one-time faults.
 
-        :param fault: what to do.
+        :param fault: faults to inject.
         """
         now_ms = self._clock.monotonic_ms()
         if fault.frozen is not None:
@@ -194,10 +196,10 @@
         return list(self._runner.server.connections)
 
     def _within_connection_limit(self, request: web.Request) -> bool:
-        """Tell whether a request came over one of the allowed connections.
+        """Check whether a connection is within the limit of the server.
 
-        :param request: the request.
-        :returns: false if its connection is above the server's number.
+        :param request: request received on the connection.
+        :returns: false if the connection exceeds the limit.
         """
         allowed = self._connections()[: self.core.vm.connections]
         return request.protocol in allowed
@@ -237,19 +239,19 @@
 async def _respond_truncated(
     request: web.Request, headers: dict[str, str], body: bytes
 ) -> web.StreamResponse:
-    """Break an answer off half way.
+    """Send half of a response and close the connection.
 
-    :param request: to answer.
-    :param headers: of the whole answer.
-    :param body: of the whole answer.
-    :returns: answer whose connection is gone.
+    :param request: request to respond to.
+    :param headers: headers of the complete response.
+    :param body: body of the complete response.
+    :returns: response whose connection is closed.
     """
     response = web.StreamResponse(headers=headers)
     response.content_length = len(body)
     await response.prepare(request)
     await response.write(body[: len(body) // _TRUNCATION_DIVISOR])
     if request.transport is not None:
-        # Let the half go out before the connection is closed.
+        # close() flushes the written half first; abort() would discard it.
         request.transport.close()
     with contextlib.suppress(ConnectionError):
         await response.write_eof()
--- a/waxwingford_standins/backend_main.py
+++ b/waxwingford_standins/backend_main.py
@@ -1,6 +1,6 @@
-"""Process that stands in for many backend servers, each on its own port.
+"""Process that simulates backend servers, each on its own port.
 
-An administration port of its own carries ``POST /fault`` and ``GET /audit``.
+The admin port serves ``POST /fault`` and ``GET /audit``.
 """
 
 import argparse
@@ -26,11 +26,11 @@
 
 
 class HostedServer(msgspec.Struct):
-    """One server of the process.
+    """Configuration of one simulated server.
 
-    :ivar vm: its description, with the port to listen on.
-    :ivar model: behaviour of its service.
-    :ivar seed: of its latencies.
+    :ivar vm: description of the VM, including the port to listen on.
+    :ivar model: latency model of the service.
+    :ivar seed: seed of the latencies.
     """
 
     vm: Vm
@@ -41,10 +41,10 @@
 class BackendConfig(msgspec.Struct):
     """Configuration file of the process, in JSON.
 
-    :ivar admin_port: TCP port for faults and audit.
-    :ivar directory_url_by_domain: where the heartbeats of a failure domain's
-        servers go.
-    :ivar servers: servers to run.
+    :ivar admin_port: TCP port for faults and audits.
+    :ivar directory_url_by_domain: base URL to which the servers of each
+        failure domain send heartbeats.
+    :ivar servers: servers to simulate.
     """
 
     admin_port: int
@@ -53,22 +53,22 @@
 
 
 class BackendProcess:
-    """All servers of the process and their administration."""
+    """Simulated servers of the process and their admin interface."""
 
     def __init__(self, hosts: list[ServerHost], clock: Clock) -> None:
-        """Bind the servers.
+        """Create the process without servers listening.
 
-        :param hosts: one for each server.
-        :param clock: source of time.
+        :param hosts: HTTP servers, one per backend server.
+        :param clock: monotonic clock.
         """
         self._hosts = hosts
         self._clock = clock
         self._fault_tasks: set[asyncio.Task[None]] = set()
 
     def admin_application(self) -> web.Application:
-        """Lay out the administration's routes.
+        """Create the application of the admin port.
 
-        :returns: the application.
+        :returns: web application.
         """
         app = web.Application()
         app.add_routes(
@@ -80,10 +80,10 @@
         return app
 
     async def set_fault(self, request: web.Request) -> web.StreamResponse:
-        """Set switches of some servers.
+        """Inject a fault into all matching servers.
 
-        :param request: body is a :class:`ServerFault`.
-        :returns: empty; 404 if no server matches.
+        :param request: HTTP request with a :class:`ServerFault` as body.
+        :returns: empty response; 404 if no server matches.
         """
         try:
             fault = msgspec.json.decode(await request.read(), type=ServerFault)
@@ -98,9 +98,9 @@
         return web.Response(status=200 if matching else 404)
 
     async def audit(self, _: web.Request) -> web.StreamResponse:
-        """Tell what ran on every server.
+        """Report what every server executed.
 
-        :returns: JSON.
+        :returns: JSON array of server audits.
         """
         now_ms = self._clock.monotonic_ms()
         audits = [host.core.audit(now_ms) for host in self._hosts]
@@ -109,10 +109,11 @@
         )
 
     async def send_heartbeats(self, domain: str, directory_url: str) -> None:
-        """Register the servers of a failure domain, except those down.
+        """Send heartbeats of the running servers of a failure domain.
 
         :param domain: name of the failure domain.
-        :param directory_url: base URL of the list, as seen from there.
+        :param directory_url: base URL of the VM list, as reached from the
+            failure domain.
         """
         hosts = [
             host
@@ -146,7 +147,7 @@
 
 
 def main() -> None:
-    """Run the process."""
+    """Run the process until it is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--config', type=pathlib.Path, required=True)
     options = parser.parse_args()
--- a/waxwingford_standins/backend_server.py
+++ b/waxwingford_standins/backend_server.py
@@ -1,7 +1,7 @@
-"""Core of a stand-in backend server: pure, time is passed in.
+"""State machine of a simulated backend server, without I/O or clock.
 
 Arbitrates the control lease, runs batch attempts under task leases, serves
-requests in bounded slots and reports usage with a lag.
+requests in a bounded number of slots and reports usage with a delay.
 """
 
 import collections
@@ -34,10 +34,10 @@
 
 
 class UsageModel(NamedTuple):
-    """How usage is sampled.
+    """Sampling parameters of resource usage.
 
-    :ivar window_ms: length of a window, in milliseconds.
-    :ivar lag_ms: age at which a sample is first reported, in milliseconds.
+    :ivar window_ms: length of a sampling window, in milliseconds.
+    :ivar lag_ms: delay before a sample is reported, in milliseconds.
     """
 
     window_ms: int = 1000
@@ -45,16 +45,17 @@
 
 
 class ServerAudit(NamedTuple):
-    """What a server ran, over all its boots.
+    """Record of what a server executed, across restarts.
 
-    :ivar server_id: its name.
-    :ivar runs_by_key: how often each idempotency key ran.
-    :ivar runs_by_token: how often each request ran.
-    :ivar attempts: every attempt that ever ran here.
-    :ivar most_at_once: largest number of requests that ran together.
+    :ivar server_id: id of the server.
+    :ivar runs_by_key: number of executions by idempotency key.
+    :ivar runs_by_token: number of executions by request token.
+    :ivar attempts: all batch attempts.
+    :ivar most_at_once: largest number of concurrent requests.
     :ivar refused: requests refused because all slots were busy.
-    :ivar newest_work_after_leaving_ms: latest start of a request or task
-        after the server began to leave, in milliseconds; -1 for none.
+    :ivar newest_work_after_leaving_ms: time from entering the leaving state
+        to the latest start of a request or task, in milliseconds; -1 if
+        there was none.
     """
 
     server_id: str
@@ -67,12 +68,12 @@
 
 
 class BackendServerCore:
-    """One backend server.
+    """State machine of one backend server.
 
-    :ivar vm: its description, with its present state.
-    :ivar boot_id: changes with each boot.
-    :ivar attempts: batch attempts here.
-    :ivar usage: how usage is sampled.
+    :ivar vm: description and current state of the VM.
+    :ivar boot_id: unique id of the current boot.
+    :ivar attempts: batch attempts on this server.
+    :ivar usage: sampling parameters of resource usage.
     """
 
     def __init__(
@@ -82,12 +83,13 @@
         seed: int = 0,
         first_epoch: int = 0,
     ) -> None:
-        """Boot.
+        """Create a freshly booted server.
 
-        :param vm: its description.
-        :param model: behaviour of its service.
-        :param seed: of the service's latencies.
-        :param first_epoch: above every epoch of an earlier process.
+        :param vm: description of the VM.
+        :param model: latency model of the service.
+        :param seed: seed of the latencies.
+        :param first_epoch: initial lease epoch; must exceed every epoch
+            granted by an earlier process for this VM.
         """
         self.vm = vm
         self.usage = UsageModel()
@@ -108,11 +110,11 @@
     def control(
         self, request: ControlRequest, now_ms: int
     ) -> ControlGranted | ControlDenied:
-        """Carry out one grouped exchange, or nothing of it.
+        """Execute all commands of a control request, or none of them.
 
-        :param request: the exchange.
-        :param now_ms: monotonic time.
-        :returns: tagged outcome.
+        :param request: control request.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: results of the commands, or the lease that denied them.
         """
         self.advance(now_ms)
         if not self._lease.grant(request, now_ms):
@@ -148,9 +150,9 @@
         )
 
     def advance(self, now_ms: int) -> None:
-        """Let attempts run and close usage windows.
+        """Advance the attempts and the usage window to the given time.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.attempts.advance(now_ms)
         if self._window_start_ms < 0:
@@ -162,11 +164,11 @@
     def begin_call(
         self, call: ServiceCall, now_ms: int
     ) -> CallStarted | CallRefused:
-        """Run a service request if a slot is free.
+        """Start a service request if a slot is free.
 
-        :param call: the request.
-        :param now_ms: monotonic time.
-        :returns: whether it runs, and for how long.
+        :param call: service request.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: handle and duration, or the reason of the refusal.
         """
         if call.service != self.vm.service:
             return CallRefused(f'no service {call.service!r} here')
@@ -181,33 +183,33 @@
         return outcome
 
     def end_call(self, number: int, now_ms: int) -> None:
-        """Free the slot of a request.
+        """Release the slot of a service request.
 
-        :param number: handle from its start.
-        :param now_ms: monotonic time.
+        :param number: handle returned by :meth:`begin_call`.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self._service.end(number, now_ms)
 
     def answer(self, call: ServiceCall) -> bytes:
-        """Write the answer to a request.
+        """Build the response body of a service request.
 
-        :param call: the request.
-        :returns: body.
+        :param call: service request.
+        :returns: response body.
         """
         return self._service.answer(call, self.vm.server_id)
 
     def leave(self, now_ms: int) -> None:
-        """Begin to leave: starts are refused from now on.
+        """Enter the leaving state, in which task starts are refused.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.vm = self.vm._replace(state=VmState.leaving)
         self._leaving_since_ms = now_ms
 
     def die(self, now_ms: int) -> None:
-        """Lose everything and boot again.
+        """Crash, losing all state except the audit, and boot again.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.advance(now_ms)
         self.attempts.drop_all(now_ms, self.boot_id)
@@ -219,10 +221,10 @@
         self.boot_id = self._next_boot_id()
 
     def audit(self, now_ms: int) -> ServerAudit:
-        """Tell what ran here, over all boots.
+        """Report what the server executed, across restarts.
 
-        :param now_ms: monotonic time.
-        :returns: counts and attempts.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: execution counts and attempts.
         """
         self.advance(now_ms)
         return ServerAudit(
--- a/waxwingford_standins/configs.py
+++ b/waxwingford_standins/configs.py
@@ -1,4 +1,4 @@
-"""Configuration files of one local run: daemons, stand-ins, keys."""
+"""Writes the configuration files and keys of a local run."""
 
 import json
 import pathlib
@@ -29,7 +29,7 @@
 from waxwingford_standins.run_certificates import make_certificates
 from waxwingford_standins.server_service import ServiceModel
 
-#: Shorter than in production, so that a run of seconds sees takeovers.
+#: Shorter than in production, so that leases expire within a short run.
 LOCAL_LEASES = Leases(
     control_ms=3000, renew_every_ms=500, task_ms=6000, margin_ms=300
 )
@@ -37,11 +37,12 @@
 
 
 class RunOptions(NamedTuple):
-    """What may differ between runs of the same deployment.
+    """Options of a run that are independent of its deployment.
 
-    :ivar leases: lengths of the leases, for all daemons.
-    :ivar tls: whether daemons have certificates and speak only TLS.
-    :ivar untrusted_daemons: daemons with certificates of another authority.
+    :ivar leases: lease durations of all daemons.
+    :ivar tls: whether daemons have certificates and accept only TLS.
+    :ivar untrusted_daemons: ids of daemons whose certificates are issued by
+        a different authority.
     """
 
     leases: Leases = LOCAL_LEASES
@@ -50,7 +51,7 @@
 
     @property
     def scheme(self) -> str:
-        """Scheme of the daemons' URLs.
+        """URL scheme of the daemons.
 
         :returns: ``http`` or ``https``.
         """
@@ -58,12 +59,12 @@
 
 
 class RunFiles(NamedTuple):
-    """Files that the processes of a run read.
+    """Paths of the configuration files of a run.
 
-    :ivar backends: configuration of the backend servers' process.
-    :ivar relay: configuration of the relay.
-    :ivar settings_by_daemon: settings file of each daemon.
-    :ivar authorities: certificates of all authorities; none without TLS.
+    :ivar backends: configuration of the backend server process.
+    :ivar relay: configuration of the relay process.
+    :ivar settings_by_daemon: settings file by daemon id.
+    :ivar authorities: certificates of all authorities; empty without TLS.
     """
 
     backends: pathlib.Path
@@ -73,9 +74,9 @@
 
 
 def generate_keys(members: Iterable[str]) -> dict[str, Ed25519PrivateKey]:
-    """Make a key for each member; a local run has nothing to protect.
+    """Generate a signing key for each member.
 
-    :param members: their names.
+    :param members: names of the members.
     :returns: private keys by member.
     """
     return {member: Ed25519PrivateKey.generate() for member in members}
@@ -90,12 +91,12 @@
 ) -> RunFiles:
     """Write all configuration files.
 
-    :param directory: where to; made if it is missing.
-    :param deployment: what runs.
-    :param layout: where it runs.
-    :param keys: private keys by member; only public halves are written.
-    :param options: of the run.
-    :returns: the files.
+    :param directory: target directory; created if missing.
+    :param deployment: deployment to configure.
+    :param layout: addresses of the run.
+    :param keys: private keys by member; only the public keys are written.
+    :param options: options of the run.
+    :returns: paths of the files.
     """
     directory.mkdir(parents=True, exist_ok=True)
     backends = directory / 'backends.json'
@@ -133,10 +134,10 @@
 
 
 def format_toml(document: Mapping[str, Any]) -> str:
-    """Write a document of tables, lists of tables and scalars as TOML.
+    """Format a document of tables, arrays of tables and scalars as TOML.
 
-    :param document: nested at most two tables deep.
-    :returns: text.
+    :param document: mapping with at most two levels of nested tables.
+    :returns: TOML text.
     """
     return '\n'.join(_toml_lines(document, ''))
 
--- a/waxwingford_standins/deployment.py
+++ b/waxwingford_standins/deployment.py
@@ -1,4 +1,4 @@
-"""Model of ``deployment.toml``: what the launcher starts and loads."""
+"""Schema of ``deployment.toml``, the input of the launcher."""
 
 import pathlib
 from typing import Annotated
@@ -19,11 +19,11 @@
 
 
 class DomainPlan(_StrictModel):
-    """A failure domain.
+    """Daemons and servers of a failure domain.
 
-    :ivar name: its name.
-    :ivar daemons: ids of the daemons there.
-    :ivar racks: servers in each of its racks.
+    :ivar name: name of the failure domain.
+    :ivar daemons: ids of its daemons.
+    :ivar racks: number of servers in each rack.
     """
 
     name: Name
@@ -32,13 +32,13 @@
 
 
 class ServerPlan(_StrictModel):
-    """Size of every backend server.
+    """Capacity of every backend server.
 
-    :ivar processors_milli: thousandths of a core.
-    :ivar memory_mb: mebibytes.
-    :ivar accelerators: whole devices.
-    :ivar slots: service requests at once at most.
-    :ivar connections: TCP connections at most.
+    :ivar processors_milli: CPU capacity, in thousandths of a core.
+    :ivar memory_mb: memory, in mebibytes.
+    :ivar accelerators: number of accelerator devices.
+    :ivar slots: maximum number of concurrent service requests.
+    :ivar connections: maximum number of TCP connections.
     """
 
     processors_milli: Amount
@@ -48,7 +48,7 @@
     connections: Annotated[int, Field(ge=1, le=65_536)]
 
     def resources(self) -> Resources:
-        """Give the size as a vector.
+        """Convert the capacity to a resource vector.
 
         :returns: resources of one server.
         """
@@ -58,14 +58,15 @@
 
 
 class ServicePlan(_StrictModel):
-    """Behaviour of the latency-critical service.
-
-    :ivar name: its name.
-    :ivar median_ms: median service time without interference, milliseconds.
-    :ivar sigma: spread of its logarithm.
-    :ivar answer_bytes: padding of each answer.
-    :ivar slowdown_by_kind: added share of time for each batch task beside
-        it, at full load, by batch kind.
+    """Latency model of the latency-critical service.
+
+    :ivar name: name of the service.
+    :ivar median_ms: median service time without interference, in
+        milliseconds.
+    :ivar sigma: standard deviation of the logarithm of the service time.
+    :ivar answer_bytes: padding of each response, in bytes.
+    :ivar slowdown_by_kind: relative increase of the service time at full
+        load for each colocated batch task, by batch kind.
     """
 
     name: Name
@@ -76,10 +77,11 @@
 
 
 class NetworkPlan(_StrictModel):
-    """Latencies, one way.
+    """One-way network latencies.
 
-    :ivar between_domains_ms: between failure domains, in milliseconds.
-    :ivar client_ms: between callers and daemons, in milliseconds.
+    :ivar between_domains_ms: latency between failure domains, in
+        milliseconds.
+    :ivar client_ms: latency between callers and daemons, in milliseconds.
     """
 
     between_domains_ms: LatencyMs
@@ -87,16 +89,16 @@
 
 
 class CallerPlan(_StrictModel):
-    """Open-loop callers of one kind.
+    """Open-loop request load of one kind.
 
     :ivar name: label in the report.
-    :ivar member: organisation that calls.
-    :ivar path: path below the service.
+    :ivar member: member that sends the requests.
+    :ivar path: request path relative to the service.
     :ivar urgency: ``urgent``, ``normal`` or ``background``.
-    :ivar idempotent: whether requests may run more than once.
-    :ivar requests_per_s: rate over all daemons.
+    :ivar idempotent: whether requests may be executed more than once.
+    :ivar requests_per_s: arrival rate over all daemons, per second.
     :ivar deadline_ms: deadline of each request, in milliseconds.
-    :ivar attempts: tries of a caller, counting the first.
+    :ivar attempts: maximum number of attempts, including the first.
     """
 
     name: Name
@@ -110,27 +112,32 @@
 
 
 class JobPlan(_StrictModel):
-    """Jobs of one kind in the night's batch.
+    """Batch jobs of one kind.
 
     :ivar name: prefix of the job names.
-    :ivar member: owner.
+    :ivar member: member that owns the jobs.
     :ivar team: team of the owner.
     :ivar kind: batch kind.
-    :ivar jobs: how many jobs.
-    :ivar tasks: tasks in each.
-    :ivar processors_milli: declared size of a task.
-    :ivar memory_mb: declared size of a task.
-    :ivar accelerators: declared size of a task.
+    :ivar jobs: number of jobs.
+    :ivar tasks: number of tasks per job.
+    :ivar processors_milli: requested CPU per task, in thousandths of a core.
+    :ivar memory_mb: requested memory per task, in mebibytes.
+    :ivar accelerators: requested accelerators per task.
     :ivar run_ms: declared run time of a task, in milliseconds.
-    :ivar real_run_ms: real run time; 0 if as declared.
-    :ivar real_processors_milli: real use; 0 if as declared.
-    :ivar real_memory_mb: real use; 0 if as declared.
-    :ivar priority: 0 to 100.
-    :ivar finish_within_ms: deadline from submission; 0 for none.
+    :ivar real_run_ms: actual run time, in milliseconds; 0 if as declared.
+    :ivar real_processors_milli: actual CPU usage, in thousandths of a core;
+        0 if as requested.
+    :ivar real_memory_mb: actual memory usage, in mebibytes; 0 if as
+        requested.
+    :ivar priority: priority from 0 to 100.
+    :ivar finish_within_ms: deadline relative to submission, in milliseconds;
+        0 for none.
     :ivar lost_after_ms: see :class:`waxwingford.records.JobSpec`.
-    :ivar cancel_after_ms: cancelled so long after submission; 0 for never.
-    :ivar submit_at_ms: when in the run it is submitted, in milliseconds.
-    :ivar never_fits: whether no server is large enough.
+    :ivar cancel_after_ms: time from submission to cancellation, in
+        milliseconds; 0 for never.
+    :ivar submit_at_ms: time of submission from the start of the run, in
+        milliseconds.
+    :ivar never_fits: whether the tasks exceed the capacity of every server.
     """
 
     name: Name
@@ -155,17 +162,17 @@
 
 
 class Deployment(_StrictModel):
-    """Everything that the launcher starts.
+    """Daemons, servers and load of a local run.
 
-    :ivar name: its name.
-    :ivar region: region of all its failure domains.
-    :ivar seed: of all random choices of stand-ins and load.
-    :ivar failure_domains: domains with daemons and racks.
-    :ivar servers: size of every backend server.
+    :ivar name: name of the deployment.
+    :ivar region: region of all failure domains.
+    :ivar seed: seed of the random choices of stand-ins and load.
+    :ivar failure_domains: failure domains with their daemons and racks.
+    :ivar servers: capacity of every backend server.
     :ivar service: the latency-critical service.
-    :ivar network: latencies.
-    :ivar callers: load of requests.
-    :ivar jobs: load of batch work.
+    :ivar network: network latencies.
+    :ivar callers: request load.
+    :ivar jobs: batch load.
     """
 
     name: Name
@@ -182,9 +189,9 @@
 def load_deployment(
     path: pathlib.Path,
 ) -> Deployment | tuple[Problem, ...]:
-    """Read and check a deployment.
+    """Read and validate a deployment.
 
-    :param path: ``deployment.toml``.
-    :returns: the deployment, or everything that is wrong with the file.
+    :param path: path of ``deployment.toml``.
+    :returns: the deployment, or all validation errors.
     """
     return load_toml(path, Deployment)
--- a/waxwingford_standins/latencies.py
+++ b/waxwingford_standins/latencies.py
@@ -1,4 +1,4 @@
-"""Latencies of a run by caller and outcome."""
+"""Latency percentiles of a run by caller and outcome."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -14,14 +14,14 @@
 
 
 class LatencyRow(NamedTuple):
-    """Latencies of one kind of caller and outcome, in milliseconds.
-
-    :ivar caller: name of the plan.
-    :ivar outcome: how the calls ended.
-    :ivar count: how many.
-    :ivar p50_ms: median.
-    :ivar p99_ms: 99th percentile.
-    :ivar p999_ms: 99.9th percentile.
+    """Latency percentiles of one caller and outcome.
+
+    :ivar caller: name of the caller plan.
+    :ivar outcome: outcome of the calls.
+    :ivar count: number of calls.
+    :ivar p50_ms: median, in milliseconds.
+    :ivar p99_ms: 99th percentile, in milliseconds.
+    :ivar p999_ms: 99.9th percentile, in milliseconds.
     """
 
     caller: str
@@ -33,10 +33,10 @@
 
 
 def latency_rows(calls: Iterable[Call]) -> list[LatencyRow]:
-    """Sum up latencies by caller and outcome.
+    """Compute latency percentiles by caller and outcome.
 
-    :param calls: ended calls.
-    :returns: rows in order of caller and outcome.
+    :param calls: completed calls.
+    :returns: rows sorted by caller and outcome.
     """
     histograms: dict[tuple[str, str], HdrHistogram] = {}
     for call in calls:
--- a/waxwingford_standins/launcher.py
+++ b/waxwingford_standins/launcher.py
@@ -1,7 +1,7 @@
-"""Starts a whole deployment on this machine, loads it and reports.
+"""Runs a deployment on this machine under load and writes a report.
 
-Stops everything that it started, by process id, also after Ctrl-C, SIGTERM
-or an error.
+All processes are stopped at exit, including after Ctrl-C, SIGTERM or an
+error.
 """
 
 import argparse
@@ -24,7 +24,7 @@
 
 
 def main() -> None:
-    """Run the launcher."""
+    """Run the launcher from the command line."""
     options = _arguments()
     source = options.deployments / options.deployment
     deployment = load_deployment(source / 'deployment.toml')
@@ -43,11 +43,11 @@
     options: argparse.Namespace,
     log_progress: Callable[[str], None],
 ) -> int:
-    """Run until the end or a signal, and stop everything in any case.
+    """Run the deployment until it completes or a signal arrives.
 
-    :param local_run: what to start.
-    :param options: command line.
-    :param log_progress: takes progress lines.
+    :param local_run: run to start; always stopped on return.
+    :param options: parsed command line.
+    :param log_progress: callback that receives progress messages.
     :returns: exit code.
     """
     load_task = asyncio.ensure_future(
@@ -64,7 +64,7 @@
     finally:
         killed = await local_run.stop()
         log_progress(
-            f'stopped; killed after the cap: {", ".join(killed) or "none"}'
+            f'stopped; killed after the stop timeout: {", ".join(killed) or "none"}'
         )
 
 
@@ -75,12 +75,12 @@
 ) -> int:
     started = await local_run.start()
     if isinstance(started, StartFailed):
-        log_progress(f'not started: {started.reason}')
+        log_progress(f'deployment failed to start: {started.reason}')
         return _EXIT_NOT_STARTED
-    log_progress(f'all ready; load of {options.seconds} s begins')
+    log_progress(f'all ready; starting load for {options.seconds} s')
     trial = LoadTest(local_run)
     await trial.load(options.seconds)
-    log_progress(f'load ended after {len(trial.callers.calls)} requests')
+    log_progress(f'load finished after {len(trial.callers.calls)} requests')
     report = await trial.report(options.seconds)
     sys.stdout.write(await write_results(local_run, report, options.output))
     if options.keep:
--- a/waxwingford_standins/layout.py
+++ b/waxwingford_standins/layout.py
@@ -1,4 +1,4 @@
-"""Ports and addresses of one local run, chosen at its start."""
+"""Allocates the ports and addresses of a local run."""
 
 import itertools
 import random
@@ -12,20 +12,20 @@
 
 HOST = '127.0.0.1'
 PLATFORM = 'platform'
-#: Below the range from which the system takes ports of outgoing connections:
-#: a port chosen there could be taken before its process listens on it.
+#: Below the ephemeral port range, so that no outgoing connection takes an
+#: allocated port before its process listens on it.
 _FIRST_PORT = 12_000
 _LAST_PORT = 31_000
 
 
 class DaemonPlace(NamedTuple):
-    """Where one daemon runs.
+    """Address of a daemon.
 
-    :ivar daemon_id: its name.
-    :ivar failure_domain: its failure domain.
-    :ivar http_port: for callers and operators.
-    :ivar rpc_port: for peers.
-    :ivar scheme: ``http``, or ``https`` for daemons with certificates.
+    :ivar daemon_id: id of the daemon.
+    :ivar failure_domain: failure domain of the daemon.
+    :ivar http_port: port for callers and operators.
+    :ivar rpc_port: port for peers.
+    :ivar scheme: URL scheme, ``https`` if the daemons have certificates.
     """
 
     daemon_id: str
@@ -38,20 +38,20 @@
     def url(self) -> str:
         """Base URL for callers.
 
-        :returns: the URL.
+        :returns: URL of the HTTP port.
         """
         return f'{self.scheme}://{HOST}:{self.http_port}'
 
 
 class Layout(NamedTuple):
-    """All addresses of a run.
+    """Addresses of all processes of a run.
 
-    :ivar platform_port: of the platform's log and list.
-    :ivar backend_admin_port: of the backend servers' administration.
-    :ivar relay_admin_port: of the relay's administration.
+    :ivar platform_port: port of the platform's log and VM list.
+    :ivar backend_admin_port: admin port of the backend server process.
+    :ivar relay_admin_port: admin port of the relay.
     :ivar vms: all backend servers.
-    :ivar daemons: all daemons.
-    :ivar links: what the relay relays.
+    :ivar daemons: addresses of all daemons.
+    :ivar links: links of the relay.
     """
 
     platform_port: int
@@ -62,11 +62,11 @@
     links: tuple[Link, ...]
 
     def port_from(self, domain: str, target_port: int) -> int:
-        """Find the port by which a failure domain reaches another port.
+        """Find the port at which a failure domain reaches a target port.
 
-        :param domain: failure domain of the connecting side.
-        :param target_port: port of the listening side.
-        :returns: the relay's port, or the port itself within one domain.
+        :param domain: failure domain of the client.
+        :param target_port: port of the server.
+        :returns: port of the relay, or the target port if it is not relayed.
         """
         relayed = (
             link.listen_port
@@ -77,9 +77,9 @@
 
 
 def free_ports() -> Iterator[int]:
-    """Give ports of this machine on which nothing listens.
+    """Find unused TCP ports of this machine.
 
-    :yields: TCP ports, each once.
+    :yields: distinct ports that can be bound.
     """
     span = _LAST_PORT - _FIRST_PORT
     start = random.SystemRandom().randrange(span)
@@ -90,11 +90,11 @@
 
 
 def allocate_layout(deployment: Deployment, scheme: str = 'http') -> Layout:
-    """Choose all ports of a run.
+    """Allocate the ports of a run.
 
-    :param deployment: what to start.
-    :param scheme: of the daemons' URLs.
-    :returns: the addresses.
+    :param deployment: deployment to run.
+    :param scheme: URL scheme of the daemons.
+    :returns: addresses of all processes.
     """
     ports = free_ports()
     platform_port, backend_port, relay_port = itertools.islice(ports, 3)
--- a/waxwingford_standins/load.py
+++ b/waxwingford_standins/load.py
@@ -1,7 +1,8 @@
-"""Open-loop callers: they call at their rate, whatever the answers do.
+"""Open-loop load generator for service requests.
 
-A caller retries refused and unknown requests with the same key, honours
-Retry-After and checks that each answer belongs to its own request.
+Arrivals do not depend on responses.  Refused and unknown requests are retried
+with the same idempotency key after the requested delay, and each response is
+checked against the token of its request.
 """
 
 import asyncio
@@ -28,7 +29,7 @@
 
 
 class CallOutcome(enum.StrEnum):
-    """How one attempt or a whole call ended, as the caller sees it."""
+    """Outcome of an attempt or a call, as observed by the caller."""
 
     answered = 'answered'
     refused = 'refused'
@@ -39,7 +40,7 @@
     unreachable = 'unreachable'
 
 
-#: Outcomes that say that the attempt was certainly not run.
+#: Outcomes that guarantee that the request was not executed.
 NOT_RUN_OUTCOMES = frozenset((CallOutcome.refused, CallOutcome.unreachable))
 _FINAL_OUTCOMES = frozenset(
     (CallOutcome.answered, CallOutcome.rejected, CallOutcome.foreign)
@@ -47,12 +48,12 @@
 
 
 class AttemptResult(NamedTuple):
-    """One attempt of a call.
+    """Result of one attempt of a call.
 
-    :ivar outcome: how it ended.
-    :ivar retry_after_s: when to come back, in seconds.
-    :ivar reason: what the daemon gave as the reason.
-    :ivar daemon_id: daemon that it went to.
+    :ivar outcome: outcome of the attempt.
+    :ivar retry_after_s: delay before the next attempt, in seconds.
+    :ivar reason: reason given by the daemon, or type of the client error.
+    :ivar daemon_id: daemon that received the attempt.
     """
 
     outcome: CallOutcome
@@ -63,14 +64,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One caller's request, all attempts together.
-
-    :ivar caller: name of the plan.
-    :ivar token: unique; also the idempotency key if not idempotent.
-    :ivar idempotent: whether it may run more than once.
-    :ivar outcomes: of its attempts, in order.
-    :ivar latency_ms: from the first attempt to the end, in milliseconds.
-    :ivar daemon_id: daemon that the last attempt went to.
+    """A completed call with all its attempts.
+
+    :ivar caller: name of the caller plan.
+    :ivar token: unique token, also sent as idempotency key unless the call is
+        idempotent.
+    :ivar idempotent: whether the call may be executed more than once.
+    :ivar outcomes: outcomes of the attempts, in order.
+    :ivar latency_ms: time from the first attempt to completion, in
+        milliseconds.
+    :ivar daemon_id: daemon that received the last attempt.
     :ivar started_s: monotonic time of the first attempt, in seconds.
     """
 
@@ -84,7 +87,7 @@
 
     @property
     def outcome(self) -> CallOutcome:
-        """How the call ended.
+        """Final outcome of the call.
 
         :returns: outcome of the last attempt.
         """
@@ -96,10 +99,10 @@
 
 
 class Callers:
-    """All callers of a deployment.
+    """Load generator for all callers of a deployment.
 
-    :ivar calls: ended calls.
-    :ivar reasons: attempts that were not answered, by outcome and reason.
+    :ivar calls: completed calls.
+    :ivar reasons: number of unanswered attempts by outcome and reason.
     """
 
     def __init__(
@@ -109,12 +112,12 @@
         label: str = 'call',
         tls: ssl.SSLContext | bool = True,
     ) -> None:
-        """Prepare.
+        """Create the load generator without sending requests.
 
-        :param deployment: rates, deadlines, latency to clients.
+        :param deployment: callers and network latencies.
         :param layout: addresses of the daemons.
-        :param label: start of every token, unique in a run.
-        :param tls: how certificates are checked.
+        :param label: prefix of every token; unique among concurrent loads.
+        :param tls: TLS context, or whether to verify certificates.
         """
         self.calls: list[Call] = []
         self.reasons: collections.Counter[str] = collections.Counter()
@@ -126,9 +129,9 @@
         self._call_numbers = itertools.count(1)
 
     async def run(self, seconds: float) -> None:
-        """Call for some time, then wait for the calls that are out.
+        """Generate load, then wait until all calls have completed.
 
-        :param seconds: how long new calls begin.
+        :param seconds: duration in which calls are started, in seconds.
         """
         connector = aiohttp.TCPConnector(limit=0, ssl=self._tls)
         async with (
@@ -243,12 +246,12 @@
 def _classify_response(
     answer: aiohttp.ClientResponse, body: bytes, token: str
 ) -> AttemptResult:
-    """Tag an answer; an answered one must carry the request's own token.
+    """Classify a response.
 
-    :param answer: status and headers.
-    :param body: whole body.
-    :param token: of the request.
-    :returns: tagged outcome.
+    :param answer: status and headers of the response.
+    :param body: body of the response.
+    :param token: token of the request, which an answer must repeat.
+    :returns: result of the attempt.
     """
     tag = answer.headers.get('Waxwingford-Outcome', '')
     if tag == CallOutcome.answered:
--- a/waxwingford_standins/local_run.py
+++ b/waxwingford_standins/local_run.py
@@ -1,4 +1,4 @@
-"""One deployment on this machine: stand-ins, bundle and daemons."""
+"""Starts and stops the processes of a deployment on this machine."""
 
 import asyncio
 import dataclasses
@@ -42,28 +42,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Started:
-    """All processes run, all daemons are ready."""
+    """All processes are running and all daemons are ready."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartFailed:
-    """Something did not come up; what runs is still to be stopped.
+    """A process failed to start; the caller must stop the run.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable reason.
     """
 
     reason: str
 
 
 class LocalRun:
-    """Processes of a deployment and their switches.
+    """Processes of a deployment and their admin interfaces.
 
-    :ivar deployment: what runs.
-    :ivar layout: where.
+    :ivar deployment: deployment to run.
+    :ivar layout: addresses of the processes.
     :ivar key_by_member: private keys of the members.
-    :ivar processes: everything that was started.
+    :ivar processes: started processes.
     :ivar files: configuration files.
-    :ivar switches: faults and audits of the stand-ins.
+    :ivar switches: client of the stand-ins' admin ports.
     """
 
     def __init__(
@@ -74,12 +74,12 @@
         log_progress: Callable[[str], None],
         options: RunOptions = _DEFAULT_OPTIONS,
     ) -> None:
-        """Choose ports and write files; nothing runs yet.
+        """Allocate ports and write files without starting processes.
 
-        :param deployment: what to start.
+        :param deployment: deployment to run.
         :param bundle: first configuration bundle.
-        :param directory: for files and logs.
-        :param log_progress: takes progress lines.
+        :param directory: directory for configuration files and logs.
+        :param log_progress: callback that receives progress messages.
         :param options: leases and TLS.
         """
         self.deployment = deployment
@@ -98,9 +98,9 @@
         self.switches = Switches(self.layout, self.files.authorities)
 
     async def start(self) -> Started | StartFailed:
-        """Start everything and wait until all daemons are ready.
+        """Start all processes and wait until all daemons are ready.
 
-        :returns: tagged outcome.
+        :returns: success, or the reason of the failure.
         """
         steps: tuple[Callable[[], Awaitable[str]], ...] = (
             self.start_stand_ins,
@@ -116,7 +116,7 @@
     async def start_stand_ins(self) -> str:
         """Start platform, relay and backend servers.
 
-        :returns: reason of a failure, else empty.
+        :returns: reason of the failure; empty on success.
         """
         layout = self.layout
         await self.processes.start(
@@ -147,7 +147,7 @@
     async def publish_bundle(self) -> str:
         """Publish the first bundle.
 
-        :returns: reason of a failure, else empty.
+        :returns: reason of the failure; empty on success.
         """
         outcome = await self.publish(self._bundle)
         if isinstance(outcome, Published):
@@ -156,10 +156,10 @@
         return f'bundle was not published: {outcome}'
 
     async def publish(self, bundle: Bundle) -> PublishOutcome:
-        """Sign a bundle as every member and publish it.
+        """Sign a bundle with the keys of all members and publish it.
 
-        :param bundle: with its version and predecessor.
-        :returns: tagged outcome.
+        :param bundle: bundle with its version and predecessor.
+        :returns: outcome of the publication.
         """
         digest = digest_of(canonical_bytes(body_of(bundle)))
         signatures = {
@@ -177,9 +177,9 @@
             await log.close()
 
     async def start_daemons(self) -> str:
-        """Start all daemons and wait until each is ready.
+        """Start all daemons and wait until they are ready.
 
-        :returns: reason of a failure, else empty.
+        :returns: reason of the failure; empty on success.
         """
         for daemon in self.layout.daemons:
             await self.start_daemon(daemon.daemon_id)
@@ -189,14 +189,15 @@
     async def wait_ready(self) -> str:
         """Wait until every daemon is ready, up to a time limit.
 
-        :returns: what the first daemon that is not ready says, else empty.
+        :returns: status of the first daemon that is not ready; empty if all
+            are.
         """
         return await self._poll(self.unready, _READY_TIMEOUT_S)
 
     async def start_daemon(self, daemon_id: str) -> None:
-        """Start one daemon, for the first time or again.
+        """Start or restart a daemon.
 
-        :param daemon_id: which.
+        :param daemon_id: id of the daemon.
         """
         settings = self.files.settings_by_daemon[daemon_id]
         await self.processes.start(
@@ -204,18 +205,19 @@
         )
 
     async def stop(self) -> list[str]:
-        """Stop everything that was started.
+        """Stop all processes.
 
-        :returns: names of processes that had to be killed.
+        :returns: names of the processes that had to be killed.
         """
         killed = await self.processes.stop_all()
         await self.switches.close()
         return killed
 
     async def unready(self) -> str:
-        """Ask every daemon whether it is ready.
+        """Query the readiness of every daemon.
 
-        :returns: what the first daemon that is not ready says, else empty.
+        :returns: status of the first daemon that is not ready; empty if all
+            are.
         """
         for daemon in self.layout.daemons:
             status, text = await self.switches.get(f'{daemon.url}/readyz')
@@ -233,11 +235,12 @@
     async def _poll(
         self, missing: Callable[[], Awaitable[str]], timeout_s: float
     ) -> str:
-        """Poll a condition.
+        """Poll a condition until it holds, up to a time limit.
 
-        :param missing: gives what is missing, empty once nothing is.
-        :param timeout_s: give up after this time, in seconds.
-        :returns: what is missing at the end.
+        :param missing: returns the reason why the condition does not hold;
+            empty once it does.
+        :param timeout_s: time limit, in seconds.
+        :returns: last reason; empty if the condition holds.
         """
         loop = asyncio.get_running_loop()
         until_s = loop.time() + timeout_s
@@ -245,17 +248,17 @@
             reason = await missing()
             ended = self.processes.ended()
             if ended:
-                return f'{", ".join(ended)} (see its file in logs/)'
+                return f'{", ".join(ended)} (see the log files in logs/)'
             if not reason or loop.time() > until_s:
                 return reason
             await asyncio.sleep(_POLL_S)
 
 
 def open_bundle(path: pathlib.Path) -> Bundle | str:
-    """Read a bundle's source.
+    """Read the source of a bundle.
 
-    :param path: ``bundle.toml``.
-    :returns: the bundle, or what is wrong with it.
+    :param path: path of ``bundle.toml``.
+    :returns: the bundle, or all validation errors as text.
     """
     loaded = load_bundle(path)
     if isinstance(loaded, BundleInvalid):
--- a/waxwingford_standins/night.py
+++ b/waxwingford_standins/night.py
@@ -1,4 +1,4 @@
-"""The night's batch in small: submits, cancels and follows jobs."""
+"""Submits and cancels batch jobs and reads their state from the log."""
 
 import asyncio
 import dataclasses
@@ -23,13 +23,13 @@
 
 
 class SubmittedJob(NamedTuple):
-    """A job and what became of its submission.
+    """A job and the response to its submission.
 
-    :ivar job_id: which job.
-    :ivar plan: where it came from.
-    :ivar status: HTTP status of the last answer; 0 without one.
-    :ivar reply: text of that answer.
-    :ivar failure_domain: where it was submitted.
+    :ivar job_id: id of the job.
+    :ivar plan: plan that the job was created from.
+    :ivar status: HTTP status of the last response; 0 if there was none.
+    :ivar reply: body of the last response.
+    :ivar failure_domain: failure domain that the job was submitted to.
     """
 
     job_id: str
@@ -58,9 +58,9 @@
 
 @dataclasses.dataclass(slots=True)
 class DomainTracker:
-    """Jobs of a failure domain as its stream tells them.
+    """Jobs of a failure domain, replayed from its log stream.
 
-    :ivar state: fold of the stream so far.
+    :ivar state: state after the entries read so far.
     :ivar accepted: ids of accepted jobs.
     """
 
@@ -69,16 +69,16 @@
 
 
 class Night:
-    """Jobs of a deployment over one run.
+    """Batch load of a deployment during one run.
 
-    :ivar submitted: jobs and what became of their submission.
+    :ivar submitted: jobs with the responses to their submission.
     """
 
     def __init__(self, local_run: LocalRun, label: str) -> None:
-        """Prepare.
+        """Create the batch load without submitting jobs.
 
-        :param local_run: where the daemons are.
-        :param label: makes job ids unique in the log.
+        :param local_run: run with ready daemons.
+        :param label: suffix that makes job ids unique in the log.
         """
         self.submitted: list[SubmittedJob] = []
         self._run = local_run
@@ -113,9 +113,9 @@
             )
 
     async def evict_all(self) -> int:
-        """Ask for the eviction of every task of every job that was taken.
+        """Request the eviction of every task of every submitted job.
 
-        :returns: how many tasks will be evicted, as the daemons say.
+        :returns: number of tasks whose eviction was accepted.
         """
         replies = await asyncio.gather(
             *(
@@ -134,11 +134,12 @@
 
 
 async def read_tracker(local_run: LocalRun, domain: str) -> DomainTracker:
-    """Fold the stream of a failure domain, straight from the log.
+    """Replay the stream of a failure domain from the log.
 
-    :param local_run: where the log is.
+    :param local_run: run whose platform holds the log.
     :param domain: name of the failure domain.
-    :returns: its jobs; as far as the log could be read.
+    :returns: jobs of the failure domain, up to the last entry that could be
+        read.
     """
     port = local_run.layout.platform_port
     log = HttpLog(f'http://{HOST}:{port}', _LOG_TIMEOUT_MS)
--- a/waxwingford_standins/operator.py
+++ b/waxwingford_standins/operator.py
@@ -1,4 +1,4 @@
-"""Operators' signed requests to the daemons of a local run."""
+"""Client for signed operator requests to the daemons of a local run."""
 
 import asyncio
 import time
@@ -18,28 +18,29 @@
 
 
 class Operator:
-    """Signs as any member; a local run has all their keys."""
+    """Client that signs requests with the keys of the run's members."""
 
     def __init__(self, local_run: LocalRun) -> None:
-        """Prepare.
+        """Create a client for a run.
 
-        :param local_run: where the daemons are.
+        :param local_run: run that provides the keys and addresses.
         """
         self._run = local_run
 
     async def post_until_final(
         self, member: str, daemon: DaemonPlace, path: str, body: bytes = b''
     ) -> tuple[int, str]:
-        """Send a signed request until it has a final answer.
+        """Send a signed request until a final response arrives.
 
-        Always to one failure domain, whose stream makes a repeated submission
-        harmless; another daemon of it stands in for one that is away.
+        Retries go to daemons of the same failure domain, whose stream
+        deduplicates repeated submissions.
 
-        :param member: who signs.
-        :param daemon: first choice.
-        :param path: of the request.
-        :param body: of the request.
-        :returns: status and text of the last answer.
+        :param member: member whose key signs the request.
+        :param daemon: daemon to try first.
+        :param path: path of the request.
+        :param body: body of the request.
+        :returns: status and text of the last response; status 0 if there was
+            none.
         """
         others = [
             target
@@ -62,11 +63,12 @@
     ) -> tuple[int, str]:
         """Send a signed request once.
 
-        :param member: who signs.
-        :param daemon: where to.
-        :param path: of the request.
-        :param body: of the request.
-        :returns: status, 0 without an answer, and text.
+        :param member: member whose key signs the request.
+        :param daemon: daemon to send the request to.
+        :param path: path of the request.
+        :param body: body of the request.
+        :returns: status and text of the response; status 0 and the error if
+            there was none.
         """
         headers = sign_request(
             self._run.key_by_member[member],
--- a/waxwingford_standins/platform_list.py
+++ b/waxwingford_standins/platform_list.py
@@ -1,4 +1,4 @@
-"""Core of the lagging list of VMs: pure, time is passed in."""
+"""Eventually consistent VM list, without I/O or clock."""
 
 import collections
 import dataclasses
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass(slots=True)
 class ListFaults:
-    """Switches of the list.
+    """Injected faults of the VM list.
 
-    :ivar outage: whether reads get no list.
-    :ivar lag_ms: age of what reads show, in milliseconds.
+    :ivar outage: whether reads fail.
+    :ivar lag_ms: staleness of the list, in milliseconds.
     """
 
     outage: bool = False
@@ -26,15 +26,16 @@
 
 
 class VmListCore:
-    """VMs that register by heartbeats and show up after the lag.
+    """VM list that is built from heartbeats and read with a lag.
 
-    :ivar faults: switches, changed in place.
+    :ivar faults: injected faults, changed in place.
     """
 
     def __init__(self, expire_ms: int = 5000) -> None:
-        """Start empty.
+        """Create an empty list.
 
-        :param expire_ms: a VM without heartbeats for so long is gone.
+        :param expire_ms: time without heartbeats after which a VM is removed,
+            in milliseconds.
         """
         self.faults = ListFaults()
         self._expire_ms = expire_ms
@@ -43,10 +44,10 @@
         self._visible_by_id: dict[str, Vm] = {}
 
     def heartbeat(self, vm: Vm, now_ms: int) -> None:
-        """Register a VM or say that it is still there.
+        """Register a VM or renew its registration.
 
-        :param vm: its present description.
-        :param now_ms: monotonic time.
+        :param vm: current description of the VM.
+        :param now_ms: monotonic time, in milliseconds.
         """
         previous = self._last_by_id.get(vm.server_id)
         self._last_by_id[vm.server_id] = (now_ms, vm)
@@ -54,10 +55,10 @@
             self._changes.append(_Change(now_ms, vm.server_id, vm))
 
     def read(self, now_ms: int) -> VmList | VmListUnavailable:
-        """Show the list as it was one lag ago.
+        """Read the list as it was ``lag_ms`` ago.
 
-        :param now_ms: monotonic time.
-        :returns: tagged outcome.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: the list, or that it is unavailable.
         """
         if self.faults.outage:
             return VmListUnavailable('list is out of service')
--- a/waxwingford_standins/platform_log.py
+++ b/waxwingford_standins/platform_log.py
@@ -1,7 +1,7 @@
-"""Core of the append-only log's stand-in: pure, time is passed in.
+"""In-memory append-only log with fault injection, without I/O or clock.
 
-:class:`LogCore` keeps streams and carries out faults; :class:`FakeLog` puts
-it behind :class:`waxwingford.ports.LogPort` for tests in virtual time.
+:class:`LogCore` stores the streams; :class:`FakeLog` adapts it to
+:class:`waxwingford.ports.LogPort` for tests in virtual time.
 """
 
 import bisect
@@ -28,18 +28,19 @@
 _OUTAGE_RETRY_MS = 500
 _TOO_LARGE_RETRY_MS = 60_000
 
-#: Reasons of refusals; the process maps them to HTTP statuses.
+#: Reasons of refused operations, mapped to HTTP statuses by the process.
 RATE_CAP = 'append rate cap'
 TOO_LARGE = 'payload above 1 MiB'
 OUT_OF_SERVICE = 'log is out of service'
 
 
 class LogLimits(NamedTuple):
-    """What the log keeps and accepts.
+    """Rate limit and retention of the log.
 
-    :ivar appends_per_second: appends over all streams in any second.
-    :ivar retain_entries: entries kept by stream.
-    :ivar retain_ms: age at which entries are dropped, in milliseconds.
+    :ivar appends_per_second: maximum number of appends to all streams within
+        any second.
+    :ivar retain_entries: number of entries retained per stream.
+    :ivar retain_ms: retention period of entries, in milliseconds.
     """
 
     appends_per_second: int = 400
@@ -51,7 +52,7 @@
 
 
 class Outage(enum.StrEnum):
-    """Whether the log serves."""
+    """How the log behaves during an outage."""
 
     none = 'none'
     refuse = 'refuse'
@@ -60,11 +61,12 @@
 
 @dataclasses.dataclass(slots=True)
 class LogFaults:
-    """Switches of the log's faults.
+    """Injected faults of the log.
 
     :ivar outage: kind of outage.
-    :ivar slow_ms: delay before each answer, in milliseconds.
-    :ivar lost_share: share of appends whose answer is lost afterwards.
+    :ivar slow_ms: delay of each response, in milliseconds.
+    :ivar lost_share: fraction of appends that take effect but are not
+        acknowledged.
     """
 
     outage: Outage = Outage.none
@@ -82,9 +84,9 @@
 
 
 class LogCore:
-    """Streams with offsets from 0, retention, a rate cap and faults.
+    """In-memory streams with retention, a rate limit and faults.
 
-    :ivar faults: switches, changed in place.
+    :ivar faults: injected faults, changed in place.
     """
 
     def __init__(
@@ -92,10 +94,10 @@
         limits: LogLimits = DEFAULT_LIMITS,
         seed: int = 0,
     ) -> None:
-        """Start without streams.
+        """Create a log without streams.
 
-        :param limits: retention and rate cap.
-        :param seed: of the choice whose acknowledgement is lost.
+        :param limits: rate limit and retention.
+        :param seed: seed of the choice of lost acknowledgements.
         """
         self.faults = LogFaults()
         self._limits = limits
@@ -104,12 +106,12 @@
         self._recent_ms: collections.deque[int] = collections.deque()
 
     def append(self, stream: str, payload: bytes, now_ms: int) -> AppendOutcome:
-        """Append one entry, subject to the faults.
+        """Append an entry, subject to the faults.
 
-        :param stream: its name.
-        :param payload: at most 1 MiB.
-        :param now_ms: monotonic time.
-        :returns: tagged outcome, as the client is to see it.
+        :param stream: name of the stream.
+        :param payload: payload of at most 1 MiB.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: outcome as observed by the client.
         """
         match self.faults.outage:
             case Outage.refuse:
@@ -132,13 +134,13 @@
     def read(
         self, stream: str, from_offset: int, limit: int, now_ms: int
     ) -> ReadOutcome:
-        """Read entries forward, without waiting.
+        """Read entries in offset order, without waiting.
 
-        :param stream: its name.
-        :param from_offset: first offset wanted.
-        :param limit: entries at most.
-        :param now_ms: monotonic time.
-        :returns: tagged outcome.
+        :param stream: name of the stream.
+        :param from_offset: first offset to read.
+        :param limit: maximum number of entries.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: the entries, or that the log is unavailable.
         """
         if self.faults.outage is not Outage.none:
             return LogUnavailable(OUT_OF_SERVICE)
@@ -154,10 +156,10 @@
         )
 
     def truncate(self, stream: str, before_offset: int) -> None:
-        """Drop entries early, as a short retention would.
+        """Drop old entries before their retention period ends.
 
-        :param stream: its name.
-        :param before_offset: first offset that stays.
+        :param stream: name of the stream.
+        :param before_offset: first offset to retain.
         """
         stored = self._stream_by_name.get(stream)
         if stored is not None:
@@ -184,11 +186,11 @@
 
 
 def _number_entries(first: int, payloads: list[bytes]) -> list[LogEntry]:
-    """Number payloads.
+    """Assign consecutive offsets to payloads.
 
-    :param first: offset of the first.
-    :param payloads: in offset order.
-    :returns: entries.
+    :param first: offset of the first payload.
+    :param payloads: payloads in offset order.
+    :returns: log entries.
     """
     return [
         LogEntry(offset, payload)
@@ -197,10 +199,10 @@
 
 
 def _drop_oldest(stored: _Stream, count: int) -> None:
-    """Forget the oldest entries of a stream.
+    """Drop the oldest entries of a stream.
 
-    :param stored: the stream.
-    :param count: how many; nothing happens if not positive.
+    :param stored: stream to shorten.
+    :param count: number of entries; values below 1 have no effect.
     """
     dropped = min(max(count, 0), len(stored.payloads))
     if dropped:
@@ -210,26 +212,26 @@
 
 
 class FakeLog:
-    """A log port over a core, without network and without waiting.
+    """Log port that calls a :class:`LogCore` directly.
 
-    :ivar core: the core, shared by all ports of one test.
+    :ivar core: log shared by all ports of a test.
     """
 
     def __init__(self, core: LogCore, clock: Clock) -> None:
-        """Bind a core to a clock.
+        """Create a port to a log.
 
-        :param core: streams and faults.
-        :param clock: source of time.
+        :param core: log to append to and read from.
+        :param clock: monotonic clock.
         """
         self.core = core
         self._clock = clock
 
     async def append(self, stream: str, payload: bytes) -> AppendOutcome:
-        """Append one entry.
+        """Append an entry.
 
-        :param stream: its name.
-        :param payload: at most 1 MiB.
-        :returns: tagged outcome.
+        :param stream: name of the stream.
+        :param payload: payload of at most 1 MiB.
+        :returns: outcome as observed by the client.
         """
         return self.core.append(stream, payload, self._clock.monotonic_ms())
 
@@ -240,13 +242,14 @@
         limit: int,
         wait_ms: int = 0,
     ) -> ReadOutcome:
-        """Read what is there; never waits.
-
-        :param stream: its name.
-        :param from_offset: first offset wanted.
-        :param limit: entries at most.
-        :param wait_ms: ignored, virtual time does not pass here.
-        :returns: tagged outcome.
+        """Read entries without waiting.
+
+        :param stream: name of the stream.
+        :param from_offset: first offset to read.
+        :param limit: maximum number of entries.
+        :param wait_ms: ignored, since virtual time does not advance during a
+            read.
+        :returns: the entries, or that the log is unavailable.
         """
         return self.core.read(
             stream, from_offset, limit, self._clock.monotonic_ms()
--- a/waxwingford_standins/platform_main.py
+++ b/waxwingford_standins/platform_main.py
@@ -1,4 +1,4 @@
-"""Process that stands in for the platform: log and list of VMs over HTTP.
+"""Process that simulates the platform: log and VM list over HTTP.
 
 Routes: ``POST /v1/log/append``, ``GET /v1/log/read``, ``GET /v1/vms``,
 ``POST /v1/vms/heartbeats``, ``POST /fault``, ``GET /audit``.
@@ -56,17 +56,17 @@
 
 
 class PlatformService:
-    """HTTP handlers over the two cores.
+    """HTTP handlers of the log and the VM list.
 
-    :ivar counts: for the audit.
+    :ivar counts: counters reported by the audit.
     """
 
     def __init__(self, log: LogCore, vms: VmListCore, clock: Clock) -> None:
-        """Bind the cores to a clock.
+        """Create the handlers.
 
-        :param log: the log.
-        :param vms: the list.
-        :param clock: source of time.
+        :param log: log to serve.
+        :param vms: VM list to serve.
+        :param clock: monotonic clock.
         """
         self.counts = PlatformCounts()
         self._log = log
@@ -75,9 +75,9 @@
         self._data_available = asyncio.Event()
 
     def application(self) -> web.Application:
-        """Lay out the routes.
+        """Create the web application.
 
-        :returns: the application.
+        :returns: application with all routes.
         """
         app = web.Application(client_max_size=_MAX_BODY_BYTES)
         app.add_routes(
@@ -93,13 +93,13 @@
         return app
 
     async def append(self, request: web.Request) -> web.StreamResponse:
-        """Append the body to a stream.
+        """Append the request body to a stream.
 
-        A call that hangs takes effect when the outage ends, even if its
-        client has given up by then.
+        An append that hangs in an outage takes effect when the outage ends,
+        even if its client has timed out by then.
 
-        :param request: query ``stream``.
-        :returns: 201 with the offset, or a refusal.
+        :param request: HTTP request with the query parameter ``stream``.
+        :returns: 201 with the offset, or an error response.
         """
         payload = await request.read()
         await self._apply_delay_faults()
@@ -116,10 +116,11 @@
                 return _drop_response(request)
 
     async def read(self, request: web.Request) -> web.StreamResponse:
-        """Read a stream, holding the call while there is nothing new.
+        """Read a stream by long polling.
 
-        :param request: query ``stream``, ``from``, ``limit``, ``wait_ms``.
-        :returns: msgpack.
+        :param request: HTTP request with the query parameters ``stream``,
+            ``from``, ``limit`` and ``wait_ms``.
+        :returns: entries as msgpack; 503 in an outage.
         """
         await self._apply_delay_faults()
         hold_ms = min(int(request.query.get('wait_ms', 0)), _MAX_WAIT_MS)
@@ -145,9 +146,9 @@
                 )
 
     async def list_vms(self, _: web.Request) -> web.StreamResponse:
-        """Show the list.
+        """Read the VM list.
 
-        :returns: JSON.
+        :returns: VM list as JSON; 503 in an outage.
         """
         match self._vms.read(self._clock.monotonic_ms()):
             case VmListUnavailable(reason):
@@ -156,10 +157,10 @@
                 return _json_response(vm_list)
 
     async def heartbeats(self, request: web.Request) -> web.StreamResponse:
-        """Take the heartbeats of VMs.
+        """Record heartbeats of VMs.
 
-        :param request: body is a JSON array of VMs.
-        :returns: empty.
+        :param request: HTTP request with a JSON array of VMs as body.
+        :returns: empty response.
         """
         vms = msgspec.json.decode(await request.read(), type=list[Vm])
         for vm in vms:
@@ -167,10 +168,10 @@
         return web.Response()
 
     async def set_fault(self, request: web.Request) -> web.StreamResponse:
-        """Set switches.
+        """Inject faults into the log and the VM list.
 
-        :param request: body is a :class:`PlatformFault`.
-        :returns: empty.
+        :param request: HTTP request with a :class:`PlatformFault` as body.
+        :returns: empty response; 400 if the body is malformed.
         """
         try:
             fault = msgspec.json.decode(
@@ -187,9 +188,9 @@
         return web.Response()
 
     async def audit(self, _: web.Request) -> web.StreamResponse:
-        """Show the counts.
+        """Report the counters.
 
-        :returns: JSON.
+        :returns: counters as JSON.
         """
         return _json_response(self.counts)
 
@@ -241,10 +242,10 @@
 
 
 def _drop_response(request: web.Request) -> web.Response:
-    """Lose the answer: break the connection off.
+    """Abort the connection of a request, so that its response is lost.
 
-    :param request: whose connection.
-    :returns: an answer that can't be delivered any more.
+    :param request: request whose connection is aborted.
+    :returns: response that is never delivered.
     """
     if request.transport is not None:
         request.transport.abort()
@@ -252,7 +253,7 @@
 
 
 def main() -> None:
-    """Run the process."""
+    """Run the process until it is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--host', default='127.0.0.1')
     parser.add_argument('--port', type=int, required=True)
--- a/waxwingford_standins/platform_messages.py
+++ b/waxwingford_standins/platform_messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform stand-in's administration."""
+"""Request and response bodies of the platform stand-in's admin interface."""
 
 import msgspec
 
@@ -6,13 +6,14 @@
 
 
 class PlatformFault(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of ``POST /fault``; fields left out stay as they are.
-
-    :ivar outage: ``none``, ``refuse`` or ``hang``, of the log.
-    :ivar slow_ms: delay before each answer of the log, in milliseconds.
-    :ivar lost_share: share of appends whose answer is lost afterwards.
-    :ivar list_outage: whether the list is out of service.
-    :ivar list_lag_ms: age of what the list shows, in milliseconds.
+    """Body of ``POST /fault``; omitted fields keep their values.
+
+    :ivar outage: outage of the log: ``none``, ``refuse`` or ``hang``.
+    :ivar slow_ms: delay of each response of the log, in milliseconds.
+    :ivar lost_share: fraction of appends that take effect but are not
+        acknowledged.
+    :ivar list_outage: whether reads of the VM list fail.
+    :ivar list_lag_ms: staleness of the VM list, in milliseconds.
     """
 
     outage: Outage | None = None
@@ -25,11 +26,11 @@
 class PlatformCounts(msgspec.Struct):
     """Body of ``GET /audit``.
 
-    :ivar appends: appends that are in the log.
-    :ivar appended_bytes: their payloads together.
-    :ivar refused: appends refused.
-    :ivar reads: reads answered.
-    :ivar read_bytes: bytes of their answers.
+    :ivar appends: number of appended entries.
+    :ivar appended_bytes: total size of their payloads, in bytes.
+    :ivar refused: number of refused appends.
+    :ivar reads: number of successful reads.
+    :ivar read_bytes: total size of the read responses, in bytes.
     """
 
     appends: int = 0
--- a/waxwingford_standins/processes.py
+++ b/waxwingford_standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes of one local run: started, watched and stopped by their ids."""
+"""Starts, monitors and stops the processes of a local run."""
 
 import asyncio
 import contextlib
@@ -13,15 +13,16 @@
 
 
 class ProcessGroup:
-    """Everything that this run started, by name; nothing else is touched.
+    """Processes started by a run.
 
-    :ivar process_by_name: running or ended processes.
+    :ivar process_by_name: running and exited processes by name.
     """
 
     def __init__(self, log_directory: pathlib.Path) -> None:
-        """Start without processes.
+        """Create an empty group.
 
-        :param log_directory: where each process's output goes.
+        :param log_directory: directory for the output of the processes;
+            created if missing.
         """
         self.process_by_name: dict[str, Process] = {}
         self._logs = log_directory
@@ -30,13 +31,13 @@
     async def start(self, name: str, module: str, *options: str) -> None:
         """Start a Python module as a process.
 
-        :param name: unique in the run.
-        :param module: dotted name.
-        :param options: command line.
+        :param name: name of the process, unique in the run.
+        :param module: dotted name of the module.
+        :param options: command-line arguments.
         """
         with (self._logs / f'{name}.log').open('ab') as log:
-            # An own session: Ctrl-C in a terminal reaches only the launcher,
-            # which then stops the daemons before what they depend on.
+            # A new session keeps Ctrl-C in a terminal from reaching the
+            # processes, so that the launcher stops daemons before stand-ins.
             self.process_by_name[name] = await asyncio.create_subprocess_exec(
                 sys.executable,
                 '-m',
@@ -49,39 +50,39 @@
             )
 
     def ended(self) -> list[str]:
-        """List processes that ended.
+        """List exited processes.
 
-        :returns: name and exit code of each.
+        :returns: name and exit code of each process, as text.
         """
         return [
-            f'{name} ended with {process.returncode}'
+            f'{name} exited with code {process.returncode}'
             for name, process in self.process_by_name.items()
             if process.returncode is not None
         ]
 
     def output(self, name: str) -> str:
-        """Read what a process wrote so far.
+        """Read the output of a process.
 
-        :param name: which.
-        :returns: text.
+        :param name: name of the process.
+        :returns: output written so far.
         """
         return (self._logs / f'{name}.log').read_text()
 
     def send(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to one process.
+        """Send a signal to a process if it is running.
 
-        :param name: which.
-        :param number: the signal.
+        :param name: name of the process.
+        :param number: signal to send.
         """
         process = self.process_by_name[name]
         if process.returncode is None:
             process.send_signal(number)
 
     async def stop(self, names: Iterable[str]) -> list[str]:
-        """Stop some processes, gently, then by force after a cap.
+        """Terminate processes and kill those that do not exit in time.
 
-        :param names: which; those that ended are left out.
-        :returns: names of those that had to be killed.
+        :param names: names of the processes; exited ones are skipped.
+        :returns: names of the processes that had to be killed.
         """
         chosen = [
             name
@@ -89,7 +90,7 @@
             if self.process_by_name[name].returncode is None
         ]
         for name in chosen:
-            # A process stopped by SIGSTOP takes no other signal before.
+            # A process stopped by SIGSTOP handles SIGTERM only after SIGCONT.
             self.send(name, signal.SIGCONT)
             self.send(name, signal.SIGTERM)
         killed = await self._wait_for_exit(chosen, _STOP_TIMEOUT_S)
@@ -99,9 +100,9 @@
         return killed
 
     async def stop_all(self) -> list[str]:
-        """Stop everything, latest started first wave by wave.
+        """Stop all daemons, then the stand-ins that they depend on.
 
-        :returns: names of those that had to be killed.
+        :returns: names of the processes that had to be killed.
         """
         stand_ins = [name for name in self.process_by_name if name in STAND_INS]
         daemons = self.process_by_name.keys() - set(stand_ins)
@@ -111,11 +112,11 @@
     async def _wait_for_exit(
         self, names: list[str], wait_s: float
     ) -> list[str]:
-        """Wait for processes to end.
+        """Wait for processes to exit, up to a time limit.
 
-        :param names: which.
-        :param wait_s: cap, in seconds.
-        :returns: those still running.
+        :param names: names of the processes.
+        :param wait_s: time limit, in seconds.
+        :returns: names of the processes that are still running.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
@@ -128,5 +129,5 @@
         ]
 
 
-#: Names of the processes on which daemons depend; they are stopped last.
+#: Names of the processes that daemons depend on.
 STAND_INS = ('platform', 'relay', 'backends')
--- a/waxwingford_standins/relay_main.py
+++ b/waxwingford_standins/relay_main.py
@@ -1,8 +1,7 @@
-"""Process that stands in for the network between failure domains.
+"""Process that simulates the network between failure domains.
 
-Each link relays TCP connections with a delay.  ``POST /fault`` cuts failure
-domains off: bytes are then held back, as in a partition, and go on when it
-heals.
+Each link relays TCP connections with a delay.  ``POST /fault`` partitions the
+network: data is held back until the partition heals.
 """
 
 import argparse
@@ -24,12 +23,12 @@
 
 
 class Link(msgspec.Struct, frozen=True):
-    """One relayed address.
+    """Relayed TCP port.
 
-    :ivar listen_port: where the source connects to.
-    :ivar target_port: where the destination listens.
-    :ivar source: failure domain of the connecting side.
-    :ivar destination: failure domain of the listening side, or ``platform``.
+    :ivar listen_port: port that the source connects to.
+    :ivar target_port: port that the destination listens on.
+    :ivar source: failure domain of the client.
+    :ivar destination: failure domain of the server, or ``platform``.
     :ivar delay_ms: one-way latency, in milliseconds.
     """
 
@@ -44,7 +43,7 @@
     """Configuration file of the process, in JSON.
 
     :ivar admin_port: TCP port for faults.
-    :ivar links: what to relay.
+    :ivar links: links to open.
     """
 
     admin_port: int
@@ -54,8 +53,9 @@
 class RelayFault(msgspec.Struct, forbid_unknown_fields=True):
     """Body of ``POST /fault``.
 
-    :ivar isolated: failure domains cut off from everything outside them.
-    :ivar cut: pairs of source and destination, cut one by one.
+    :ivar isolated: failure domains that are partitioned from everything
+        outside them.
+    :ivar cut: further pairs of source and destination to disconnect.
     """
 
     isolated: list[str]
@@ -63,29 +63,29 @@
 
 
 class Relay:
-    """All links and the present partition."""
+    """Relay for all links, with the current partition."""
 
     def __init__(self) -> None:
-        """Start without a partition."""
+        """Create a relay without a partition."""
         self._isolated: frozenset[str] = frozenset()
         self._cut: frozenset[tuple[str, str]] = frozenset()
         self._changed = asyncio.Event()
         self._connections: set[asyncio.Task[None]] = set()
 
     def admin_application(self) -> web.Application:
-        """Lay out the administration's routes.
+        """Create the application of the admin port.
 
-        :returns: the application.
+        :returns: web application.
         """
         app = web.Application()
         app.add_routes((web.post('/fault', self.set_fault),))
         return app
 
     async def set_fault(self, request: web.Request) -> web.StreamResponse:
-        """Cut failure domains off, or heal.
+        """Replace the current partition.
 
-        :param request: body is a :class:`RelayFault`.
-        :returns: empty.
+        :param request: HTTP request with a :class:`RelayFault` as body.
+        :returns: empty response; 400 if the body is malformed.
         """
         try:
             fault = msgspec.json.decode(await request.read(), type=RelayFault)
@@ -98,10 +98,10 @@
         return web.Response()
 
     async def open(self, link: Link) -> asyncio.Server:
-        """Listen for a link.
+        """Start listening for a link.
 
-        :param link: what to relay.
-        :returns: the listening socket's server.
+        :param link: link to relay.
+        :returns: server that accepts the connections.
         """
         return await asyncio.start_server(
             functools.partial(self._accept, link), _HOST, link.listen_port
@@ -140,9 +140,9 @@
     async def _relay_both_directions(
         self, link: Link, source_streams: tuple, target_streams: tuple
     ) -> None:
-        """Relay until either side ends.
+        """Relay data until either side closes its connection.
 
-        :param link: for its delay and its ends.
+        :param link: link of the connection.
         :param source_streams: reader and writer of the source.
         :param target_streams: reader and writer of the destination.
         """
@@ -186,7 +186,7 @@
 
 
 def main() -> None:
-    """Run the process."""
+    """Run the process until it is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--config', type=pathlib.Path, required=True)
     options = parser.parse_args()
--- a/waxwingford_standins/report.py
+++ b/waxwingford_standins/report.py
@@ -1,4 +1,4 @@
-"""Report of a run, as text and JSON."""
+"""Report of a run, and its text format."""
 
 import collections
 import itertools
@@ -27,16 +27,16 @@
 class BatchReport(msgspec.Struct):
     """Batch work of a run.
 
-    :ivar submitted: jobs submitted.
-    :ivar accepted: jobs accepted in the log.
-    :ivar finished: jobs of which no task is open.
+    :ivar submitted: number of submitted jobs.
+    :ivar accepted: number of jobs recorded as accepted in the log.
+    :ivar finished: number of jobs without open tasks.
     :ivar unfinished: ids of accepted jobs with open tasks.
-    :ivar tasks_done: tasks done, by the log.
-    :ivar tasks_failed: tasks given up, by the log.
-    :ivar tasks_cancelled: tasks cancelled, by the log.
-    :ivar attempts_by_phase: attempts on servers by how they ended;
-        ``checkpointed`` are evictions.
-    :ivar told_impossible: answers to jobs that can never run.
+    :ivar tasks_done: number of completed tasks of finished jobs.
+    :ivar tasks_failed: number of permanently failed tasks of finished jobs.
+    :ivar tasks_cancelled: number of cancelled tasks of finished jobs.
+    :ivar attempts_by_phase: number of attempts on servers by final phase;
+        ``checkpointed`` attempts were evicted.
+    :ivar told_impossible: responses to jobs that fit on no server.
     """
 
     submitted: int
@@ -51,17 +51,18 @@
 
 
 class RunReport(msgspec.Struct):
-    """Everything that is known of a run.
-
-    :ivar deployment: its name.
-    :ivar seconds: length of the load.
-    :ivar latencies: of requests, by caller and outcome.
-    :ivar attempts_by_outcome: attempts of requests by outcome.
-    :ivar reasons: attempts that were not answered, by outcome and reason.
-    :ivar server_refusals: requests that servers refused for lack of a slot.
+    """Results of a run.
+
+    :ivar deployment: name of the deployment.
+    :ivar seconds: duration of the load, in seconds.
+    :ivar latencies: request latencies by caller and outcome.
+    :ivar attempts_by_outcome: number of request attempts by outcome.
+    :ivar reasons: number of unanswered attempts by outcome and reason.
+    :ivar server_refusals: number of requests refused by servers because all
+        slots were busy.
     :ivar batch: batch work.
-    :ivar findings: what must never happen, and did.
-    :ivar platform: what the platform counted.
+    :ivar findings: violated invariants.
+    :ivar platform: counters of the platform.
     """
 
     deployment: str
@@ -84,16 +85,16 @@
     trackers: Sequence[DomainTracker],
     platform: dict[str, int],
 ) -> RunReport:
-    """Put a report together and audit the run.
-
-    :param deployment: its name.
-    :param seconds: length of the load.
-    :param callers: their ended calls.
-    :param servers: what the servers ran.
-    :param submitted: jobs submitted.
-    :param trackers: streams of all failure domains.
-    :param platform: what the platform counted.
-    :returns: the report.
+    """Audit a run and create its report.
+
+    :param deployment: name of the deployment.
+    :param seconds: duration of the load, in seconds.
+    :param callers: load generator with the completed calls.
+    :param servers: audits of all servers.
+    :param submitted: submitted jobs.
+    :param trackers: replayed streams of all failure domains.
+    :param platform: counters of the platform.
+    :returns: report of the run.
     """
     in_log = frozenset().union(*(tracker.accepted for tracker in trackers))
     finished = list(_finished_jobs(trackers))
@@ -123,10 +124,10 @@
 
 
 def report_text(report: RunReport) -> str:
-    """Write a report for people.
+    """Format a report as text.
 
-    :param report: the report.
-    :returns: text.
+    :param report: report to format.
+    :returns: text of the report.
     """
     return '\n'.join((*_report_lines(report), ''))
 
--- a/waxwingford_standins/run_certificates.py
+++ b/waxwingford_standins/run_certificates.py
@@ -1,4 +1,4 @@
-"""Certificates of the daemons of one local run."""
+"""TLS certificates of the daemons of a local run."""
 
 import datetime
 import pathlib
@@ -15,15 +15,15 @@
 def make_certificates(
     directory: pathlib.Path, daemon_ids: Iterable[str]
 ) -> dict[str, Tls]:
-    """Make an authority and a certificate for each daemon.
+    """Create a certificate authority and a certificate for each daemon.
 
-    The same function as behind ``waxwingford keys make --tls``, so that a run
-    also shows that daemons take what operators make.
+    Uses the implementation of ``waxwingford keys make --tls``, so that a run
+    also covers the certificates that operators create.
 
-    :param directory: of the authority; made if it is missing.
-    :param daemon_ids: daemons.
-    :returns: settings by daemon, with full paths.
-    :raises RuntimeError: if a certificate of that name is there already.
+    :param directory: directory of the authority; created if missing.
+    :param daemon_ids: ids of the daemons.
+    :returns: TLS settings by daemon, with paths of the files.
+    :raises RuntimeError: if a certificate of a daemon exists already.
     """
     now = datetime.datetime.now(datetime.UTC)
     tls_by_daemon = {}
@@ -42,10 +42,11 @@
 def client_ssl_context(
     authorities: Iterable[pathlib.Path],
 ) -> ssl.SSLContext | bool:
-    """Prepare a caller's side.
+    """Create a TLS context that trusts the given authorities.
 
-    :param authorities: certificates of authorities to trust.
-    :returns: context; the usual checks without any authority.
+    :param authorities: paths of the authorities' certificates.
+    :returns: TLS context; true, for default verification, if there are no
+        authorities.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     has_authority = False
--- a/waxwingford_standins/server_attempts.py
+++ b/waxwingford_standins/server_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that a stand-in backend server knows, and commands on them."""
+"""Table of the batch attempts of a simulated backend server."""
 
 from waxwingford.ports import (
     CheckpointTask,
@@ -23,16 +23,16 @@
 
 
 class AttemptTable:
-    """Running attempts, ended ones until they are forgotten, and history.
+    """Running attempts, ended attempts until forgotten, and the audit history.
 
-    :ivar fails_starts: whether each start fails at once.
+    :ivar fails_starts: whether each started task fails immediately.
     """
 
     def __init__(self, server_id: str, total: Resources) -> None:
-        """Start empty.
+        """Create an empty table.
 
-        :param server_id: name of the server, for the audit.
-        :param total: size of the VM.
+        :param server_id: id of the server, for the audit.
+        :param total: capacity of the VM.
         """
         self.fails_starts = False
         self._server_id = server_id
@@ -41,9 +41,9 @@
         self._history: list[AttemptRun] = []
 
     def advance(self, now_ms: int) -> None:
-        """Let attempts run.
+        """Advance all attempts to the given time.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         for attempt in self._attempt_by_key.values():
             attempt.advance(now_ms)
@@ -51,22 +51,22 @@
     def renew(
         self, keys: tuple[TaskKey, ...], lease_ms: int, now_ms: int
     ) -> None:
-        """Renew task leases; unknown attempts are left out.
+        """Renew task leases, ignoring unknown attempts.
 
-        :param keys: attempts.
-        :param lease_ms: length of the new leases, in milliseconds.
-        :param now_ms: monotonic time.
+        :param keys: keys of the attempts.
+        :param lease_ms: duration of the new leases, in milliseconds.
+        :param now_ms: monotonic time, in milliseconds.
         """
         for key in self._attempt_by_key.keys() & set(keys):
             self._attempt_by_key[key].lease_until_ms = now_ms + lease_ms
 
     def execute(self, command: ServerCommand, now_ms: int, boot_id: str) -> str:
-        """Carry out one command other than a start.
+        """Execute a command other than a start.
 
-        :param command: the command.
-        :param now_ms: monotonic time.
-        :param boot_id: boot of the server, for the audit.
-        :returns: reason if it was refused, else empty.
+        :param command: command on a known attempt.
+        :param now_ms: monotonic time, in milliseconds.
+        :param boot_id: id of the current boot, for the audit.
+        :returns: reason of the refusal; empty on success.
         """
         attempt = self._attempt_by_key.get(command.key)
         if attempt is None:
@@ -89,9 +89,9 @@
     def start(self, start: StartTask, now_ms: int) -> str:
         """Start an attempt.
 
-        :param start: the command.
-        :param now_ms: monotonic time.
-        :returns: reason if it was refused, else empty.
+        :param start: start command.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: reason of the refusal; empty on success.
         """
         reason = self._start_refusal(start)
         if reason:
@@ -103,9 +103,9 @@
         return ''
 
     def running(self) -> list[ServerAttempt]:
-        """List what runs.
+        """List running attempts.
 
-        :returns: attempts.
+        :returns: running attempts.
         """
         return [
             attempt
@@ -114,10 +114,10 @@
         ]
 
     def ran_since(self, since_ms: int) -> list[ServerAttempt]:
-        """List what ran in a window that ends now.
+        """List attempts that ran after a given time.
 
-        :param since_ms: monotonic time at which the window began.
-        :returns: attempts that run, or ended after that.
+        :param since_ms: monotonic time, in milliseconds.
+        :returns: attempts that are running or ended later.
         """
         return [
             attempt
@@ -126,18 +126,18 @@
         ]
 
     def reports(self) -> tuple[TaskReport, ...]:
-        """Describe every attempt that is not forgotten.
+        """Report every attempt that is not forgotten.
 
-        :returns: reports.
+        :returns: reports of the attempts.
         """
         return tuple(
             attempt.report() for attempt in self._attempt_by_key.values()
         )
 
     def runs(self, boot_id: str) -> list[AttemptRun]:
-        """Tell what ever ran here.
+        """List all attempts, across restarts, for the audit.
 
-        :param boot_id: present boot.
+        :param boot_id: id of the current boot.
         :returns: attempts of all boots.
         """
         return [
@@ -149,10 +149,10 @@
         ]
 
     def drop_all(self, now_ms: int, boot_id: str) -> None:
-        """Lose everything: the server died.
+        """Drop all attempts after a crash, keeping the audit history.
 
-        :param now_ms: monotonic time.
-        :param boot_id: boot that ends.
+        :param now_ms: monotonic time, in milliseconds.
+        :param boot_id: id of the boot that ended.
         """
         for attempt in self.running():
             attempt.end(TaskPhase.stopped, 'server died', now_ms)
@@ -172,11 +172,12 @@
 
 
 def _find_exceeded_dimension(parts: list[Resources], total: Resources) -> str:
-    """Check a vector of sums.
+    """Check whether resources fit into a capacity together.
 
-    :param parts: what would run together.
-    :param total: size of the VM.
-    :returns: name of the first dimension that does not fit, else empty.
+    :param parts: resources of the attempts.
+    :param total: capacity of the VM.
+    :returns: message that names the first exceeded dimension; empty if all
+        fit.
     """
     exceeded = (
         f'not enough {dimension}'
--- a/waxwingford_standins/server_changes.py
+++ b/waxwingford_standins/server_changes.py
@@ -6,22 +6,22 @@
 
 
 class ChangeTracker:
-    """Counts changes of attempts in one boot.
+    """Versions the changes of attempts within one boot.
 
-    :ivar version: changes so far.
+    :ivar version: number of changes so far.
     """
 
     def __init__(self) -> None:
-        """Start with a boot."""
+        """Create a tracker without changes."""
         self.version = 0
         self._version_by_key: dict[TaskKey, int] = {}
         self._first_version_by_key: dict[TaskKey, int] = {}
         self._reported_by_key: dict[TaskKey, tuple[str, bool]] = {}
 
     def record(self, reports: Iterable[TaskReport]) -> None:
-        """Compare all attempts with what was noted before.
+        """Record the changes since the previous call.
 
-        :param reports: every attempt that the server knows now.
+        :param reports: reports of all attempts of the server.
         """
         current_keys = set()
         for report in reports:
@@ -42,8 +42,8 @@
     ) -> tuple[TaskReport, ...]:
         """Select the reports that changed after a version.
 
-        :param reports: every attempt, as noted just now.
-        :param version: the version.
+        :param reports: reports of all attempts, as last recorded.
+        :param version: version to compare with.
         :returns: the changed reports.
         """
         return tuple(
@@ -55,7 +55,7 @@
     def reported_by(self, version: int) -> tuple[TaskKey, ...]:
         """List attempts that responses up to a version reported.
 
-        :param version: the version.
+        :param version: version of the last such response.
         :returns: keys of attempts that the server still keeps.
         """
         return tuple(
--- a/waxwingford_standins/server_lease.py
+++ b/waxwingford_standins/server_lease.py
@@ -1,4 +1,4 @@
-"""Control lease that a stand-in backend server arbitrates: pure."""
+"""Control lease of a simulated backend server."""
 
 import dataclasses
 
@@ -7,11 +7,11 @@
 
 @dataclasses.dataclass(slots=True)
 class ServerLease:
-    """Who may command a server.
+    """Exclusive lease on the control of a server.
 
-    :ivar holder: who holds it, empty for nobody.
-    :ivar epoch: rises with each grant to a request that names no epoch.
-    :ivar until_ms: monotonic time at which it runs out.
+    :ivar holder: id of the holder; empty if the lease is free.
+    :ivar epoch: fencing epoch, incremented by each acquisition.
+    :ivar until_ms: monotonic expiry time, in milliseconds.
     """
 
     holder: str = ''
@@ -19,11 +19,11 @@
     until_ms: int = 0
 
     def grant(self, request: ControlRequest, now_ms: int) -> bool:
-        """Grant or renew, or leave all as it is.
+        """Acquire or renew the lease for a request.
 
-        :param request: the exchange.
-        :param now_ms: monotonic time.
-        :returns: whether the request may command.
+        :param request: control request.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: whether the lease was granted; if not, it is unchanged.
         """
         stale_ms = request.stamp_ms + request.good_for_ms
         if request.good_for_ms and now_ms > stale_ms:
@@ -41,9 +41,9 @@
         return granted
 
     def release(self, now_ms: int) -> None:
-        """Let anybody take it.
+        """Release the lease.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.holder = ''
         self.until_ms = now_ms
--- a/waxwingford_standins/server_service.py
+++ b/waxwingford_standins/server_service.py
@@ -1,7 +1,7 @@
-"""The latency-critical service on a stand-in backend server.
+"""Latency model of the service on a simulated backend server.
 
-The latency is log-normal and is stretched by the batch kinds that run beside
-the service, more so the busier the service is.
+Service times are log-normal and increase with interference by colocated batch
+tasks, which grows with the load of the service.
 """
 
 import collections
@@ -16,19 +16,20 @@
 from waxwingford.ports import ServiceCall
 
 _MS_PER_S = 1000
-#: Share of a pair's interference that is there without load.
+#: Fraction of the interference at full load that remains without load.
 _IDLE_INTERFERENCE_SHARE = 0.25
 
 
 class ServiceModel(NamedTuple):
-    """Behaviour of a service on one server.
-
-    :ivar name: service name.
-    :ivar median_ms: median service time without interference, milliseconds.
-    :ivar sigma: spread of its logarithm.
-    :ivar slowdown_by_kind: added share of time for one batch task of a kind
-        at full load.
-    :ivar answer_bytes: padding of each answer.
+    """Parameters of the latency model.
+
+    :ivar name: name of the service.
+    :ivar median_ms: median service time without interference, in
+        milliseconds.
+    :ivar sigma: standard deviation of the logarithm of the service time.
+    :ivar slowdown_by_kind: relative increase of the service time at full
+        load for each colocated batch task, by batch kind.
+    :ivar answer_bytes: padding of each response, in bytes.
     """
 
     name: str
@@ -39,10 +40,10 @@
 
 
 class CallStarted(NamedTuple):
-    """The server runs the request.
+    """The request was started.
 
-    :ivar number: handle to end it with.
-    :ivar duration_ms: how long it runs, in milliseconds.
+    :ivar number: handle of the request.
+    :ivar duration_ms: service time, in milliseconds.
     """
 
     number: int
@@ -50,21 +51,21 @@
 
 
 class CallRefused(NamedTuple):
-    """The server did not run the request.
+    """The request was not executed.
 
-    :ivar reason: for people.
+    :ivar reason: human-readable reason.
     """
 
     reason: str
 
 
 class ServiceEcho(msgspec.Struct):
-    """Body of requests and answers, as the load tool writes them.
+    """Body of the requests and responses of the load generator.
 
-    :ivar token: unique to the request; the answer repeats it.
-    :ivar key: idempotency key, empty if it may run twice.
-    :ivar server_id: in answers: who answered.
-    :ivar padding: in answers: filler.
+    :ivar token: unique token of the request, repeated in the response.
+    :ivar key: idempotency key; empty if the request is idempotent.
+    :ivar server_id: server that responded; empty in requests.
+    :ivar padding: padding of the response; empty in requests.
     """
 
     token: str = ''
@@ -74,20 +75,20 @@
 
 
 class ServiceState:
-    """Slots, running requests and counts of runs.
+    """Slots, running requests and execution counts.
 
-    :ivar runs_by_key: how often each idempotency key ran.
-    :ivar runs_by_token: how often each request token ran.
-    :ivar most_at_once: largest number of requests that ran together.
-    :ivar refused: requests refused because all slots were busy.
+    :ivar runs_by_key: number of executions by idempotency key.
+    :ivar runs_by_token: number of executions by request token.
+    :ivar most_at_once: largest number of concurrent requests.
+    :ivar refused: number of requests refused because all slots were busy.
     """
 
     def __init__(self, model: ServiceModel, slots: int, seed: int) -> None:
-        """Start idle.
+        """Create an idle service.
 
-        :param model: behaviour.
-        :param slots: requests at once at most.
-        :param seed: of the latencies.
+        :param model: latency model.
+        :param slots: maximum number of concurrent requests.
+        :param seed: seed of the latencies.
         """
         self.runs_by_key: collections.Counter[str] = collections.Counter()
         self.runs_by_token: collections.Counter[str] = collections.Counter()
@@ -104,21 +105,22 @@
 
     @property
     def load(self) -> float:
-        """Share of slots that are busy now.
+        """Fraction of busy slots.
 
-        :returns: 0 to 1.
+        :returns: fraction from 0 to 1.
         """
         return len(self._started_by_number) / self._slots
 
     def begin(
         self, call: ServiceCall, kinds: Iterable[tuple[str, int]], now_ms: int
     ) -> CallStarted | CallRefused:
-        """Run a request if a slot is free.
+        """Start a request if a slot is free.
 
-        :param call: the request.
-        :param kinds: batch kinds beside it, each with its throttle percent.
-        :param now_ms: monotonic time.
-        :returns: whether it runs, and for how long.
+        :param call: service request.
+        :param kinds: kind and throttle percentage of each colocated batch
+            task.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: handle and duration, or the reason of the refusal.
         """
         if len(self._started_by_number) >= self._slots:
             self.refused += 1
@@ -134,10 +136,10 @@
         return CallStarted(number, self._sample_duration_ms(kinds))
 
     def end(self, number: int, now_ms: int) -> None:
-        """Free the slot of a request.
+        """Release the slot of a request.
 
-        :param number: handle from its start; unknown after a reboot.
-        :param now_ms: monotonic time.
+        :param number: handle of the request; ignored if it was dropped.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self._accumulate_busy_time(now_ms)
         started_ms = self._started_by_number.pop(number, None)
@@ -145,16 +147,17 @@
             self._latencies_ms.append(now_ms - started_ms)
 
     def drop_all(self) -> None:
-        """Forget the requests that run: the server died."""
+        """Drop all running requests after a crash."""
         self._started_by_number.clear()
         self._latencies_ms.clear()
 
     def close_window(self, now_ms: int, window_ms: int) -> tuple[float, float]:
-        """Sum up the window that ends now.
+        """Summarise the current window and start the next one.
 
-        :param now_ms: monotonic time.
-        :param window_ms: its length, in milliseconds.
-        :returns: mean load and 99th percentile of the latency.
+        :param now_ms: monotonic time, in milliseconds.
+        :param window_ms: length of the window, in milliseconds.
+        :returns: mean load and 99th percentile of the latency, in
+            milliseconds.
         """
         self._accumulate_busy_time(now_ms)
         load = self._busy_slot_ms / (window_ms * self._slots)
@@ -167,11 +170,11 @@
         return min(load, 1), p99_ms
 
     def answer(self, call: ServiceCall, server_id: str) -> bytes:
-        """Write the answer to a request.
+        """Build the response body of a request.
 
-        :param call: the request.
-        :param server_id: who answers.
-        :returns: JSON body that repeats the request's token.
+        :param call: service request.
+        :param server_id: id of the server.
+        :returns: JSON body that repeats the token of the request.
         """
         echo = decode_echo(call.body)
         echo.server_id = server_id
@@ -201,10 +204,10 @@
 
 
 def decode_echo(body: bytes) -> ServiceEcho:
-    """Read a request body of the load tool.
+    """Decode a request body of the load generator.
 
     :param body: request body.
-    :returns: its fields; empty ones for any other body.
+    :returns: decoded body; an empty one if the body has another format.
     """
     try:
         return msgspec.json.decode(body, type=ServiceEcho)
--- a/waxwingford_standins/server_tasks.py
+++ b/waxwingford_standins/server_tasks.py
@@ -1,4 +1,4 @@
-"""Batch attempts on a stand-in backend server: progress, leases, ends."""
+"""Simulated execution of batch attempts under task leases."""
 
 import dataclasses
 from typing import NamedTuple
@@ -19,12 +19,12 @@
 
 
 class Work(msgspec.Struct, frozen=True):
-    """Payload of a batch task, as stand-ins understand it.
+    """Payload of a simulated batch task.
 
-    :ivar run_ms: processor time that it needs, in milliseconds.
-    :ivar result: detail of the report when it is done.
-    :ivar fail: whether it fails instead.
-    :ivar uses: real use, where it differs from the declared size.
+    :ivar run_ms: run time without throttling, in milliseconds.
+    :ivar result: detail of the report on completion.
+    :ivar fail: whether the task fails at its end.
+    :ivar uses: actual resource usage, if it differs from the request.
     """
 
     run_ms: int = _DEFAULT_RUN_MS
@@ -34,16 +34,16 @@
 
 
 class AttemptRun(NamedTuple):
-    """One attempt on one server, for the audit.
-
-    :ivar task_id: which task.
-    :ivar attempt: which attempt.
-    :ivar server_id: where.
-    :ivar boot_id: boot of the server.
-    :ivar started_ms: monotonic time.
-    :ivar ended_ms: monotonic time; 0 while it runs.
-    :ivar phase: how it ended, or ``running``.
-    :ivar resume_from: checkpoint reference that it went on from.
+    """Audit record of an attempt.
+
+    :ivar task_id: id of the task.
+    :ivar attempt: attempt number.
+    :ivar server_id: id of the server.
+    :ivar boot_id: id of the boot of the server.
+    :ivar started_ms: monotonic start time, in milliseconds.
+    :ivar ended_ms: monotonic end time, in milliseconds; 0 while running.
+    :ivar phase: final phase, or ``running``.
+    :ivar resume_from: checkpoint that the attempt resumed from.
     :ivar detail: result, checkpoint reference or reason.
     """
 
@@ -60,18 +60,21 @@
 
 @dataclasses.dataclass(slots=True)
 class ServerAttempt:
-    """An attempt that the server knows, running or ended.
-
-    :ivar start: command that started it.
-    :ivar work: what it does.
-    :ivar started_ms: monotonic time of the start.
-    :ivar updated_ms: time up to which progress is counted.
-    :ivar lease_until_ms: monotonic end of the task lease.
-    :ivar progress_ms: work done, counted from the very first attempt.
-    :ivar percent: share of its processors that it may use.
-    :ivar phase: its phase.
+    """Running or ended attempt on a server.
+
+    :ivar start: command that started the attempt.
+    :ivar work: decoded payload of the task.
+    :ivar started_ms: monotonic start time, in milliseconds.
+    :ivar updated_ms: monotonic time up to which progress is counted, in
+        milliseconds.
+    :ivar lease_until_ms: monotonic expiry time of the task lease, in
+        milliseconds.
+    :ivar progress_ms: progress including earlier attempts, in milliseconds of
+        unthrottled run time.
+    :ivar percent: CPU limit, as a percentage of the requested CPU.
+    :ivar phase: current phase.
     :ivar detail: result, checkpoint reference or reason.
-    :ivar ended_ms: monotonic time of the end, 0 while it runs.
+    :ivar ended_ms: monotonic end time, in milliseconds; 0 while running.
     """
 
     start: StartTask
@@ -87,17 +90,17 @@
 
     @property
     def key(self) -> TaskKey:
-        """Identity of the attempt.
+        """Key of the attempt.
 
-        :returns: task and attempt number.
+        :returns: task id and attempt number.
         """
         return self.start.key
 
     @property
     def uses(self) -> Resources:
-        """Real use of resources now.
+        """Current resource usage.
 
-        :returns: declared or real size, under the throttle.
+        :returns: actual usage, with the CPU limit applied.
         """
         real = self.work.uses or self.start.resources
         return real._replace(
@@ -107,9 +110,9 @@
         )
 
     def advance(self, now_ms: int) -> None:
-        """Let the attempt run until now, its end or the end of its lease.
+        """Advance the attempt until now, its completion or its lease expiry.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         if self.phase is not TaskPhase.running:
             return
@@ -130,18 +133,18 @@
     def end(self, phase: TaskPhase, detail: str, now_ms: int) -> None:
         """End the attempt.
 
-        :param phase: how.
-        :param detail: result, reference or reason.
-        :param now_ms: monotonic time.
+        :param phase: final phase.
+        :param detail: result, checkpoint reference or reason.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.phase = phase
         self.detail = detail
         self.ended_ms = now_ms
 
     def checkpoint(self, now_ms: int) -> None:
-        """Save the progress and end the attempt.
+        """Checkpoint the progress and end the attempt.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         reference = (
             f'{_CHECKPOINT_PREFIX}{self.key.task_id}:{self.key.attempt}'
@@ -150,9 +153,9 @@
         self.end(TaskPhase.checkpointed, reference, now_ms)
 
     def report(self) -> TaskReport:
-        """Describe the attempt to its holder.
+        """Build the report for the lease holder.
 
-        :returns: the report.
+        :returns: report of the attempt.
         """
         until_ms = self.ended_ms or self.updated_ms
         return TaskReport(
@@ -164,11 +167,11 @@
         )
 
     def run(self, server_id: str, boot_id: str) -> AttemptRun:
-        """Describe the attempt for the audit.
+        """Build the audit record.
 
-        :param server_id: where it runs.
-        :param boot_id: boot of the server.
-        :returns: the audit's record.
+        :param server_id: id of the server.
+        :param boot_id: id of the boot of the server.
+        :returns: audit record of the attempt.
         """
         return AttemptRun(
             self.key.task_id,
@@ -190,11 +193,11 @@
 
 
 def create_attempt(start: StartTask, now_ms: int) -> ServerAttempt:
-    """Start an attempt, from its checkpoint if it has one.
+    """Create an attempt, resuming from its checkpoint if there is one.
 
-    :param start: the command.
-    :param now_ms: monotonic time.
-    :returns: the attempt.
+    :param start: start command.
+    :param now_ms: monotonic time, in milliseconds.
+    :returns: running attempt.
     """
     return ServerAttempt(
         start,
@@ -207,10 +210,10 @@
 
 
 def parse_progress(reference: str) -> int:
-    """Read the progress that a checkpoint reference names.
+    """Parse the progress from a checkpoint reference.
 
     :param reference: ``ckpt:<task>:<attempt>:<progress>`` or empty.
-    :returns: progress in milliseconds.
+    :returns: progress, in milliseconds; 0 without a valid reference.
     """
     last = reference.rpartition(':')[2]
     if reference.startswith(_CHECKPOINT_PREFIX) and last.isdigit():
--- a/waxwingford_standins/serving.py
+++ b/waxwingford_standins/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-in processes share: sites, signals, orphan watch."""
+"""HTTP serving and process lifetime of the stand-in processes."""
 
 import asyncio
 import contextlib
@@ -15,12 +15,12 @@
 async def start_site(
     app: web.Application, host: str, port: int
 ) -> web.AppRunner:
-    """Serve an application.
+    """Start serving a web application.
 
-    :param app: its routes.
-    :param host: IP number.
-    :param port: TCP port.
-    :returns: runner; clean it up to stop.
+    :param app: application to serve.
+    :param host: IP address to listen on.
+    :param port: TCP port to listen on.
+    :returns: runner, whose ``cleanup`` stops serving.
     """
     runner = web.AppRunner(
         app, access_log=None, shutdown_timeout=_SHUTDOWN_TIMEOUT_S
@@ -31,10 +31,9 @@
 
 
 async def _wait_for_parent_exit(parent: int) -> None:
-    """Return once the parent is gone.
+    """Wait until the parent process has exited.
 
-    A launcher killed without warning would leave its stand-ins running; one
-    would notice busy ports at the next start.
+    Keeps stand-ins from outliving a launcher that was killed.
 
     :param parent: process id of the launcher.
     """
@@ -57,9 +56,10 @@
 def run_process(
     open_parts: Callable[[contextlib.AsyncExitStack], Awaitable[None]],
 ) -> None:
-    """Run a stand-in until a signal comes or its parent is gone.
+    """Run a stand-in until a stop signal or the exit of its parent.
 
-    :param open_parts: starts everything and leaves its clean-up on the stack.
+    :param open_parts: starts the services and pushes their clean-up on the
+        stack.
     """
 
     async def _run() -> None:
--- a/waxwingford_standins/switches.py
+++ b/waxwingford_standins/switches.py
@@ -1,4 +1,4 @@
-"""Faults and audits of the stand-ins of one local run, over HTTP."""
+"""Client of the admin interfaces of the stand-ins of a local run."""
 
 import pathlib
 from collections.abc import Iterable
@@ -15,19 +15,20 @@
 
 
 class Switches:
-    """Speaks to the administration ports of the stand-ins.
+    """Injects faults into the stand-ins and reads their audits.
 
-    :ivar platform_url: base URL of the platform, past the relay.
-    :ivar tls: how callers of the daemons check certificates.
+    :ivar platform_url: base URL of the platform, bypassing the relay.
+    :ivar tls: TLS context for daemon URLs, or whether to verify certificates.
     """
 
     def __init__(
         self, layout: Layout, authorities: Iterable[pathlib.Path] = ()
     ) -> None:
-        """Prepare; nothing is sent yet.
+        """Create a client without connecting.
 
-        :param layout: addresses.
-        :param authorities: of the daemons' certificates; none without TLS.
+        :param layout: addresses of the run.
+        :param authorities: authorities of the daemons' certificates; empty
+            without TLS.
         """
         self.platform_url = f'http://{HOST}:{layout.platform_port}'
         self._backends_url = f'http://{HOST}:{layout.backend_admin_port}'
@@ -37,9 +38,9 @@
 
     @property
     def client(self) -> aiohttp.ClientSession:
-        """HTTP session for switches, audits and polls.
+        """HTTP session, opened on first use.
 
-        :returns: the session, opened with the first use.
+        :returns: open session.
         """
         if self._client is None:
             self._client = aiohttp.ClientSession(
@@ -49,38 +50,40 @@
         return self._client
 
     async def close(self) -> None:
-        """Close the session."""
+        """Close the HTTP session."""
         if self._client is not None:
             await self._client.close()
             self._client = None
 
     async def platform_fault(self, **switches: Any) -> None:
-        """Set switches of the log and the list.
+        """Inject faults into the log and the VM list.
 
-        :param switches: fields of PlatformFault.
+        :param switches: fields of ``PlatformFault``.
         """
         await self._post(f'{self.platform_url}/fault', switches)
 
     async def server_fault(self, **switches: Any) -> None:
-        """Set switches of backend servers.
+        """Inject faults into backend servers.
 
-        :param switches: fields of ServerFault.
+        :param switches: fields of ``ServerFault``.
         """
         await self._post(f'{self._backends_url}/fault', switches)
 
     async def isolate(self, *domains: str) -> None:
-        """Cut failure domains off; without any, heal the partition.
+        """Partition failure domains from everything outside them.
 
-        :param domains: their names.
+        :param domains: names of the failure domains; none heals the
+            partition.
         """
         await self._post(
             f'{self._relay_url}/fault', {'isolated': list(domains)}
         )
 
     async def cut_log_off(self, *domains: str) -> None:
-        """Cut the platform off for failure domains that still reach peers.
+        """Partition failure domains from the platform only.
 
-        :param domains: their names; none heals.
+        :param domains: names of the failure domains; none heals the
+            partition.
         """
         pairs = [(domain, PLATFORM) for domain in domains]
         await self._post(
@@ -88,24 +91,25 @@
         )
 
     async def server_audit(self) -> bytes:
-        """Ask the backend servers what ran.
+        """Read the audits of all backend servers.
 
-        :returns: JSON array of ServerAudit, empty without an answer.
+        :returns: JSON array of ``ServerAudit``; empty if the request failed.
         """
         return await self._get_body(f'{self._backends_url}/audit')
 
     async def platform_audit(self) -> bytes:
-        """Ask the platform what it counted.
+        """Read the counters of the platform.
 
-        :returns: JSON of PlatformCounts, empty without an answer.
+        :returns: JSON of ``PlatformCounts``; empty if the request failed.
         """
         return await self._get_body(f'{self.platform_url}/audit')
 
     async def get(self, url: str) -> tuple[int, str]:
-        """Read a URL.
+        """Send a GET request.
 
-        :param url: full URL.
-        :returns: status, 0 without an answer, and text.
+        :param url: absolute URL.
+        :returns: status and text of the response; status 0 and the error if
+            there was none.
         """
         try:
             async with self.client.get(url) as answer:
--- a/waxwingford_standins/trial.py
+++ b/waxwingford_standins/trial.py
@@ -1,4 +1,4 @@
-"""One loaded run of a deployment: callers, a night's batch, the audit."""
+"""Load test of a running deployment, with audit and report."""
 
 import asyncio
 import pathlib
@@ -22,16 +22,16 @@
 
 
 class LoadTest:
-    """Callers and a night's batch of a running deployment.
+    """Request and batch load on a running deployment.
 
-    :ivar callers: with their ended calls.
-    :ivar night: with the submitted jobs.
+    :ivar callers: load generator with the completed calls.
+    :ivar night: batch load with the submitted jobs.
     """
 
     def __init__(self, local_run: LocalRun) -> None:
-        """Prepare.
+        """Create a load test without starting the load.
 
-        :param local_run: ready daemons.
+        :param local_run: run with ready daemons.
         """
         label = secrets.token_hex(_LABEL_BYTES)
         self.callers = Callers(
@@ -44,17 +44,17 @@
         self._run = local_run
 
     async def load(self, seconds: float) -> None:
-        """Call, and submit and cancel jobs.
+        """Generate the request and batch load.
 
-        :param seconds: how long new calls begin.
+        :param seconds: duration in which calls are started, in seconds.
         """
         await asyncio.gather(self.callers.run(seconds), self.night.run())
 
     async def report(self, seconds: float) -> RunReport:
-        """Wait for the end of the batch, with a cap, and audit the run.
+        """Wait for the jobs, up to a time limit, and audit the run.
 
-        :param seconds: length of the load, for the report.
-        :returns: the report.
+        :param seconds: duration of the load, in seconds, for the report.
+        :returns: report of the run.
         """
         trackers = await _wait_for_jobs(self._run)
         switches = self._run.switches
@@ -70,10 +70,10 @@
 
 
 async def read_servers(local_run: LocalRun) -> list[ServerAudit]:
-    """Ask all backend servers what ran.
+    """Read the audits of all backend servers.
 
-    :param local_run: where they are.
-    :returns: one audit for each.
+    :param local_run: run of the servers.
+    :returns: one audit per server.
     """
     return _servers_decoder.decode(await local_run.switches.server_audit())
 
@@ -81,11 +81,11 @@
 async def write_results(
     local_run: LocalRun, report: RunReport, directory: pathlib.Path
 ) -> str:
-    """Write report and time line while the daemons still run.
+    """Write the report and plot the timeline of the running daemons.
 
-    :param local_run: whose time line.
-    :param report: to write.
-    :param directory: where to.
+    :param local_run: run whose daemons are queried for their timelines.
+    :param report: report to write.
+    :param directory: target directory.
     :returns: text of the report.
     """
     text = report_text(report)
@@ -100,10 +100,10 @@
 
 
 async def _wait_for_jobs(local_run: LocalRun) -> list[DomainTracker]:
-    """Wait until the streams show no open job, with a cap.
+    """Wait until the log records no unfinished job, up to a time limit.
 
-    :param local_run: where the log is.
-    :returns: streams of all failure domains.
+    :param local_run: run whose platform holds the log.
+    :returns: replayed streams of all failure domains.
     """
     loop = asyncio.get_running_loop()
     until_s = loop.time() + _JOBS_TIMEOUT_S
