--- a/waxwingford_standins/audit.py
+++ b/waxwingford_standins/audit.py
@@ -94,7 +94,7 @@
     return [
         Finding(
             'work_on_leaving_server',
-            f'{server.server_id} got work '
+            f'{server.server_id} received work '
             f'{server.newest_work_after_leaving_ms} ms after it began to leave',
         )
         for server in servers
@@ -146,7 +146,7 @@
     if runs and NOT_RUN_OUTCOMES.issuperset(call.outcomes):
         yield Finding(
             'false_refusal',
-            f'{call.token}: {outcomes}, yet it ran {runs} times',
+            f'{call.token}: {outcomes}, but it ran {runs} times',
         )
     if call.outcome is CallOutcome.answered and not runs:
         yield Finding('answer_without_run', f'{call.token}: {outcomes}')
@@ -172,7 +172,7 @@
         if after.resume_from != checkpoint:
             yield Finding(
                 'resumed_from_elsewhere',
-                f'{_describe_run(after)} went on from {after.resume_from!r}, '
+                f'{_describe_run(after)} resumed from {after.resume_from!r}, '
                 f'expected {checkpoint!r}',
             )
 
--- a/waxwingford_standins/backend_server.py
+++ b/waxwingford_standins/backend_server.py
@@ -171,7 +171,9 @@
         :returns: handle and duration, or the reason of the refusal.
         """
         if call.service != self.vm.service:
-            return CallRefused(f'no service {call.service!r} here')
+            return CallRefused(
+                f'service {call.service!r} is not hosted on this server'
+            )
         self.advance(now_ms)
         colocated = [
             (attempt.start.kind, attempt.percent)
--- a/waxwingford_standins/report.py
+++ b/waxwingford_standins/report.py
@@ -194,7 +194,7 @@
     yield from (
         f'  {count:>6} {reason}' for reason, count in report.reasons.items()
     )
-    yield f'refused by servers for lack of a slot: {report.server_refusals}'
+    yield f'refused by servers since all slots were busy: {report.server_refusals}'
 
 
 def _batch_lines(batch: BatchReport) -> Iterator[str]:
@@ -206,10 +206,12 @@
         f'tasks of finished jobs: {batch.tasks_done} done, '
         f'{batch.tasks_failed} failed, {batch.tasks_cancelled} cancelled'
     )
-    yield f'attempts by end: {_format_counts(batch.attempts_by_phase)}'
+    yield f'attempts by final phase: {_format_counts(batch.attempts_by_phase)}'
     evictions = batch.attempts_by_phase.get('checkpointed', 0)
     yield f'evictions (checkpointed attempts): {evictions}'
-    yield from (f'impossible job: {line}' for line in batch.told_impossible)
+    yield from (
+        f'job that fits on no server: {line}' for line in batch.told_impossible
+    )
 
 
 def _format_counts(count_by_name: dict[str, int]) -> str:
--- a/waxwingford_standins/tests/audit_steps.py
+++ b/waxwingford_standins/tests/audit_steps.py
@@ -19,14 +19,14 @@
 
 
 def collected(context):
-    """Give what the scenario collected so far."""
+    """Return the calls, audits and jobs of the scenario."""
     if 'audit_evidence' not in context:
         context.audit_evidence = collections.defaultdict(list)
     return context.audit_evidence
 
 
 def add_server(context, server_id='s', runs=None, attempts=(), leaving_ms=-1):
-    """Add what one server ran."""
+    """Add the audit of a server."""
     audit = ServerAudit(
         server_id, runs or {}, runs or {}, list(attempts), 1, 0, leaving_ms
     )
@@ -69,28 +69,30 @@
 
 
 @given(
-    'attempt {attempt:d} of "{task_id}" ran afresh on "{server_id}" '
+    'attempt {attempt:d} of "{task_id}" ran without a checkpoint on "{server_id}" '
     'from {start_ms:d} to {end_ms:d} ms'
 )
-def attempt_afresh(context, attempt, task_id, server_id, start_ms, end_ms):
+def attempt_without_checkpoint(
+    context, attempt, task_id, server_id, start_ms, end_ms
+):
     run = AttemptRun(
         task_id, attempt, server_id, 'boot', start_ms, end_ms, 'done', ''
     )
     add_server(context, server_id, attempts=(run,))
 
 
-@given('the job "{job_id}" was accepted and is not in the log')
-def job_not_in_log(context, job_id):
+@given('the job "{job_id}" was accepted but is missing from the log')
+def job_missing_from_log(context, job_id):
     collected(context)['acknowledged'].append(job_id)
 
 
-@given('the log says that {count:d} task of "{job_id}" is done')
-def log_says_done(context, count, job_id):
+@given('the log records that {count:d} task of "{job_id}" is done')
+def log_records_done(context, count, job_id):
     collected(context)['finished'].append(FinishedJob(job_id, count, 0, 0))
 
 
 @given(
-    'server "{server_id}" got work {leaving_ms:d} ms after it began to leave'
+    'server "{server_id}" received work {leaving_ms:d} ms after it began to leave'
 )
 def work_after_leaving(context, server_id, leaving_ms):
     add_server(context, server_id, leaving_ms=leaving_ms)
--- a/waxwingford_standins/tests/backend_server.feature
+++ b/waxwingford_standins/tests/backend_server.feature
@@ -1,81 +1,77 @@
-Feature: Stand-in backend server
-  The contract that daemons build on: the server itself arbitrates who
-  commands it, ends what nobody renews and counts what it ran.
+Feature: Simulated backend server
+  Daemons rely on the server to arbitrate its control lease, to end attempts
+  whose lease expires and to record what it ran.
 
   Background:
-    Given a stand-in server with 4 slots, 8000 milli and 16000 MB
+    Given a simulated server with 4 slots, 8000 milli and 16000 MB
 
-  # Symptom: two daemons start one task on one server.
-  # Sequence: "a" is paused past its lease, "b" acquires, "a" goes on.
-  # Cause it rules out: a command under a stale epoch is carried out.
-  Scenario: A holder that was paused past its lease can do nothing
+  # Guards against the execution of commands under a stale epoch.
+  Scenario: A holder that was paused past its lease is denied
     When "a" acquires the server for 3000 ms
-    And 3000 ms pass at the stand-in
+    And 3000 ms pass at the simulated server
     And "b" acquires the server for 3000 ms
     And "a" starts task "t/0" under its old epoch
-    Then the stand-in denied it and names "b"
-    And the stand-in runs nothing
+    Then the request is denied since the holder is "b"
+    And the simulated server ran no attempt
 
-  # Symptom: an attempt runs again that was given up for lost.
-  # Sequence: its holder is frozen between two lines, thaws within its lease,
-  # and sends a renewal that it decided on long ago.
-  # Cause it rules out: a request that is older than it may be is carried out.
-  Scenario: A request that was held up for too long does nothing
+  # Guards against the execution of an outdated request from a holder that was
+  # paused before it sent the request.
+  Scenario: A request past its validity period is denied
     When "a" acquires the server for 9000 ms
-    And 2001 ms pass at the stand-in
-    And "a" starts task "t/0" by a request that is good for 2000 ms
-    Then the stand-in denied it and names "a"
-    And the stand-in runs nothing
+    And 2001 ms pass at the simulated server
+    And "a" starts task "t/0" by a request that is valid for 2000 ms
+    Then the request is denied since the holder is "a"
+    And the simulated server ran no attempt
 
-  Scenario: A new acquisition has a higher epoch, a renewal keeps it
+  Scenario: An acquisition increments the epoch, a renewal does not
     When "a" acquires the server for 3000 ms
     And "a" renews its lease for 3000 ms
-    Then the epoch rose by 0
+    Then the epoch increased by 0
     When "a" acquires the server for 3000 ms
-    Then the epoch rose by 1
+    Then the epoch increased by 1
 
-  Scenario: A lease that is held can't be acquired, one given up can
+  Scenario: A held lease can't be acquired until it is released
     When "a" acquires the server for 3000 ms
     And "b" acquires the server for 3000 ms
-    Then the stand-in denied it and names "a"
-    When "a" gives the server up
+    Then the request is denied since the holder is "a"
+    When "a" releases the server
     And "b" acquires the server for 3000 ms
-    Then the stand-in granted it
+    Then the request is granted
 
-  Scenario: An attempt that nobody renews lapses and stays until forgotten
+  Scenario: An attempt whose lease expires is reported until forgotten
     When "a" acquires the server for 9000 ms
     And "a" starts task "t/0" of 8000 ms under a lease of 2000 ms
-    And 1500 ms pass at the stand-in
+    And 1500 ms pass at the simulated server
     And "a" renews task "t/0" to 2000 ms
-    And 1900 ms pass at the stand-in
+    And 1900 ms pass at the simulated server
     Then task "t/0" is reported "running"
-    When 100 ms pass at the stand-in
+    When 100 ms pass at the simulated server
     Then task "t/0" is reported "lapsed"
     When "a" forgets task "t/0"
     Then task "t/0" is not reported
 
-  Scenario: An evicted attempt goes on from its checkpoint
+  Scenario: An evicted attempt resumes from its checkpoint
     When "a" acquires the server for 9000 ms
     And "a" starts task "t/0" of 5000 ms under a lease of 9000 ms
-    And 3000 ms pass at the stand-in
+    And 3000 ms pass at the simulated server
     And "a" checkpoints task "t/0"
     Then task "t/0" ended as "checkpointed" with "ckpt:t/0:1:3000"
     When "a" resumes task "t/0" of 5000 ms from "ckpt:t/0:1:3000"
-    And 1999 ms pass at the stand-in
+    And 1999 ms pass at the simulated server
     Then attempt 2 of task "t/0" is reported "running"
-    When 1 ms pass at the stand-in
+    When 1 ms pass at the simulated server
     Then attempt 2 of task "t/0" is reported "done"
 
-  Scenario: A throttled attempt takes longer
+  Scenario: A throttled attempt runs longer
     When "a" acquires the server for 90000 ms
     And "a" starts task "t/0" of 1000 ms under a lease of 90000 ms
     And "a" throttles task "t/0" to 50 percent
-    And 1999 ms pass at the stand-in
+    And 1999 ms pass at the simulated server
     Then task "t/0" is reported "running"
-    When 1 ms pass at the stand-in
+    When 1 ms pass at the simulated server
     Then task "t/0" is reported "done"
 
-  Scenario Outline: Starts that are refused
+  Scenario Outline: Refused starts
     When "a" acquires the server for 9000 ms
     And "a" starts task "t/0" of 5000 ms under a lease of 9000 ms
     And <event>
@@ -84,29 +80,29 @@
 
     Examples:
       | event                      | task | milli | reason                      |
-      | nothing else happens       | u/0  | 7000  | not enough processors_milli |
-      | nothing else happens       | t/0  | 1000  | task runs here already      |
+      | no other event occurs      | u/0  | 7000  | not enough processors_milli |
+      | no other event occurs      | t/0  | 1000  | task runs here already      |
       | the server begins to leave | u/0  | 1000  | server is leaving           |
 
-  Scenario: A server that died runs nothing and says so by its boot
+  Scenario: A crashed server loses its attempts and changes its boot id
     When "a" acquires the server for 9000 ms
     And "a" starts task "t/0" of 5000 ms under a lease of 9000 ms
-    And the server dies
+    And the simulated server crashes
     And "b" acquires the server for 3000 ms
-    Then the boot id is another one
+    Then the boot id changed
     And task "t/0" is not reported
-    And the audit still knows task "t/0"
+    And the audit still contains task "t/0"
 
-  Scenario: Usage arrives with its lag and says how old it is
+  Scenario: Usage samples are delayed and carry their age
     Given usage windows of 1000 ms reported after 2000 ms
     When "a" acquires the server for 9000 ms
-    And 1000 ms pass at the stand-in
+    And 1000 ms pass at the simulated server
     And "a" renews its lease for 9000 ms
-    Then 0 usage samples came
-    When 2000 ms pass at the stand-in
+    Then 0 usage samples are reported
+    When 2000 ms pass at the simulated server
     And "a" renews its lease for 9000 ms
     Then the first of 1 usage samples is 2000 ms old
 
-  Scenario: The server itself keeps to its slots
-    When 5 requests reach the stand-in at once
+  Scenario: Requests above the number of slots are refused
+    When 5 concurrent requests reach the simulated server
     Then 4 of them run and 1 is refused
--- a/waxwingford_standins/tests/backend_server_steps.py
+++ b/waxwingford_standins/tests/backend_server_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the stand-in backend server's core."""
+"""Steps for the simulated backend server."""
 
 import msgspec
 from behave import given, then, when
@@ -26,7 +26,7 @@
 
 
 def exchange(context, holder, *commands, lease_ms=LEASE_MS, **fields):
-    """Send commands under the epoch that the holder has."""
+    """Send a control request under the current epoch of the holder."""
     request = ControlRequest(
         holder,
         context.epochs.get(holder, 0),
@@ -41,7 +41,7 @@
 
 
 def start_command(task_id, run_ms, attempt=1, milli=4000, **fields):
-    """Build a start."""
+    """Build a start command."""
     payload = msgspec.json.encode(Work(run_ms)).decode()
     fields = {'resume_from': '', 'lease_ms': LEASE_MS} | fields
     return StartTask(
@@ -53,8 +53,8 @@
     )
 
 
-@given('a stand-in server with {slots:d} slots, {milli:d} milli and {mb:d} MB')
-def stand_in_server(context, slots, milli, mb):
+@given('a simulated server with {slots:d} slots, {milli:d} milli and {mb:d} MB')
+def simulated_server(context, slots, milli, mb):
     size = Resources(milli, mb)
     vm = Vm('s', 'd', 'r', 'h', 1, VmState.live, size, slots, 64, 'dispatcher')
     context.server = BackendServerCore(vm, ServiceModel('dispatcher'))
@@ -86,12 +86,12 @@
     exchange(context, holder, lease_ms=lease_ms)
 
 
-@when('"{holder}" gives the server up')
-def give_up(context, holder):
+@when('"{holder}" releases the server')
+def release_server(context, holder):
     exchange(context, holder, lease_ms=0)
 
 
-@when('{step_ms:d} ms pass at the stand-in')
+@when('{step_ms:d} ms pass at the simulated server')
 def time_passes(context, step_ms):
     context.clock.advance(step_ms)
 
@@ -112,7 +112,7 @@
 
 @when(
     '"{holder}" starts task "{task_id}" by a request '
-    'that is good for {good_for_ms:d} ms'
+    'that is valid for {good_for_ms:d} ms'
 )
 def start_late(context, holder, task_id, good_for_ms):
     exchange(
@@ -156,8 +156,8 @@
     exchange(context, holder, ForgetTask(TaskKey(task_id, 1)))
 
 
-@when('nothing else happens')
-def nothing_happens(context):
+@when('no other event occurs')
+def no_other_event(context):
     context.clock.advance(0)
 
 
@@ -166,12 +166,12 @@
     context.server.leave(context.clock.monotonic_ms())
 
 
-@when('the server dies')
-def server_dies(context):
+@when('the simulated server crashes')
+def server_crashes(context):
     context.server.die(context.clock.monotonic_ms())
 
 
-@when('{count:d} requests reach the stand-in at once')
+@when('{count:d} concurrent requests reach the simulated server')
 def requests_reach(context, count):
     calls = [
         ServiceCall(f'r{number}', 'dispatcher', 'p', b'', 1000)
@@ -180,30 +180,30 @@
     context.calls = [context.server.begin_call(call, 0) for call in calls]
 
 
-@then('the stand-in denied it and names "{holder}"')
+@then('the request is denied since the holder is "{holder}"')
 def denied(context, holder):
     assert isinstance(context.reply, ControlDenied), context.reply
     assert context.reply.holder == holder, context.reply
 
 
-@then('the stand-in granted it')
+@then('the request is granted')
 def granted(context):
     assert isinstance(context.reply, ControlGranted), context.reply
 
 
-@then('the stand-in runs nothing')
+@then('the simulated server ran no attempt')
 def runs_nothing(context):
     audit = context.server.audit(context.clock.monotonic_ms())
     assert not audit.attempts, audit
 
 
-@then('the epoch rose by {step:d}')
-def epoch_rose(context, step):
+@then('the epoch increased by {step:d}')
+def epoch_increased(context, step):
     assert context.reply.epoch == context.earlier_epoch + step, context.reply
 
 
 def report_of(context, task_id, attempt):
-    """Ask the present holder's server for one report."""
+    """Request the report of an attempt as the current holder."""
     reply = exchange(context, next(iter(context.epochs)))
     reports = {report.key: report for report in reply.tasks}
     return reports.get(TaskKey(task_id, attempt))
@@ -233,23 +233,23 @@
 
 @then('the start is refused since "{reason}"')
 def start_refused(context, reason):
-    reasons = [told for _, told in context.reply.refused]
+    reasons = [found for _, found in context.reply.refused]
     assert reasons == [reason], reasons
 
 
-@then('the boot id is another one')
-def other_boot(context):
+@then('the boot id changed')
+def boot_id_changed(context):
     assert context.reply.boot_id != context.first_boot_id, context.reply
 
 
-@then('the audit still knows task "{task_id}"')
-def audit_knows(context, task_id):
+@then('the audit still contains task "{task_id}"')
+def audit_contains(context, task_id):
     audit = context.server.audit(context.clock.monotonic_ms())
     assert [run.task_id for run in audit.attempts] == [task_id], audit
 
 
-@then('{count:d} usage samples came')
-def samples_came(context, count):
+@then('{count:d} usage samples are reported')
+def samples_reported(context, count):
     assert len(context.reply.usage) == count, context.reply.usage
 
 
--- a/waxwingford_standins/tests/faults.feature
+++ b/waxwingford_standins/tests/faults.feature
@@ -1,90 +1,75 @@
-Feature: A deployment of real processes under faults
-  Callers and a night's batch load four daemons in two failure domains while
-  something fails. The audit compares what callers saw and what the log says
-  with what the backend servers ran.
+Feature: Fault injection into a deployment of real processes
+  Four daemons in two failure domains are under request and batch load during
+  each fault. The audit compares responses and log with what the servers ran.
 
-  # Symptom: evicted work starts afresh, or goes on in two places.
-  # Sequence: operators evict everything that runs while a part of the control
-  # answers is lost: the holder can't know which checkpoints were taken.
-  Scenario: Everything is evicted in a wave
-    Given the small deployment runs
-    When it is loaded while all tasks are evicted and answers are lost
-    Then the audit finds nothing
-    And every accepted job ended
-    And some tasks went on from their checkpoints
+  # Guards against evicted tasks that restart from the beginning or run twice
+  # when replies to checkpoint commands are lost.
+  Scenario: All tasks are evicted at once
+    Given the small deployment is running
+    When it is under load while all tasks are evicted and replies are lost
+    Then the audit has no findings
+    And every accepted job finished
+    And some tasks resumed from their checkpoints
 
-  # Symptom: work on a VM that is about to go is cut off or lost.
-  # Sequence: a backend server says that it is leaving; work goes on coming.
-  Scenario: A backend server leaves
-    Given the small deployment runs
-    When it is loaded while a backend server leaves
-    Then the audit finds nothing
-    And every accepted job ended
+  # Guards against work that is placed on a leaving server.
+  Scenario: A backend server enters the leaving state
+    Given the small deployment is running
+    When it is under load while a backend server enters the leaving state
+    Then the audit has no findings
+    And every accepted job finished
 
-  # Symptom: a task or a reservation runs twice, or a job is forgotten.
-  # Sequence: the process dies with claims, calls and leases in its memory;
-  # servers run its requests only afterwards, callers have come back elsewhere.
-  # Cause to rule out: something that must last stood only in that memory.
-  Scenario: A daemon is killed
-    Given the small deployment runs
-    When it is loaded while a daemon is killed and started again
-    Then the audit finds nothing
-    And every accepted job ended
+  # Guards against state that must be durable but was only held in memory: a
+  # request or task runs twice, or a job is lost.
+  Scenario: A daemon is killed and restarted
+    Given the small deployment is running
+    When it is under load while a daemon is killed and restarted
+    Then the audit has no findings
+    And every accepted job finished
 
-  # Symptom: two holders command one backend server.
-  # Sequence: a holder is frozen past its lease, another takes over, the first
-  # goes on in the middle of its line. Cause to rule out: a lease checked
-  # before the freeze and not again.
-  Scenario: A daemon is frozen past its leases
-    Given the small deployment runs
-    When it is loaded while a daemon is frozen past its leases
-    Then the audit finds nothing
-    And every accepted job ended
+  # Guards against a lease that is checked before the pause but not after it.
+  Scenario: A daemon is paused past its leases
+    Given the small deployment is running
+    When it is under load while a daemon is paused past its leases
+    Then the audit has no findings
+    And every accepted job finished
 
-  # Symptom: a task starts without a claim, or results are lost.
-  # Sequence: the log hangs; appends take effect only when it comes back.
-  # Cause to rule out: an append without an answer taken for one that failed.
-  Scenario: The log is away, and answers of appends are lost
-    Given the small deployment runs
-    When it is loaded while the log hangs and then loses answers
-    Then the audit finds nothing
-    And every accepted job ended
+  # Guards against an unacknowledged append that is treated as failed.
+  Scenario: The log hangs and then loses acknowledgements
+    Given the small deployment is running
+    When it is under load while the log hangs and then loses acknowledgements
+    Then the audit has no findings
+    And every accepted job finished
     And most calls were answered
 
-  # Symptom: claimed work is started by two, or what was accepted is gone.
-  # Sequence: the log hangs with appends in flight, their writer dies, another
-  # takes its servers over without reading what the log will still take in.
-  # Cause to rule out: a takeover that trusts a state older than the outage.
-  Scenario: A daemon is killed while the log is away
-    Given the small deployment runs
-    When it is loaded while a daemon is killed while the log is away
-    Then the audit finds nothing
-    And every accepted job ended
+  # Guards against a takeover based on state from before the outage, when
+  # appends of the killed daemon are still in flight.
+  Scenario: A daemon is killed while the log hangs
+    Given the small deployment is running
+    When it is under load while a daemon is killed while the log hangs
+    Then the audit has no findings
+    And every accepted job finished
 
-  # Symptom: callers of a failure domain that is cut off get no answers, or its
-  # tasks run again elsewhere. Cause to rule out: serving that depends on what
-  # is outside.
-  Scenario: A failure domain is cut off
-    Given the small deployment runs
-    When it is loaded while a failure domain is cut off
-    Then the audit finds nothing
-    And every accepted job ended
-    And callers of the failure domain were answered during the cut
+  # Guards against serving that depends on anything outside of the failure
+  # domain, and against its tasks running again elsewhere.
+  Scenario: A failure domain is partitioned
+    Given the small deployment is running
+    When it is under load while a failure domain is partitioned
+    Then the audit has no findings
+    And every accepted job finished
+    And callers of the failure domain were answered during the partition
 
-  # Symptom: a task runs on although its end stands in the log.
-  # Sequence: a server dies; others lose control answers after the effect.
-  Scenario: A backend server dies and others lose their answers
-    Given the small deployment runs
-    When it is loaded while a backend server dies and answers are lost
-    Then the audit finds nothing
-    And some attempts ended with their server
-    And every accepted job ended
+  # Guards against tasks that keep running after their end was logged.
+  Scenario: A backend server crashes and others lose control replies
+    Given the small deployment is running
+    When it is under load while a backend server crashes and replies are lost
+    Then the audit has no findings
+    And some attempts ended by a server crash
+    And every accepted job finished
 
-  # Symptom: a caller's answer ends in the middle, or never comes.
-  # Sequence: a planned stop while requests are in progress.
-  Scenario: A daemon is asked to stop
-    Given the small deployment runs
-    When it is loaded while a daemon is asked to stop
-    Then the audit finds nothing
-    And no call was broken off
-    And the daemon ended by itself with code 0
+  # Guards against a graceful stop that cuts off requests in progress.
+  Scenario: A daemon is terminated gracefully
+    Given the small deployment is running
+    When it is under load while a daemon is terminated gracefully
+    Then the audit has no findings
+    And no call was cut off by a connection error
+    And the daemon exited by itself with code 0
--- a/waxwingford_standins/tests/faults_steps.py
+++ b/waxwingford_standins/tests/faults_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a deployment of real processes under faults."""
+"""Steps for fault injection into a deployment of real processes."""
 
 import asyncio
 import pathlib
@@ -15,19 +15,19 @@
 
 SMALL = pathlib.Path(__file__).parent / 'small'
 LOAD_S = 4
-#: Longer than the control lease of a local run.
+#: Exceeds the control lease of a local run.
 FREEZE_S = 3.6
 MIN_ANSWERED_SHARE = 0.5
 ISOLATED_DOMAIN = 'gulberg'
 CUT_S = 3
-#: Time in which a daemon may find out that a peer is cut off.
+#: Time for a daemon to detect that a peer is unreachable, in seconds.
 DETECTION_S = 1
-#: One deployment serves all scenarios: its start is most of their cost.
+#: Deployment shared by all scenarios, since starting it is slow.
 shared = {}
 
 
 def print_progress(line):
-    """Print a progress line, which behave shows for failed steps."""
+    """Print a progress message, which behave shows for failed steps."""
     sys.stdout.write(f'{line}\n')
 
 
@@ -40,8 +40,8 @@
     shared.clear()
 
 
-@given('the small deployment runs')
-def small_deployment_runs(context):
+@given('the small deployment is running')
+def small_deployment_running(context):
     if not shared:
         directory = tempfile.TemporaryDirectory()
         shared.update(
@@ -63,7 +63,7 @@
 
 
 async def kill_daemon(local_run):
-    """Kill a daemon while servers hold its requests, and start it again."""
+    """Kill and restart a daemon while servers hold its requests."""
     await asyncio.sleep(2)
     await local_run.switches.server_fault(
         failure_domain=ISOLATED_DOMAIN, frozen=True
@@ -78,7 +78,7 @@
 
 
 async def freeze_daemon(local_run):
-    """Stop a daemon for longer than its leases last."""
+    """Pause a daemon for longer than its leases."""
     await asyncio.sleep(1)
     local_run.processes.send('small-2', signal.SIGSTOP)
     await asyncio.sleep(FREEZE_S)
@@ -86,10 +86,10 @@
 
 
 async def hang_log(local_run):
-    """Let the log hang, then lose a part of its acknowledgements."""
+    """Make the log hang, then lose some of its acknowledgements."""
     await asyncio.sleep(0.5)
     await local_run.switches.platform_fault(outage='hang')
-    # Longer than the daemons wait for an answer of the log.
+    # Exceeds the daemons' timeout for requests to the log.
     await asyncio.sleep(2.5)
     await local_run.switches.platform_fault(outage='none', lost_share=0.6)
     await asyncio.sleep(2)
@@ -97,12 +97,12 @@
 
 
 async def kill_without_log(local_run):
-    """Kill a daemon while the log hangs, and start it before that ends."""
+    """Kill and restart a daemon while the log hangs."""
     await asyncio.sleep(1)
     await local_run.switches.platform_fault(outage='hang')
     await asyncio.sleep(1)
     local_run.processes.send('small-1', signal.SIGKILL)
-    # Longer than the leases last: another takes over without the log.
+    # Let the leases expire, so that another daemon takes over without the log.
     await asyncio.sleep(FREEZE_S)
     await local_run.start_daemon('small-1')
     await asyncio.sleep(1)
@@ -110,7 +110,7 @@
 
 
 async def isolate_domain(local_run):
-    """Cut a failure domain off from the other and from the platform."""
+    """Partition a failure domain from its peers and the platform."""
     await asyncio.sleep(1)
     await local_run.switches.isolate(ISOLATED_DOMAIN)
     shared['cut_s'] = asyncio.get_running_loop().time()
@@ -119,7 +119,7 @@
 
 
 async def busy_server(local_run):
-    """Wait for the first batch work and name a server that runs some."""
+    """Wait for a running batch attempt and return the id of its server."""
     while True:
         for server in await read_servers(local_run):
             if any(run.phase == 'running' for run in server.attempts):
@@ -128,7 +128,7 @@
 
 
 async def kill_server(local_run):
-    """Let a busy server die; all lose a part of their control answers."""
+    """Crash a busy server while control responses are lost."""
     await local_run.switches.server_fault(lost_control_share=0.2)
     server_id = await busy_server(local_run)
     await local_run.switches.server_fault(
@@ -139,7 +139,7 @@
 
 
 async def evict_tasks(local_run):
-    """Evict everything while a part of the control answers is lost."""
+    """Evict all tasks while control responses are lost."""
     await local_run.switches.server_fault(lost_control_share=0.2)
     await asyncio.sleep(1)
     shared['evicted'] = await shared['trial'].night.evict_all()
@@ -149,31 +149,31 @@
 
 
 async def leave_server(local_run):
-    """Let a busy server leave."""
+    """Put a busy server into the leaving state."""
     server_id = await busy_server(local_run)
     await local_run.switches.server_fault(server_id=server_id, leave=True)
 
 
 async def stop_daemon(local_run):
-    """Stop a daemon as planned."""
+    """Terminate a daemon gracefully."""
     await asyncio.sleep(1)
     local_run.processes.send('small-3', signal.SIGTERM)
 
 
 FAULT_BY_NAME = {
-    'a daemon is killed and started again': kill_daemon,
-    'a daemon is frozen past its leases': freeze_daemon,
-    'the log hangs and then loses answers': hang_log,
-    'a daemon is killed while the log is away': kill_without_log,
-    'a failure domain is cut off': isolate_domain,
-    'a backend server dies and answers are lost': kill_server,
-    'all tasks are evicted and answers are lost': evict_tasks,
-    'a backend server leaves': leave_server,
-    'a daemon is asked to stop': stop_daemon,
+    'a daemon is killed and restarted': kill_daemon,
+    'a daemon is paused past its leases': freeze_daemon,
+    'the log hangs and then loses acknowledgements': hang_log,
+    'a daemon is killed while the log hangs': kill_without_log,
+    'a failure domain is partitioned': isolate_domain,
+    'a backend server crashes and replies are lost': kill_server,
+    'all tasks are evicted and replies are lost': evict_tasks,
+    'a backend server enters the leaving state': leave_server,
+    'a daemon is terminated gracefully': stop_daemon,
 }
 
 
-@when('it is loaded while {fault}')
+@when('it is under load while {fault}')
 def load_while(context, fault):
     local_run = shared['local_run']
     context.trial = LoadTest(local_run)
@@ -189,7 +189,7 @@
     print_progress(context.report)
 
 
-@then('the audit finds nothing')
+@then('the audit has no findings')
 def audit_clean(context):
     new = set(context.report.findings) - shared['findings']
     shared['findings'] |= new
@@ -197,21 +197,21 @@
     assert context.trial.callers.calls
 
 
-@then('every accepted job ended')
-def jobs_ended(context):
+@then('every accepted job finished')
+def jobs_finished(context):
     batch = context.report.batch
     assert batch.accepted and not batch.unfinished, batch
 
 
-@then('some tasks went on from their checkpoints')
-def went_on(context):
+@then('some tasks resumed from their checkpoints')
+def tasks_resumed(context):
     phases = context.report.batch.attempts_by_phase
     assert shared['evicted'], phases
     assert phases.get('checkpointed'), phases
 
 
-@then('some attempts ended with their server')
-def ended_with_server(context):
+@then('some attempts ended by a server crash')
+def ended_by_crash(context):
     servers = shared['runner'].run(read_servers(shared['local_run']))
     details = {run.detail for server in servers for run in server.attempts}
     assert 'server died' in details, details
@@ -224,8 +224,8 @@
     assert answered > MIN_ANSWERED_SHARE * len(outcomes), context.report.reasons
 
 
-@then('callers of the failure domain were answered during the cut')
-def answered_in_cut(context):
+@then('callers of the failure domain were answered during the partition')
+def answered_in_partition(context):
     inside = {
         daemon.daemon_id
         for daemon in shared['local_run'].layout.daemons
@@ -243,7 +243,7 @@
     assert answered > MIN_ANSWERED_SHARE * len(outcomes), context.report.reasons
 
 
-@then('no call was broken off')
+@then('no call was cut off by a connection error')
 def none_broken_off(context):
     seen = {
         outcome
@@ -253,8 +253,8 @@
     assert CallOutcome.broken_off not in seen, context.report.reasons
 
 
-@then('the daemon ended by itself with code {code:d}')
-def ended_with(context, code):
+@then('the daemon exited by itself with code {code:d}')
+def daemon_exited(context, code):
     process = shared['local_run'].processes.process_by_name['small-3']
     shared['runner'].run(asyncio.wait_for(process.wait(), 15))
     assert process.returncode == code, process.returncode
--- a/waxwingford_standins/tests/launcher_steps.py
+++ b/waxwingford_standins/tests/launcher_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the launcher, as a real process."""
+"""Steps for the launcher, run as a process."""
 
 import pathlib
 import signal
@@ -22,7 +22,7 @@
 
 @fixture
 def launcher_process(context):
-    """Run a launcher in a directory of its own."""
+    """Run a launcher in a temporary directory."""
     with tempfile.TemporaryDirectory() as directory:
         context.output = pathlib.Path(directory)
         context.launcher = subprocess.Popen(
@@ -41,7 +41,7 @@
             stdout=subprocess.DEVNULL,
             text=True,
         )
-        # A launcher that says nothing more would hold the test up for ever.
+        # Keeps a launcher that stops writing output from blocking the test.
         watchdog = threading.Timer(TIMEOUT_S, context.launcher.terminate)
         watchdog.start()
         yield
@@ -56,14 +56,14 @@
     use_fixture(launcher_process, context)
 
 
-@given('a deployment file in which "{text}" reads "{other}"')
-def deployment_with_mistake(context, text, other):
+@given('a deployment file with "{text}" replaced by "{other}"')
+def invalid_deployment(context, text, other):
     source = (TESTS / 'small' / 'deployment.toml').read_text()
     context.deployment_text = source.replace(text, other)
 
 
-@when('it says "{text}" and gets SIGTERM')
-def says_and_gets_sigterm(context, text):
+@when('it prints "{text}" and receives SIGTERM')
+def prints_and_receives_sigterm(context, text):
     context.output_lines = []
     for line in context.launcher.stderr:
         context.output_lines.append(line)
@@ -94,8 +94,8 @@
             assert probe.connect_ex(('127.0.0.1', port)), port
 
 
-@then('it is refused for "{text}"')
-def refused_for(context, text):
+@then('it is rejected with "{text}"')
+def rejected_with(context, text):
     assert any(text in problem for problem in context.problems), (
         context.problems
     )
--- a/waxwingford_standins/tests/platform_steps.py
+++ b/waxwingford_standins/tests/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the stand-in platform's cores."""
+"""Steps for the simulated log and VM list."""
 
 from behave import given, then, when
 
@@ -20,64 +20,64 @@
 
 
 def create_log(context, limits=None):
-    """Start a log at time zero."""
+    """Create a log and a clock at time zero."""
     context.clock = ManualClock()
     context.log = LogCore(limits or LogLimits())
 
 
-@given('a stand-in log')
-def stand_in_log(context):
+@given('a simulated log')
+def simulated_log(context):
     create_log(context)
 
 
-@given('a stand-in log that loses {percent:d} percent of acknowledgements')
+@given('a simulated log that loses {percent:d} percent of acknowledgements')
 def log_that_loses(context, percent):
     create_log(context)
     context.log.faults.lost_share = percent / 100
 
 
-@given('a stand-in log that keeps {count:d} entries')
-def log_that_keeps(context, count):
+@given('a simulated log that retains {count:d} entries')
+def log_that_retains(context, count):
     create_log(context, LogLimits(retain_entries=count))
 
 
-@given('a stand-in log that keeps entries for {age_ms:d} ms')
-def log_that_keeps_for(context, age_ms):
+@given('a simulated log that retains entries for {age_ms:d} ms')
+def log_that_retains_for(context, age_ms):
     create_log(context, LogLimits(retain_ms=age_ms))
 
 
-@given('a stand-in log that takes {count:d} appends a second')
-def log_that_takes(context, count):
+@given('a simulated log that accepts {count:d} appends a second')
+def log_that_accepts(context, count):
     create_log(context, LogLimits(appends_per_second=count))
 
 
-@given('a stand-in list with a lag of {lag_ms:d} ms')
-def stand_in_list(context, lag_ms):
+@given('a simulated VM list with a lag of {lag_ms:d} ms')
+def simulated_list(context, lag_ms):
     context.clock = ManualClock()
     context.vms = VmListCore()
     context.vms.faults.lag_ms = lag_ms
 
 
-@when('"{payload}" is appended to the stand-in log')
+@when('"{payload}" is appended to the simulated log')
 def append_one(context, payload):
     context.appended = context.log.append(
         STREAM, payload.encode(), context.clock.monotonic_ms()
     )
 
 
-@when('"{payloads}" are appended to the stand-in log')
+@when('"{payloads}" are appended to the simulated log')
 def append_many(context, payloads):
     for payload in payloads.split(', '):
         append_one(context, payload)
 
 
-@when('the stand-in log goes out of service')
-def log_goes(context):
+@when('the simulated log goes out of service')
+def log_outage(context):
     context.log.faults.outage = Outage.refuse
 
 
-@when('the stand-in log comes back')
-def log_returns(context):
+@when('the simulated log recovers')
+def log_recovers(context):
     context.log.faults.outage = Outage.none
 
 
@@ -95,7 +95,7 @@
     context.vms.heartbeat(vm, context.clock.monotonic_ms())
 
 
-@then('the append is unknown')
+@then('the outcome of the append is unknown')
 def append_unknown(context):
     assert isinstance(context.appended, AppendUnknown), context.appended
 
@@ -108,23 +108,23 @@
 
 
 def read_all(context):
-    """Read from the start of the stream."""
+    """Read the stream from its first offset."""
     return context.log.read(STREAM, 0, 10, context.clock.monotonic_ms())
 
 
-@then("the stand-in log can't be read")
+@then("the simulated log can't be read")
 def cannot_read(context):
     assert isinstance(read_all(context), LogUnavailable)
 
 
-@then('the stand-in log holds "" from offset {offset:d}')
+@then('the simulated log holds "" from offset {offset:d}')
 def holds_nothing(context, offset):
     block = read_all(context)
     assert isinstance(block, LogRead), block
     assert (block.entries, block.oldest_offset) == ((), offset), block
 
 
-@then('the stand-in log holds "{payloads}" from offset {offset:d}')
+@then('the simulated log holds "{payloads}" from offset {offset:d}')
 def holds(context, payloads, offset):
     block = read_all(context)
     found = ', '.join(entry.payload.decode() for entry in block.entries)
@@ -132,22 +132,22 @@
     assert block.entries[0].offset == offset, block
 
 
-@then('its head is {offset:d}')
-def head_is(context, offset):
+@then('the next offset is {offset:d}')
+def next_offset_is(context, offset):
     assert read_all(context).next_offset == offset
 
 
 def listed_vms(context):
-    """Read the list as text."""
+    """Return the VM list as text."""
     listed = context.vms.read(context.clock.monotonic_ms()).vms
     return ', '.join(f'{vm.server_id} {vm.state}' for vm in listed)
 
 
-@then('the stand-in list shows ""')
+@then('the simulated VM list shows ""')
 def shows_nothing(context):
     assert not listed_vms(context), listed_vms(context)
 
 
-@then('the stand-in list shows "{vms}"')
+@then('the simulated VM list shows "{vms}"')
 def shows(context, vms):
     assert listed_vms(context) == vms, listed_vms(context)
--- a/waxwingford_standins/tests/server_changes_steps.py
+++ b/waxwingford_standins/tests/server_changes_steps.py
@@ -1,4 +1,4 @@
-"""Steps for answers that name only what changed."""
+"""Steps for control replies that report only changed attempts."""
 
 from behave import given, then, when
 
@@ -52,7 +52,9 @@
     )  # fmt: skip
 
 
-@given('a changing server with attempts "{one}" and "{other}" running')
+@given(
+    'a server that reports changes with attempts "{one}" and "{other}" running'
+)
 def changing_server(context, one, other):
     vm = Vm(
         's0', 'g', 'r', '127.0.0.1', 1, VmState.live,
@@ -67,20 +69,20 @@
     ask(context, start_command(one), start_command(other))
 
 
-@when('the holder asks again with what it knows')
-def asks_again(context):
+@when('the holder requests changes since its version')
+def requests_changes(context):
     ask(context)
 
 
-@when('the holder asks for everything')
-def asks_for_all(context):
+@when('the holder requests all attempts')
+def requests_all(context):
     ask(context, known=0)
 
 
 @when(
-    'attempt "{name}" is stopped and the holder asks again with what it knows'
+    'attempt "{name}" is stopped and the holder requests changes since its version'
 )
-def stopped_and_asks(context, name):
+def stopped_and_requests_changes(context, name):
     ask(context, StopTask(task_key(name)))
 
 
@@ -88,15 +90,15 @@
     return ', '.join(sorted(report.key.task_id[6] for report in reports))
 
 
-@then('the answer is a delta that names "{listed}"')
-@then('the answer is a delta that names ""')
+@then('the reply is a delta that reports "{listed}"')
+@then('the reply is a delta that reports ""')
 def is_delta(context, listed=''):
     assert context.answer.is_delta
     assert names(context.answer.tasks) == listed, context.answer
     assert names(context.holder.report_by_key.values()) == 'a, b'
 
 
-@then('the answer is whole and names "{listed}"')
+@then('the reply is complete and reports "{listed}"')
 def is_whole(context, listed):
     assert not context.answer.is_delta
     assert names(context.answer.tasks) == listed, context.answer
@@ -109,19 +111,19 @@
 
 
 @when(
-    'the holder renews all that it knows except "{name}" for {seconds:d} '
+    'the holder renews all known attempts except "{name}" for {seconds:d} '
     'seconds'
 )
 def renews_except(context, name, seconds):
     renew_for(context, seconds, context.holder.known, (task_key(name),))
 
 
-@when('attempt "{name}" starts and its answer is lost')
-def starts_unseen(context, name):
+@when('attempt "{name}" starts and the reply is lost')
+def starts_with_lost_reply(context, name):
     exchange(context, start_command(name))
 
 
-@when('the holder renews all that it knew before for {seconds:d} seconds')
+@when('the holder renews all known attempts for {seconds:d} seconds')
 def renews_known(context, seconds):
     renew_for(context, seconds, context.holder.known, ())
 
@@ -134,17 +136,17 @@
     assert found[task_key(other)] == other_phase, found
 
 
-@when('"{name}" is stopped, and forgotten in an exchange whose answer is lost')
-def forgotten_unseen(context, name):
+@when('"{name}" is stopped and forgotten, and the reply is lost')
+def forgotten_with_lost_reply(context, name):
     ask(context, StopTask(task_key(name)))
     exchange(context, ForgetTask(task_key(name)))
 
 
-@when('the holder forgets "{name}" once more')
+@when('the holder forgets "{name}" again')
 def forgets_again(context, name):
     ask(context, ForgetTask(task_key(name)))
 
 
-@then('the holder knows of "{listed}" only')
+@then('the holder knows only "{listed}"')
 def holder_knows(context, listed):
     assert names(context.holder.report_by_key.values()) == listed
--- a/waxwingford_standins/tests/tls_steps.py
+++ b/waxwingford_standins/tests/tls_steps.py
@@ -1,4 +1,4 @@
-"""Steps for real daemons with certificates."""
+"""Steps for daemons that authenticate each other by TLS certificates."""
 
 import asyncio
 import functools
@@ -29,13 +29,13 @@
 TIMEOUT_S = 20
 HEARTBEAT_S = 1
 TIMEOUT_MS = 2000
-#: One deployment serves both scenarios: its start is most of their cost.
+#: Deployment shared by both scenarios, since starting it is slow.
 shared = {}
 
 
 def create_run(directory):
     deployment = load_deployment(SMALL / 'deployment.toml')
-    # One server, so that the daemon without it has to forward.
+    # With a single server, the daemon that does not hold it must forward.
     domain = DomainPlan(name=DOMAIN, daemons=(*TRUSTED, UNTRUSTED), racks=(1,))
     return LocalRun(
         deployment.model_copy(update={'failure_domains': (domain,)}),
@@ -88,16 +88,19 @@
 
 
 async def untrusted_runs():
-    # Never ready: it holds no server and hears of no peer that has room.
+    # It never becomes ready, as it has neither a server nor a usable peer.
     status = await fetch_status(UNTRUSTED)
     return status.get('bundle', {}).get('version')
 
 
 def trust_first_authority():
-    """Let the stranger trust the others, so that only they can refuse."""
-    stranger = pathlib.Path(load_daemon_settings(UNTRUSTED).tls.authority_file)
-    good = pathlib.Path(load_daemon_settings(TRUSTED[0]).tls.authority_file)
-    stranger.write_bytes(stranger.read_bytes() + good.read_bytes())
+    """Add the trusted authority to those of the untrusted daemon.
+
+    Rejections are then due to the certificate checks of the other daemons.
+    """
+    untrusted = pathlib.Path(load_daemon_settings(UNTRUSTED).tls.authority_file)
+    trusted = pathlib.Path(load_daemon_settings(TRUSTED[0]).tls.authority_file)
+    untrusted.write_bytes(untrusted.read_bytes() + trusted.read_bytes())
 
 
 async def start_all():
@@ -108,14 +111,14 @@
         assert not reason, reason
     for daemon_id in TRUSTED:
         await run.start_daemon(daemon_id)
-    # The stranger comes later: alone, it would take the only server.
+    # Started last, as it could otherwise acquire the only server.
     await poll(one_holds_server)
     await run.start_daemon(UNTRUSTED)
     await poll(untrusted_runs)
 
 
 def run_sync(coroutine):
-    """Run a coroutine to its end."""
+    """Run a coroutine to completion."""
     return shared['runner'].run(coroutine)
 
 
@@ -126,7 +129,7 @@
     shared.clear()
 
 
-@given('daemons with certificates run, and a stranger beside them')
+@given('two trusted daemons and an untrusted daemon run')
 def certified_daemons(context):
     if shared:
         return
@@ -138,7 +141,7 @@
     run_sync(start_all())
 
 
-@then('the daemons with certificates hear each other')
+@then('the trusted daemons receive heartbeats from each other')
 def hear_each_other(context):
     async def _heard():
         seen = [await alive_peers(daemon_id) for daemon_id in TRUSTED]
@@ -147,8 +150,8 @@
     run_sync(poll(_heard))
 
 
-@then('nobody hears the stranger for {rounds:d} rounds of heartbeats')
-def stranger_unheard(context, rounds):
+@then('the untrusted daemon exchanges no heartbeats for {rounds:d} rounds')
+def untrusted_not_heard(context, rounds):
     async def _watch():
         for _ in range(rounds):
             await asyncio.sleep(HEARTBEAT_S)
@@ -161,7 +164,7 @@
 
 
 async def call_with(daemon_id, tls):
-    """Exchange a heartbeat with the first daemon and forward a request."""
+    """Send a heartbeat and a forwarded request to the first daemon."""
     settings = load_daemon_settings(TRUSTED[0])
     clock = SystemClock()
     time_line = TimeLine(daemon_id, 'test', clock, 64)
@@ -202,8 +205,8 @@
     )
 
 
-@then("heartbeats and forwards with the stranger's certificate are refused")
-def stranger_refused(context):
+@then('heartbeats and forwards with the untrusted certificate are rejected')
+def untrusted_rejected(context):
     tls = client_context(load_daemon_settings(UNTRUSTED), Alpn.rpc)
     reply, outcome = run_sync(call_with(UNTRUSTED, tls))
     assert reply is None, reply
@@ -211,8 +214,8 @@
     assert not run_sync(was_received(f'{UNTRUSTED}-forward'))
 
 
-@then('heartbeats with a good certificate are answered')
-def good_answered(context):
+@then('heartbeats with a trusted certificate are answered')
+def trusted_answered(context):
     tls = client_context(load_daemon_settings(TRUSTED[1]), Alpn.rpc)
     reply, _ = run_sync(call_with(TRUSTED[1], tls))
     assert reply is not None
@@ -234,14 +237,14 @@
         return answer.status == 200 and token in text
 
 
-@then('a request to either daemon is answered over https')
+@then('a request to either trusted daemon is answered over https')
 def answered_over_https(context):
     for daemon_id in TRUSTED:
         assert daemon_address(daemon_id).url.startswith('https://')
         run_sync(poll(functools.partial(ask, daemon_id)))
 
 
-@then('one of the requests was forwarded between the daemons')
+@then('one of the requests was forwarded between the trusted daemons')
 def was_forwarded(context):
     kinds = {
         event[3]
@@ -292,7 +295,7 @@
     assert run_command(('jobs', 'list', *who, *fleet)) == ExitCode.ok
 
 
-@then("the command-line tool refuses the stranger's certificate")
+@then('the command-line tool rejects the untrusted certificate')
 def tool_refuses(context):
     exit_code = run_command(('status', '--fleet', fleet_file((UNTRUSTED,))))
     assert exit_code == ExitCode.unreachable, exit_code
