--- a/waxwingford_standins/audit.py
+++ b/waxwingford_standins/audit.py
@@ -1,4 +1,4 @@
-"""Audit of a run: what callers and the log say against what servers ran."""
+"""Checks responses and the log of a run against what the servers executed."""
 
 import collections
 import itertools
@@ -6,33 +6,33 @@
 from typing import NamedTuple
 
 from waxwingford_standins.backend_server import ServerAudit
-from waxwingford_standins.load import NOT_RUN, Call, CallOutcome
+from waxwingford_standins.load import NOT_RUN_OUTCOMES, Call, CallOutcome
 from waxwingford_standins.server_tasks import AttemptRun
 
-#: A leaving server gets nothing new after this time, in milliseconds.
+#: Time for a server's leaving state to reach all daemons, in milliseconds.
 _LEAVING_GRACE_MS = 3000
 _STILL_RUNNING = float('inf')
 _RUNNING = 'running'
 
 
 class Finding(NamedTuple):
-    """Something that must never happen, and did.
+    """A violated invariant.
 
-    :ivar check: name of the broken check.
-    :ivar detail: ids and figures.
+    :ivar check: name of the check that failed.
+    :ivar detail: ids, counts and times.
     """
 
     check: str
     detail: str
 
 
-class FinishedTasks(NamedTuple):
-    """What a stream says of one finished job.
+class FinishedJob(NamedTuple):
+    """Task counts of a finished job, as recorded in the log.
 
-    :ivar job_id: which job.
-    :ivar done: tasks done.
-    :ivar failed: tasks given up.
-    :ivar cancelled: tasks cancelled.
+    :ivar job_id: id of the job.
+    :ivar done: number of completed tasks.
+    :ivar failed: number of tasks that failed permanently.
+    :ivar cancelled: number of cancelled tasks.
     """
 
     job_id: str
@@ -44,31 +44,33 @@
 def audit_calls(
     calls: Iterable[Call], servers: Sequence[ServerAudit]
 ) -> list[Finding]:
-    """Check requests.
+    """Check that responses agree with what the servers executed.
 
-    :param calls: ended calls, as their callers saw them.
-    :param servers: what the servers ran.
-    :returns: findings, none if all is well.
+    :param calls: completed calls, as observed by their callers.
+    :param servers: audits of all servers.
+    :returns: violated invariants.
     """
     runs_by_key: collections.Counter[str] = collections.Counter()
     runs_by_token: collections.Counter[str] = collections.Counter()
     for server in servers:
         runs_by_key.update(server.runs_by_key)
         runs_by_token.update(server.runs_by_token)
-    doubled = [
+    duplicates = [
         Finding('key_ran_twice', f'{key} ran {count} times')
         for key, count in runs_by_key.items()
         if count > 1
     ]
-    judged = (_audit_call(call, runs_by_token[call.token]) for call in calls)
-    return [*doubled, *itertools.chain.from_iterable(judged)]
+    call_findings = (
+        _audit_call(call, runs_by_token[call.token]) for call in calls
+    )
+    return [*duplicates, *itertools.chain.from_iterable(call_findings)]
 
 
 def audit_attempts(servers: Sequence[ServerAudit]) -> list[Finding]:
-    """Check batch attempts.
+    """Check that the attempts of a task neither overlap nor lose progress.
 
-    :param servers: what the servers ran.
-    :returns: findings, none if all is well.
+    :param servers: audits of all servers.
+    :returns: violated invariants.
     """
     runs_by_task: dict[str, list[AttemptRun]] = collections.defaultdict(list)
     for run in itertools.chain.from_iterable(
@@ -84,15 +86,15 @@
 
 
 def audit_leaving(servers: Iterable[ServerAudit]) -> list[Finding]:
-    """Check that leaving servers got nothing new.
+    """Check that leaving servers received no new work.
 
-    :param servers: what the servers ran.
-    :returns: findings, none if all is well.
+    :param servers: audits of all servers.
+    :returns: violated invariants.
     """
     return [
         Finding(
             'work_on_leaving_server',
-            f'{server.server_id} got work '
+            f'{server.server_id} received work '
             f'{server.newest_work_after_leaving_ms} ms after it began to leave',
         )
         for server in servers
@@ -101,22 +103,22 @@
 
 
 def audit_jobs(
-    answered_for: Iterable[str],
+    acknowledged: Iterable[str],
     in_log: frozenset[str],
-    finished: Iterable[FinishedTasks],
+    finished: Iterable[FinishedJob],
     servers: Sequence[ServerAudit],
 ) -> list[Finding]:
-    """Check jobs.
+    """Check that no accepted job is lost and no task completed without a run.
 
-    :param answered_for: ids of jobs whose submission was accepted.
-    :param in_log: ids of jobs accepted in the streams.
-    :param finished: finished jobs of the streams.
-    :param servers: what the servers ran.
-    :returns: findings, none if all is well.
+    :param acknowledged: ids of jobs whose submission was acknowledged.
+    :param in_log: ids of jobs recorded as accepted in the log.
+    :param finished: finished jobs recorded in the log.
+    :param servers: audits of all servers.
+    :returns: violated invariants.
     """
     lost = [
         Finding('job_lost', f'{job_id} was accepted but is not in the log')
-        for job_id in answered_for
+        for job_id in acknowledged
         if job_id not in in_log
     ]
     done_by_job = collections.Counter(
@@ -125,7 +127,7 @@
         for run in server.attempts
         if run.phase == 'done'
     )
-    invented = [
+    not_run = [
         Finding(
             'done_without_run',
             f'{job.job_id}: {job.done} done in the log, '
@@ -134,46 +136,48 @@
         for job in finished
         if done_by_job[job.job_id] < job.done
     ]
-    return [*lost, *invented]
+    return [*lost, *not_run]
 
 
 def _audit_call(call: Call, runs: int) -> Iterator[Finding]:
-    seen = ', '.join(call.outcomes)
+    outcomes = ', '.join(call.outcomes)
     if CallOutcome.foreign in call.outcomes:
-        yield Finding('foreign_answer', f'{call.token}: {seen}')
-    if runs and NOT_RUN.issuperset(call.outcomes):
+        yield Finding('foreign_answer', f'{call.token}: {outcomes}')
+    if runs and NOT_RUN_OUTCOMES.issuperset(call.outcomes):
         yield Finding(
-            'false_refusal', f'{call.token}: {seen}, yet it ran {runs} times'
+            'false_refusal',
+            f'{call.token}: {outcomes}, but it ran {runs} times',
         )
     if call.outcome is CallOutcome.answered and not runs:
-        yield Finding('answer_without_run', f'{call.token}: {seen}')
+        yield Finding('answer_without_run', f'{call.token}: {outcomes}')
 
 
 def _audit_task(task_id: str, runs: list[AttemptRun]) -> Iterator[Finding]:
     """Check all attempts of one task.
 
-    :param task_id: which task.
-    :param runs: its attempts in order of their starts.
-    :yields: findings.
+    :param task_id: id of the task.
+    :param runs: its attempts, ordered by start time.
+    :yields: violated invariants.
     """
-    yield from _doubled(task_id, runs)
-    reference = ''
+    yield from _find_duplicates(task_id, runs)
+    checkpoint = ''
     for before, after in itertools.pairwise(runs):
         if after.started_ms < (before.ended_ms or _STILL_RUNNING):
             yield Finding(
-                'task_in_two_places', f'{_place(before)} and {_place(after)}'
+                'task_in_two_places',
+                f'{_describe_run(before)} and {_describe_run(after)}',
             )
         if before.phase == 'checkpointed':
-            reference = before.detail
-        if after.resume_from != reference:
+            checkpoint = before.detail
+        if after.resume_from != checkpoint:
             yield Finding(
                 'resumed_from_elsewhere',
-                f'{_place(after)} went on from {after.resume_from!r}, '
-                f'expected {reference!r}',
+                f'{_describe_run(after)} resumed from {after.resume_from!r}, '
+                f'expected {checkpoint!r}',
             )
 
 
-def _doubled(task_id: str, runs: list[AttemptRun]) -> Iterator[Finding]:
+def _find_duplicates(task_id: str, runs: list[AttemptRun]) -> Iterator[Finding]:
     starts = collections.Counter(run.attempt for run in runs)
     yield from (
         Finding(
@@ -187,7 +191,7 @@
         yield Finding('task_done_twice', f'{task_id}: {done}')
 
 
-def _place(run: AttemptRun) -> str:
+def _describe_run(run: AttemptRun) -> str:
     ended = run.ended_ms or _RUNNING
     return (
         f'{run.task_id} attempt {run.attempt} on {run.server_id} '
--- a/waxwingford_standins/backend_main.py
+++ b/waxwingford_standins/backend_main.py
@@ -1,6 +1,6 @@
-"""Process that stands in for many backend servers, each on its own port.
+"""Process that simulates backend servers, each on its own port.
 
-An administration port of its own carries ``POST /fault`` and ``GET /audit``.
+The admin port serves ``POST /fault`` and ``GET /audit``.
 """
 
 import argparse
@@ -26,11 +26,11 @@
 
 
 class HostedServer(msgspec.Struct):
-    """One server of the process.
+    """Configuration of one simulated server.
 
-    :ivar vm: its description, with the port to listen on.
-    :ivar model: behaviour of its service.
-    :ivar seed: of its latencies.
+    :ivar vm: description of the VM, including the port to listen on.
+    :ivar model: latency model of the service.
+    :ivar seed: seed of the latencies.
     """
 
     vm: Vm
@@ -41,10 +41,10 @@
 class BackendConfig(msgspec.Struct):
     """Configuration file of the process, in JSON.
 
-    :ivar admin_port: TCP port for faults and audit.
-    :ivar directory_url_by_domain: where the heartbeats of a failure domain's
-        servers go.
-    :ivar servers: servers to run.
+    :ivar admin_port: TCP port for faults and audits.
+    :ivar directory_url_by_domain: base URL to which the servers of each
+        failure domain send heartbeats.
+    :ivar servers: servers to simulate.
     """
 
     admin_port: int
@@ -53,22 +53,22 @@
 
 
 class BackendProcess:
-    """All servers of the process and their administration."""
+    """Simulated servers of the process and their admin interface."""
 
     def __init__(self, hosts: list[ServerHost], clock: Clock) -> None:
-        """Bind the servers.
+        """Create the process without servers listening.
 
-        :param hosts: one for each server.
-        :param clock: source of time.
+        :param hosts: HTTP servers, one per backend server.
+        :param clock: monotonic clock.
         """
         self._hosts = hosts
         self._clock = clock
-        self._dying: set[asyncio.Task[None]] = set()
+        self._fault_tasks: set[asyncio.Task[None]] = set()
 
-    def admin(self) -> web.Application:
-        """Lay out the administration's routes.
+    def admin_application(self) -> web.Application:
+        """Create the application of the admin port.
 
-        :returns: the application.
+        :returns: web application.
         """
         app = web.Application()
         app.add_routes(
@@ -80,27 +80,27 @@
         return app
 
     async def set_fault(self, request: web.Request) -> web.StreamResponse:
-        """Set switches of some servers.
+        """Inject a fault into all matching servers.
 
-        :param request: body is a :class:`ServerFault`.
-        :returns: empty; 404 if no server matches.
+        :param request: HTTP request with a :class:`ServerFault` as body.
+        :returns: empty response; 404 if no server matches.
         """
         try:
             fault = msgspec.json.decode(await request.read(), type=ServerFault)
         except msgspec.DecodeError as error:
             return web.Response(status=400, text=str(error))
-        chosen = [host for host in self._hosts if _matches(host, fault)]
-        for host in chosen:
+        matching = [host for host in self._hosts if _matches(host, fault)]
+        for host in matching:
             task = asyncio.ensure_future(host.apply(fault))
-            self._dying.add(task)
-            task.add_done_callback(self._dying.discard)
+            self._fault_tasks.add(task)
+            task.add_done_callback(self._fault_tasks.discard)
         await asyncio.sleep(0)
-        return web.Response(status=200 if chosen else 404)
+        return web.Response(status=200 if matching else 404)
 
     async def audit(self, _: web.Request) -> web.StreamResponse:
-        """Tell what ran on every server.
+        """Report what every server executed.
 
-        :returns: JSON.
+        :returns: JSON array of server audits.
         """
         now_ms = self._clock.monotonic_ms()
         audits = [host.core.audit(now_ms) for host in self._hosts]
@@ -108,11 +108,12 @@
             body=encode_json(audits), content_type='application/json'
         )
 
-    async def heartbeat(self, domain: str, directory_url: str) -> None:
-        """Register the servers of a failure domain, except those down.
+    async def send_heartbeats(self, domain: str, directory_url: str) -> None:
+        """Send heartbeats of the running servers of a failure domain.
 
         :param domain: name of the failure domain.
-        :param directory_url: base URL of the list, as seen from there.
+        :param directory_url: base URL of the VM list, as reached from the
+            failure domain.
         """
         hosts = [
             host
@@ -138,7 +139,7 @@
     )
 
 
-def _host(hosted: HostedServer, clock: Clock) -> ServerHost:
+def _create_host(hosted: HostedServer, clock: Clock) -> ServerHost:
     core = BackendServerCore(
         hosted.vm, hosted.model, hosted.seed, first_epoch=int(time.time())
     )
@@ -146,7 +147,7 @@
 
 
 def main() -> None:
-    """Run the process."""
+    """Run the process until it is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--config', type=pathlib.Path, required=True)
     options = parser.parse_args()
@@ -156,16 +157,20 @@
     clock = SystemClock()
 
     async def _open(stack: contextlib.AsyncExitStack) -> None:
-        hosts = [_host(hosted, clock) for hosted in config.servers]
+        hosts = [_create_host(hosted, clock) for hosted in config.servers]
         process = BackendProcess(hosts, clock)
         for host in hosts:
             await host.start()
             stack.push_async_callback(host.stop)
-        runner = await start_site(process.admin(), _HOST, config.admin_port)
+        runner = await start_site(
+            process.admin_application(), _HOST, config.admin_port
+        )
         stack.push_async_callback(runner.cleanup)
         for domain, url in config.directory_url_by_domain.items():
-            beating = asyncio.ensure_future(process.heartbeat(domain, url))
-            stack.callback(beating.cancel)
+            heartbeat_task = asyncio.ensure_future(
+                process.send_heartbeats(domain, url)
+            )
+            stack.callback(heartbeat_task.cancel)
 
     run_process(_open)
 
--- a/waxwingford_standins/backend_server.py
+++ b/waxwingford_standins/backend_server.py
@@ -1,7 +1,7 @@
-"""Core of a stand-in backend server: pure, time is passed in.
+"""State machine of a simulated backend server, without I/O or clock.
 
 Arbitrates the control lease, runs batch attempts under task leases, serves
-requests in bounded slots and reports usage with a lag.
+requests in a bounded number of slots and reports usage with a delay.
 """
 
 import collections
@@ -20,7 +20,7 @@
     VmState,
 )
 from waxwingford_standins.server_attempts import AttemptTable
-from waxwingford_standins.server_changes import ChangeCounter
+from waxwingford_standins.server_changes import ChangeTracker
 from waxwingford_standins.server_lease import ServerLease
 from waxwingford_standins.server_service import (
     CallRefused,
@@ -30,14 +30,14 @@
 )
 from waxwingford_standins.server_tasks import AttemptRun
 
-_MOST_SAMPLES = 64
+_MAX_SAMPLES = 64
 
 
 class UsageModel(NamedTuple):
-    """How usage is sampled.
+    """Sampling parameters of resource usage.
 
-    :ivar window_ms: length of a window, in milliseconds.
-    :ivar lag_ms: age at which a sample is first reported, in milliseconds.
+    :ivar window_ms: length of a sampling window, in milliseconds.
+    :ivar lag_ms: delay before a sample is reported, in milliseconds.
     """
 
     window_ms: int = 1000
@@ -45,16 +45,17 @@
 
 
 class ServerAudit(NamedTuple):
-    """What a server ran, over all its boots.
+    """Record of what a server executed, across restarts.
 
-    :ivar server_id: its name.
-    :ivar runs_by_key: how often each idempotency key ran.
-    :ivar runs_by_token: how often each request ran.
-    :ivar attempts: every attempt that ever ran here.
-    :ivar most_at_once: largest number of requests that ran together.
+    :ivar server_id: id of the server.
+    :ivar runs_by_key: number of executions by idempotency key.
+    :ivar runs_by_token: number of executions by request token.
+    :ivar attempts: all batch attempts.
+    :ivar most_at_once: largest number of concurrent requests.
     :ivar refused: requests refused because all slots were busy.
-    :ivar newest_work_after_leaving_ms: latest start of a request or task
-        after the server began to leave, in milliseconds; -1 for none.
+    :ivar newest_work_after_leaving_ms: time from entering the leaving state
+        to the latest start of a request or task, in milliseconds; -1 if
+        there was none.
     """
 
     server_id: str
@@ -67,12 +68,12 @@
 
 
 class BackendServerCore:
-    """One backend server.
+    """State machine of one backend server.
 
-    :ivar vm: its description, with its present state.
-    :ivar boot_id: changes with each boot.
-    :ivar attempts: batch attempts here.
-    :ivar usage: how usage is sampled.
+    :ivar vm: description and current state of the VM.
+    :ivar boot_id: unique id of the current boot.
+    :ivar attempts: batch attempts on this server.
+    :ivar usage: sampling parameters of resource usage.
     """
 
     def __init__(
@@ -82,12 +83,13 @@
         seed: int = 0,
         first_epoch: int = 0,
     ) -> None:
-        """Boot.
+        """Create a freshly booted server.
 
-        :param vm: its description.
-        :param model: behaviour of its service.
-        :param seed: of the service's latencies.
-        :param first_epoch: above every epoch of an earlier process.
+        :param vm: description of the VM.
+        :param model: latency model of the service.
+        :param seed: seed of the latencies.
+        :param first_epoch: initial lease epoch; must exceed every epoch
+            granted by an earlier process for this VM.
         """
         self.vm = vm
         self.usage = UsageModel()
@@ -98,21 +100,21 @@
         self.attempts = AttemptTable(vm.server_id, vm.resources)
         self._service = ServiceState(model, vm.slots, seed)
         self._samples: collections.deque[tuple[int, UsageSample]] = (
-            collections.deque(maxlen=_MOST_SAMPLES)
+            collections.deque(maxlen=_MAX_SAMPLES)
         )
-        self._changes = ChangeCounter()
-        self._window_from_ms = -1
+        self._changes = ChangeTracker()
+        self._window_start_ms = -1
         self._leaving_since_ms = -1
-        self._after_leaving_ms = -1
+        self._newest_work_after_leaving_ms = -1
 
     def control(
         self, request: ControlRequest, now_ms: int
     ) -> ControlGranted | ControlDenied:
-        """Carry out one grouped exchange, or nothing of it.
+        """Execute all commands of a control request, or none of them.
 
-        :param request: the exchange.
-        :param now_ms: monotonic time.
-        :returns: tagged outcome.
+        :param request: control request.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: results of the commands, or the lease that denied them.
         """
         self.advance(now_ms)
         if not self._lease.grant(request, now_ms):
@@ -122,107 +124,109 @@
             )
         renew = request.renew
         if request.renew_except is not None:
-            named = set(self._changes.named(request.known))
-            renew = tuple(named.difference(request.renew_except))
+            reported = set(self._changes.reported_by(request.known))
+            renew = tuple(reported.difference(request.renew_except))
         self.attempts.renew(renew, request.task_lease_ms, now_ms)
         outcomes = [
-            (command.key, self._carry_out(command, now_ms))
+            (command.key, self._execute(command, now_ms))
             for command in request.commands
         ]
         if not request.lease_ms:
             self._lease.release(now_ms)
         reports = self.attempts.reports()
-        self._changes.note(reports)
+        self._changes.record(reports)
         if request.known:
-            reports = self._changes.changed(reports, request.known)
+            reports = self._changes.changed_since(reports, request.known)
         return ControlGranted(
             self._lease.epoch,
             self.boot_id,
             self.vm.state is VmState.leaving,
             reports,
             tuple((key, reason) for key, reason in outcomes if reason),
-            self._take_samples(now_ms),
+            self._pop_due_samples(now_ms),
             now_ms,
             self._changes.version,
             is_delta=bool(request.known),
         )
 
     def advance(self, now_ms: int) -> None:
-        """Let attempts run and close usage windows.
+        """Advance the attempts and the usage window to the given time.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.attempts.advance(now_ms)
-        if self._window_from_ms < 0:
-            self._window_from_ms = now_ms
-        window_ms = now_ms - self._window_from_ms
+        if self._window_start_ms < 0:
+            self._window_start_ms = now_ms
+        window_ms = now_ms - self._window_start_ms
         if window_ms >= self.usage.window_ms:
             self._close_window(now_ms, window_ms)
 
     def begin_call(
         self, call: ServiceCall, now_ms: int
     ) -> CallStarted | CallRefused:
-        """Run a service request if a slot is free.
+        """Start a service request if a slot is free.
 
-        :param call: the request.
-        :param now_ms: monotonic time.
-        :returns: whether it runs, and for how long.
+        :param call: service request.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: handle and duration, or the reason of the refusal.
         """
         if call.service != self.vm.service:
-            return CallRefused(f'no service {call.service!r} here')
+            return CallRefused(
+                f'service {call.service!r} is not hosted on this server'
+            )
         self.advance(now_ms)
-        beside = [
+        colocated = [
             (attempt.start.kind, attempt.percent)
             for attempt in self.attempts.running()
         ]
-        outcome = self._service.begin(call, beside, now_ms)
+        outcome = self._service.begin(call, colocated, now_ms)
         if isinstance(outcome, CallStarted):
-            self._note_new_work(now_ms)
+            self._record_new_work(now_ms)
         return outcome
 
     def end_call(self, number: int, now_ms: int) -> None:
-        """Free the slot of a request.
+        """Release the slot of a service request.
 
-        :param number: handle from its start.
-        :param now_ms: monotonic time.
+        :param number: handle returned by :meth:`begin_call`.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self._service.end(number, now_ms)
 
     def answer(self, call: ServiceCall) -> bytes:
-        """Write the answer to a request.
+        """Build the response body of a service request.
 
-        :param call: the request.
-        :returns: body.
+        :param call: service request.
+        :returns: response body.
         """
         return self._service.answer(call, self.vm.server_id)
 
     def leave(self, now_ms: int) -> None:
-        """Begin to leave: starts are refused from now on.
+        """Enter the leaving state, in which task starts are refused.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.vm = self.vm._replace(state=VmState.leaving)
         self._leaving_since_ms = now_ms
 
     def die(self, now_ms: int) -> None:
-        """Lose everything and boot again.
+        """Crash, losing all state except the audit, and boot again.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         self.advance(now_ms)
         self.attempts.drop_all(now_ms, self.boot_id)
         self._samples.clear()
-        self._changes = ChangeCounter()
+        self._changes = ChangeTracker()
         self._service.drop_all()
         self._lease = ServerLease(epoch=self._lease.epoch)
         self._boots += 1
         self.boot_id = self._next_boot_id()
 
     def audit(self, now_ms: int) -> ServerAudit:
-        """Tell what ran here, over all boots.
+        """Report what the server executed, across restarts.
 
-        :param now_ms: monotonic time.
-        :returns: counts and attempts.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: execution counts and attempts.
         """
         self.advance(now_ms)
         return ServerAudit(
@@ -232,22 +236,22 @@
             self.attempts.runs(self.boot_id),
             self._service.most_at_once,
             self._service.refused,
-            self._after_leaving_ms,
+            self._newest_work_after_leaving_ms,
         )
 
-    def _carry_out(self, command: ServerCommand, now_ms: int) -> str:
+    def _execute(self, command: ServerCommand, now_ms: int) -> str:
         if not isinstance(command, StartTask):
-            return self.attempts.carry_out(command, now_ms, self.boot_id)
+            return self.attempts.execute(command, now_ms, self.boot_id)
         if self.vm.state is VmState.leaving:
             return 'server is leaving'
         reason = self.attempts.start(command, now_ms)
         if not reason:
-            self._note_new_work(now_ms)
+            self._record_new_work(now_ms)
         return reason
 
     def _close_window(self, now_ms: int, window_ms: int) -> None:
         load, p99_ms = self._service.close_window(now_ms, window_ms)
-        ran = self.attempts.ran_since(self._window_from_ms)
+        ran = self.attempts.ran_since(self._window_start_ms)
         sample = UsageSample(
             0,
             window_ms,
@@ -258,9 +262,9 @@
             {attempt.key.task_id: attempt.uses for attempt in ran},
         )
         self._samples.append((now_ms, sample))
-        self._window_from_ms = now_ms
+        self._window_start_ms = now_ms
 
-    def _take_samples(self, now_ms: int) -> tuple[UsageSample, ...]:
+    def _pop_due_samples(self, now_ms: int) -> tuple[UsageSample, ...]:
         old_enough_ms = now_ms - self.usage.lag_ms
         taken = []
         while self._samples and self._samples[0][0] <= old_enough_ms:
@@ -270,9 +274,9 @@
             )
         return tuple(taken)
 
-    def _note_new_work(self, now_ms: int) -> None:
+    def _record_new_work(self, now_ms: int) -> None:
         if self._leaving_since_ms >= 0:
-            self._after_leaving_ms = now_ms - self._leaving_since_ms
+            self._newest_work_after_leaving_ms = now_ms - self._leaving_since_ms
 
     def _next_boot_id(self) -> str:
         return f'{self.vm.server_id}-{self._first_epoch}-{self._boots}'
--- a/waxwingford_standins/configs.py
+++ b/waxwingford_standins/configs.py
@@ -1,4 +1,4 @@
-"""Configuration files of one local run: daemons, stand-ins, keys."""
+"""Writes the configuration files and keys of a local run."""
 
 import json
 import pathlib
@@ -29,7 +29,7 @@
 from waxwingford_standins.run_certificates import make_certificates
 from waxwingford_standins.server_service import ServiceModel
 
-#: Shorter than in production, so that a run of seconds sees takeovers.
+#: Shorter than in production, so that leases expire within a short run.
 LOCAL_LEASES = Leases(
     control_ms=3000, renew_every_ms=500, task_ms=6000, margin_ms=300
 )
@@ -37,20 +37,21 @@
 
 
 class RunOptions(NamedTuple):
-    """What may differ between runs of the same deployment.
+    """Options of a run that are independent of its deployment.
 
-    :ivar leases: lengths of the leases, for all daemons.
-    :ivar tls: whether daemons have certificates and speak only TLS.
-    :ivar strangers: daemons with certificates of another authority.
+    :ivar leases: lease durations of all daemons.
+    :ivar tls: whether daemons have certificates and accept only TLS.
+    :ivar untrusted_daemons: ids of daemons whose certificates are issued by
+        a different authority.
     """
 
     leases: Leases = LOCAL_LEASES
     tls: bool = False
-    strangers: frozenset[str] = frozenset()
+    untrusted_daemons: frozenset[str] = frozenset()
 
     @property
     def scheme(self) -> str:
-        """Scheme of the daemons' URLs.
+        """URL scheme of the daemons.
 
         :returns: ``http`` or ``https``.
         """
@@ -58,12 +59,12 @@
 
 
 class RunFiles(NamedTuple):
-    """Files that the processes of a run read.
+    """Paths of the configuration files of a run.
 
-    :ivar backends: configuration of the backend servers' process.
-    :ivar relay: configuration of the relay.
-    :ivar settings_by_daemon: settings file of each daemon.
-    :ivar authorities: certificates of all authorities; none without TLS.
+    :ivar backends: configuration of the backend server process.
+    :ivar relay: configuration of the relay process.
+    :ivar settings_by_daemon: settings file by daemon id.
+    :ivar authorities: certificates of all authorities; empty without TLS.
     """
 
     backends: pathlib.Path
@@ -72,10 +73,10 @@
     authorities: tuple[pathlib.Path, ...] = ()
 
 
-def make_keys(members: Iterable[str]) -> dict[str, Ed25519PrivateKey]:
-    """Make a key for each member; a local run has nothing to protect.
+def generate_keys(members: Iterable[str]) -> dict[str, Ed25519PrivateKey]:
+    """Generate a signing key for each member.
 
-    :param members: their names.
+    :param members: names of the members.
     :returns: private keys by member.
     """
     return {member: Ed25519PrivateKey.generate() for member in members}
@@ -90,12 +91,12 @@
 ) -> RunFiles:
     """Write all configuration files.
 
-    :param directory: where to; made if it is missing.
-    :param deployment: what runs.
-    :param layout: where it runs.
-    :param keys: private keys by member; only public halves are written.
-    :param options: of the run.
-    :returns: the files.
+    :param directory: target directory; created if missing.
+    :param deployment: deployment to configure.
+    :param layout: addresses of the run.
+    :param keys: private keys by member; only the public keys are written.
+    :param options: options of the run.
+    :returns: paths of the files.
     """
     directory.mkdir(parents=True, exist_ok=True)
     backends = directory / 'backends.json'
@@ -109,17 +110,19 @@
             member: public_text(key) for member, key in keys.items()
         }
     )
-    tls_by_daemon = _certificates(directory, layout, options)
+    tls_by_daemon = _issue_certificates(directory, layout, options)
     settings_by_daemon = {}
     for daemon in layout.daemons:
         path = directory / f'{daemon.daemon_id}.toml'
-        settings = _settings(deployment, layout, daemon, trust).model_copy(
+        settings = _daemon_settings(
+            deployment, layout, daemon, trust
+        ).model_copy(
             update={
                 'leases': options.leases,
                 'tls': tls_by_daemon.get(daemon.daemon_id),
             }
         )
-        path.write_text(toml_text(settings.model_dump(exclude_none=True)))
+        path.write_text(format_toml(settings.model_dump(exclude_none=True)))
         settings_by_daemon[daemon.daemon_id] = path
     authorities = {tls.authority_file for tls in tls_by_daemon.values()}
     return RunFiles(
@@ -130,11 +133,11 @@
     )
 
 
-def toml_text(document: Mapping[str, Any]) -> str:
-    """Write a document of tables, lists of tables and scalars as TOML.
+def format_toml(document: Mapping[str, Any]) -> str:
+    """Format a document of tables, arrays of tables and scalars as TOML.
 
-    :param document: nested at most two tables deep.
-    :returns: text.
+    :param document: mapping with at most two levels of nested tables.
+    :returns: TOML text.
     """
     return '\n'.join(_toml_lines(document, ''))
 
@@ -158,16 +161,18 @@
                 yield from _toml_lines(table, f'{prefix}{key}.')
 
 
-def _certificates(
+def _issue_certificates(
     directory: pathlib.Path, layout: Layout, options: RunOptions
 ) -> dict[str, Tls]:
     if not options.tls:
         return {}
     daemon_ids = {daemon.daemon_id for daemon in layout.daemons}
     return {
-        **make_certificates(directory / 'tls', daemon_ids - options.strangers),
         **make_certificates(
-            directory / 'other-tls', daemon_ids & options.strangers
+            directory / 'tls', daemon_ids - options.untrusted_daemons
+        ),
+        **make_certificates(
+            directory / 'other-tls', daemon_ids & options.untrusted_daemons
         ),
     }
 
@@ -194,7 +199,7 @@
     )
 
 
-def _settings(
+def _daemon_settings(
     deployment: Deployment, layout: Layout, daemon: DaemonPlace, trust: Trust
 ) -> Settings:
     domain = daemon.failure_domain
--- a/waxwingford_standins/latencies.py
+++ b/waxwingford_standins/latencies.py
@@ -1,4 +1,4 @@
-"""Latencies of a run by caller and outcome."""
+"""Latency percentiles of a run by caller and outcome."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,21 +7,21 @@
 
 from waxwingford_standins.load import Call
 
-_US_IN_MS = 1000
-_MOST_US = 120_000_000
-_DIGITS = 3
+_US_PER_MS = 1000
+_MAX_LATENCY_US = 120_000_000
+_SIGNIFICANT_DIGITS = 3
 _PERCENTILES = (50, 99, 99.9)
 
 
 class LatencyRow(NamedTuple):
-    """Latencies of one kind of caller and outcome, in milliseconds.
-
-    :ivar caller: name of the plan.
-    :ivar outcome: how the calls ended.
-    :ivar count: how many.
-    :ivar p50_ms: median.
-    :ivar p99_ms: 99th percentile.
-    :ivar p999_ms: 99.9th percentile.
+    """Latency percentiles of one caller and outcome.
+
+    :ivar caller: name of the caller plan.
+    :ivar outcome: outcome of the calls.
+    :ivar count: number of calls.
+    :ivar p50_ms: median, in milliseconds.
+    :ivar p99_ms: 99th percentile, in milliseconds.
+    :ivar p999_ms: 99.9th percentile, in milliseconds.
     """
 
     caller: str
@@ -33,25 +33,25 @@
 
 
 def latency_rows(calls: Iterable[Call]) -> list[LatencyRow]:
-    """Sum up latencies by caller and outcome.
+    """Compute latency percentiles by caller and outcome.
 
-    :param calls: ended calls.
-    :returns: rows in order of caller and outcome.
+    :param calls: completed calls.
+    :returns: rows sorted by caller and outcome.
     """
     histograms: dict[tuple[str, str], HdrHistogram] = {}
     for call in calls:
         histogram = histograms.setdefault(
             (call.caller, call.outcome.value),
-            HdrHistogram(1, _MOST_US, _DIGITS),
+            HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS),
         )
-        histogram.record_value(max(int(call.latency_ms * _US_IN_MS), 1))
+        histogram.record_value(max(int(call.latency_ms * _US_PER_MS), 1))
     return [
         LatencyRow(
             caller,
             outcome,
             histogram.get_total_count(),
             *(
-                histogram.get_value_at_percentile(percentile) / _US_IN_MS
+                histogram.get_value_at_percentile(percentile) / _US_PER_MS
                 for percentile in _PERCENTILES
             ),
         )
--- a/waxwingford_standins/night.py
+++ b/waxwingford_standins/night.py
@@ -1,4 +1,4 @@
-"""The night's batch in small: submits, cancels and follows jobs."""
+"""Submits and cancels batch jobs and reads their state from the log."""
 
 import asyncio
 import dataclasses
@@ -17,19 +17,19 @@
 from waxwingford_standins.operator import ACCEPTED_STATUSES, Operator
 from waxwingford_standins.server_tasks import Work
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 _READ_LIMIT = 500
 _LOG_TIMEOUT_MS = 2000
 
 
-class Submitted(NamedTuple):
-    """A job and what became of its submission.
+class SubmittedJob(NamedTuple):
+    """A job and the response to its submission.
 
-    :ivar job_id: which job.
-    :ivar plan: where it came from.
-    :ivar status: HTTP status of the last answer; 0 without one.
-    :ivar reply: text of that answer.
-    :ivar failure_domain: where it was submitted.
+    :ivar job_id: id of the job.
+    :ivar plan: plan that the job was created from.
+    :ivar status: HTTP status of the last response; 0 if there was none.
+    :ivar reply: body of the last response.
+    :ivar failure_domain: failure domain that the job was submitted to.
     """
 
     job_id: str
@@ -58,9 +58,9 @@
 
 @dataclasses.dataclass(slots=True)
 class DomainTracker:
-    """Jobs of a failure domain as its stream tells them.
+    """Jobs of a failure domain, replayed from its log stream.
 
-    :ivar state: fold of the stream so far.
+    :ivar state: state after the entries read so far.
     :ivar accepted: ids of accepted jobs.
     """
 
@@ -69,18 +69,18 @@
 
 
 class Night:
-    """Jobs of a deployment over one run.
+    """Batch load of a deployment during one run.
 
-    :ivar submitted: jobs and what became of their submission.
+    :ivar submitted: jobs with the responses to their submission.
     """
 
     def __init__(self, local_run: LocalRun, label: str) -> None:
-        """Prepare.
+        """Create the batch load without submitting jobs.
 
-        :param local_run: where the daemons are.
-        :param label: makes job ids unique in the log.
+        :param local_run: run with ready daemons.
+        :param label: suffix that makes job ids unique in the log.
         """
-        self.submitted: list[Submitted] = []
+        self.submitted: list[SubmittedJob] = []
         self._run = local_run
         self._operator = Operator(local_run)
         self._label = label
@@ -90,34 +90,34 @@
         """Submit and cancel every job of the deployment."""
         await asyncio.gather(
             *(
-                self._job(plan, number)
+                self._run_job(plan, number)
                 for plan in self._run.deployment.jobs
                 for number in range(plan.jobs)
             )
         )
 
-    async def _job(self, plan: JobPlan, number: int) -> None:
-        await asyncio.sleep(plan.submit_at_ms / _MS_IN_S)
+    async def _run_job(self, plan: JobPlan, number: int) -> None:
+        await asyncio.sleep(plan.submit_at_ms / _MS_PER_S)
         job_id = f'{plan.member}.{plan.name}-{number}-{self._label}'
         daemon = self._random.choice(self._run.layout.daemons)
-        body = encode_json(_fields(plan, job_id))
+        body = encode_json(_job_request(plan, job_id))
         status, reply = await self._operator.post_until_final(
             plan.member, daemon, '/v1/jobs', body
         )
         domain = daemon.failure_domain
-        self.submitted.append(Submitted(job_id, plan, status, reply, domain))
+        self.submitted.append(SubmittedJob(job_id, plan, status, reply, domain))
         if plan.cancel_after_ms and status in ACCEPTED_STATUSES:
-            await asyncio.sleep(plan.cancel_after_ms / _MS_IN_S)
+            await asyncio.sleep(plan.cancel_after_ms / _MS_PER_S)
             await self._operator.post_until_final(
                 plan.member, daemon, f'/v1/jobs/{job_id}/cancel'
             )
 
     async def evict_all(self) -> int:
-        """Ask for the eviction of every task of every job that was taken.
+        """Request the eviction of every task of every submitted job.
 
-        :returns: how many tasks will be evicted, as the daemons say.
+        :returns: number of tasks whose eviction was accepted.
         """
-        asked = await asyncio.gather(
+        replies = await asyncio.gather(
             *(
                 self._operator.post(
                     job.plan.member,
@@ -130,29 +130,32 @@
                 for index in range(job.plan.tasks)
             )
         )
-        return sum(status in ACCEPTED_STATUSES for status, _ in asked)
+        return sum(status in ACCEPTED_STATUSES for status, _ in replies)
 
 
 async def read_tracker(local_run: LocalRun, domain: str) -> DomainTracker:
-    """Fold the stream of a failure domain, straight from the log.
+    """Replay the stream of a failure domain from the log.
 
-    :param local_run: where the log is.
+    :param local_run: run whose platform holds the log.
     :param domain: name of the failure domain.
-    :returns: its jobs; as far as the log could be read.
+    :returns: jobs of the failure domain, up to the last entry that could be
+        read.
     """
     port = local_run.layout.platform_port
     log = HttpLog(f'http://{HOST}:{port}', _LOG_TIMEOUT_MS)
     tracker = DomainTracker()
     try:
-        more = True
-        while more:
-            more = await _fold_more(log, domain, tracker)
+        has_more = True
+        while has_more:
+            has_more = await _apply_next_block(log, domain, tracker)
     finally:
         await log.close()
     return tracker
 
 
-async def _fold_more(log: HttpLog, domain: str, tracker: DomainTracker) -> bool:
+async def _apply_next_block(
+    log: HttpLog, domain: str, tracker: DomainTracker
+) -> bool:
     state = tracker.state
     block = await log.read(f'domain/{domain}', state.next_offset, _READ_LIMIT)
     if isinstance(block, LogUnavailable):
@@ -168,7 +171,7 @@
     return state.next_offset < block.next_offset
 
 
-def _fields(plan: JobPlan, job_id: str) -> JobFields:
+def _job_request(plan: JobPlan, job_id: str) -> JobFields:
     now_ms = _wall_ms()
     deadline_ms = now_ms + plan.finish_within_ms
     return JobFields(
@@ -182,12 +185,12 @@
         plan.priority,
         deadline_ms if plan.finish_within_ms else 0,
         plan.lost_after_ms,
-        _payload(plan),
+        _work_payload(plan),
         now_ms,
     )
 
 
-def _payload(plan: JobPlan) -> str:
+def _work_payload(plan: JobPlan) -> str:
     uses = Resources(
         plan.real_processors_milli or plan.processors_milli,
         plan.real_memory_mb or plan.memory_mb,
@@ -198,4 +201,4 @@
 
 
 def _wall_ms() -> int:
-    return int(time.time() * _MS_IN_S)
+    return int(time.time() * _MS_PER_S)
--- a/waxwingford_standins/operator.py
+++ b/waxwingford_standins/operator.py
@@ -1,4 +1,4 @@
-"""Operators' signed requests to the daemons of a local run."""
+"""Client for signed operator requests to the daemons of a local run."""
 
 import asyncio
 import time
@@ -9,48 +9,50 @@
 from waxwingford_standins.layout import DaemonPlace
 from waxwingford_standins.local_run import LocalRun
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 _RETRY_S = 0.3
-_HTTP_S = 5
-_TRIES = 20
+_HTTP_TIMEOUT_S = 5
+_MAX_ATTEMPTS = 20
 ACCEPTED_STATUSES = frozenset((200, 201, 202))
 _FINAL_STATUSES = ACCEPTED_STATUSES | {400, 409, 413, 422}
 
 
 class Operator:
-    """Signs as any member; a local run has all their keys."""
+    """Client that signs requests with the keys of the run's members."""
 
     def __init__(self, local_run: LocalRun) -> None:
-        """Prepare.
+        """Create a client for a run.
 
-        :param local_run: where the daemons are.
+        :param local_run: run that provides the keys and addresses.
         """
         self._run = local_run
 
     async def post_until_final(
         self, member: str, daemon: DaemonPlace, path: str, body: bytes = b''
     ) -> tuple[int, str]:
-        """Send a signed request until it has a final answer.
+        """Send a signed request until a final response arrives.
 
-        Always to one failure domain, whose stream makes a repeated submission
-        harmless; another daemon of it stands in for one that is away.
+        Retries go to daemons of the same failure domain, whose stream
+        deduplicates repeated submissions.
 
-        :param member: who signs.
-        :param daemon: first choice.
-        :param path: of the request.
-        :param body: of the request.
-        :returns: status and text of the last answer.
+        :param member: member whose key signs the request.
+        :param daemon: daemon to try first.
+        :param path: path of the request.
+        :param body: body of the request.
+        :returns: status and text of the last response; status 0 if there was
+            none.
         """
         others = [
-            place
-            for place in self._run.layout.daemons
-            if place.failure_domain == daemon.failure_domain and place != daemon
+            target
+            for target in self._run.layout.daemons
+            if target.failure_domain == daemon.failure_domain
+            and target != daemon
         ]
-        nearby = [daemon, *others]
+        candidates = [daemon, *others]
         status, reply = 0, ''
-        for attempt in range(_TRIES):
-            place = nearby[attempt % len(nearby)]
-            status, reply = await self.post(member, place, path, body)
+        for attempt in range(_MAX_ATTEMPTS):
+            target = candidates[attempt % len(candidates)]
+            status, reply = await self.post(member, target, path, body)
             if status in _FINAL_STATUSES:
                 break
             await asyncio.sleep(_RETRY_S)
@@ -61,11 +63,12 @@
     ) -> tuple[int, str]:
         """Send a signed request once.
 
-        :param member: who signs.
-        :param daemon: where to.
-        :param path: of the request.
-        :param body: of the request.
-        :returns: status, 0 without an answer, and text.
+        :param member: member whose key signs the request.
+        :param daemon: daemon to send the request to.
+        :param path: path of the request.
+        :param body: body of the request.
+        :returns: status and text of the response; status 0 and the error if
+            there was none.
         """
         headers = sign_request(
             self._run.key_by_member[member],
@@ -73,14 +76,14 @@
             'POST',
             path,
             body,
-            int(time.time() * _MS_IN_S),
+            int(time.time() * _MS_PER_S),
         )
         try:
             async with self._run.switches.client.post(
                 f'{daemon.url}{path}',
                 data=body,
                 headers=headers,
-                timeout=aiohttp.ClientTimeout(total=_HTTP_S),
+                timeout=aiohttp.ClientTimeout(total=_HTTP_TIMEOUT_S),
             ) as answer:
                 return answer.status, await answer.text()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
--- a/waxwingford_standins/platform_list.py
+++ b/waxwingford_standins/platform_list.py
@@ -1,4 +1,4 @@
-"""Core of the lagging list of VMs: pure, time is passed in."""
+"""Eventually consistent VM list, without I/O or clock."""
 
 import collections
 import dataclasses
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass(slots=True)
 class ListFaults:
-    """Switches of the list.
+    """Injected faults of the VM list.
 
-    :ivar outage: whether reads get no list.
-    :ivar lag_ms: age of what reads show, in milliseconds.
+    :ivar outage: whether reads fail.
+    :ivar lag_ms: staleness of the list, in milliseconds.
     """
 
     outage: bool = False
@@ -26,60 +26,61 @@
 
 
 class VmListCore:
-    """VMs that register by heartbeats and show up after the lag.
+    """VM list that is built from heartbeats and read with a lag.
 
-    :ivar faults: switches, changed in place.
+    :ivar faults: injected faults, changed in place.
     """
 
     def __init__(self, expire_ms: int = 5000) -> None:
-        """Start empty.
+        """Create an empty list.
 
-        :param expire_ms: a VM without heartbeats for so long is gone.
+        :param expire_ms: time without heartbeats after which a VM is removed,
+            in milliseconds.
         """
         self.faults = ListFaults()
         self._expire_ms = expire_ms
         self._last_by_id: dict[str, tuple[int, Vm]] = {}
         self._changes: collections.deque[_Change] = collections.deque()
-        self._shown_by_id: dict[str, Vm] = {}
+        self._visible_by_id: dict[str, Vm] = {}
 
     def heartbeat(self, vm: Vm, now_ms: int) -> None:
-        """Register a VM or say that it is still there.
+        """Register a VM or renew its registration.
 
-        :param vm: its present description.
-        :param now_ms: monotonic time.
+        :param vm: current description of the VM.
+        :param now_ms: monotonic time, in milliseconds.
         """
-        known = self._last_by_id.get(vm.server_id)
+        previous = self._last_by_id.get(vm.server_id)
         self._last_by_id[vm.server_id] = (now_ms, vm)
-        if known is None or known[1] != vm:
+        if previous is None or previous[1] != vm:
             self._changes.append(_Change(now_ms, vm.server_id, vm))
 
     def read(self, now_ms: int) -> VmList | VmListUnavailable:
-        """Show the list as it was one lag ago.
+        """Read the list as it was ``lag_ms`` ago.
 
-        :param now_ms: monotonic time.
-        :returns: tagged outcome.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: the list, or that it is unavailable.
         """
         if self.faults.outage:
             return VmListUnavailable('list is out of service')
         self._expire(now_ms)
         shown_until = now_ms - self.faults.lag_ms
         while self._changes and self._changes[0].at_ms <= shown_until:
-            self._show(self._changes.popleft())
-        return VmList(tuple(self._shown_by_id.values()))
+            self._apply(self._changes.popleft())
+        return VmList(tuple(self._visible_by_id.values()))
 
     def _expire(self, now_ms: int) -> None:
         oldest_ms = now_ms - self._expire_ms
-        gone = [
+        expired = [
             server_id
             for server_id, (seen_ms, _) in self._last_by_id.items()
             if seen_ms < oldest_ms
         ]
-        for server_id in gone:
+        for server_id in expired:
             self._last_by_id.pop(server_id)
             self._changes.append(_Change(now_ms, server_id, None))
 
-    def _show(self, change: _Change) -> None:
+    def _apply(self, change: _Change) -> None:
         if change.vm is None:
-            self._shown_by_id.pop(change.server_id, None)
+            self._visible_by_id.pop(change.server_id, None)
         else:
-            self._shown_by_id[change.server_id] = change.vm
+            self._visible_by_id[change.server_id] = change.vm
--- a/waxwingford_standins/relay_main.py
+++ b/waxwingford_standins/relay_main.py
@@ -1,8 +1,7 @@
-"""Process that stands in for the network between failure domains.
+"""Process that simulates the network between failure domains.
 
-Each link relays TCP connections with a delay.  ``POST /fault`` cuts failure
-domains off: bytes are then held back, as in a partition, and go on when it
-heals.
+Each link relays TCP connections with a delay.  ``POST /fault`` partitions the
+network: data is held back until the partition heals.
 """
 
 import argparse
@@ -16,20 +15,20 @@
 
 from waxwingford_standins.serving import run_process, start_site
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 _CHUNK_BYTES = 65_536
 _HOST = '127.0.0.1'
-_CLOSE_S = 1
-_CONNECT_S = 2
+_CLOSE_TIMEOUT_S = 1
+_CONNECT_TIMEOUT_S = 2
 
 
 class Link(msgspec.Struct, frozen=True):
-    """One relayed address.
+    """Relayed TCP port.
 
-    :ivar listen_port: where the source connects to.
-    :ivar target_port: where the destination listens.
-    :ivar source: failure domain of the connecting side.
-    :ivar destination: failure domain of the listening side, or ``platform``.
+    :ivar listen_port: port that the source connects to.
+    :ivar target_port: port that the destination listens on.
+    :ivar source: failure domain of the client.
+    :ivar destination: failure domain of the server, or ``platform``.
     :ivar delay_ms: one-way latency, in milliseconds.
     """
 
@@ -44,7 +43,7 @@
     """Configuration file of the process, in JSON.
 
     :ivar admin_port: TCP port for faults.
-    :ivar links: what to relay.
+    :ivar links: links to open.
     """
 
     admin_port: int
@@ -54,8 +53,9 @@
 class RelayFault(msgspec.Struct, forbid_unknown_fields=True):
     """Body of ``POST /fault``.
 
-    :ivar isolated: failure domains cut off from everything outside them.
-    :ivar cut: pairs of source and destination, cut one by one.
+    :ivar isolated: failure domains that are partitioned from everything
+        outside them.
+    :ivar cut: further pairs of source and destination to disconnect.
     """
 
     isolated: list[str]
@@ -63,29 +63,29 @@
 
 
 class Relay:
-    """All links and the present partition."""
+    """Relay for all links, with the current partition."""
 
     def __init__(self) -> None:
-        """Start without a partition."""
+        """Create a relay without a partition."""
         self._isolated: frozenset[str] = frozenset()
         self._cut: frozenset[tuple[str, str]] = frozenset()
         self._changed = asyncio.Event()
         self._connections: set[asyncio.Task[None]] = set()
 
-    def admin(self) -> web.Application:
-        """Lay out the administration's routes.
+    def admin_application(self) -> web.Application:
+        """Create the application of the admin port.
 
-        :returns: the application.
+        :returns: web application.
         """
         app = web.Application()
         app.add_routes((web.post('/fault', self.set_fault),))
         return app
 
     async def set_fault(self, request: web.Request) -> web.StreamResponse:
-        """Cut failure domains off, or heal.
+        """Replace the current partition.
 
-        :param request: body is a :class:`RelayFault`.
-        :returns: empty.
+        :param request: HTTP request with a :class:`RelayFault` as body.
+        :returns: empty response; 400 if the body is malformed.
         """
         try:
             fault = msgspec.json.decode(await request.read(), type=RelayFault)
@@ -98,10 +98,10 @@
         return web.Response()
 
     async def open(self, link: Link) -> asyncio.Server:
-        """Listen for a link.
+        """Start listening for a link.
 
-        :param link: what to relay.
-        :returns: the listening socket's server.
+        :param link: link to relay.
+        :returns: server that accepts the connections.
         """
         return await asyncio.start_server(
             functools.partial(self._accept, link), _HOST, link.listen_port
@@ -124,36 +124,44 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         with contextlib.closing(writer):
-            await self._passable(link)
+            await self._wait_until_connected(link)
             try:
-                async with asyncio.timeout(_CONNECT_S):
-                    there = await asyncio.open_connection(
+                async with asyncio.timeout(_CONNECT_TIMEOUT_S):
+                    target = await asyncio.open_connection(
                         _HOST, link.target_port
                     )
             except (OSError, TimeoutError):
                 return
-            with contextlib.closing(there[1]):
-                await self._both_ways(link, (reader, writer), there)
+            with contextlib.closing(target[1]):
+                await self._relay_both_directions(
+                    link, (reader, writer), target
+                )
 
-    async def _both_ways(self, link: Link, near: tuple, far: tuple) -> None:
-        """Relay until either side ends.
+    async def _relay_both_directions(
+        self, link: Link, source_streams: tuple, target_streams: tuple
+    ) -> None:
+        """Relay data until either side closes its connection.
 
-        :param link: for its delay and its ends.
-        :param near: reader and writer of the source.
-        :param far: reader and writer of the destination.
+        :param link: link of the connection.
+        :param source_streams: reader and writer of the source.
+        :param target_streams: reader and writer of the destination.
         """
-        pumps = [
-            asyncio.ensure_future(self._pump(link, near[0], far[1])),
-            asyncio.ensure_future(self._pump(link, far[0], near[1])),
+        directions = [
+            asyncio.ensure_future(
+                self._forward(link, source_streams[0], target_streams[1])
+            ),
+            asyncio.ensure_future(
+                self._forward(link, target_streams[0], source_streams[1])
+            ),
         ]
         try:
-            await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for pump in pumps:
-                pump.cancel()
-            await asyncio.wait(pumps, timeout=_CLOSE_S)
+            for direction in directions:
+                direction.cancel()
+            await asyncio.wait(directions, timeout=_CLOSE_TIMEOUT_S)
 
-    async def _pump(
+    async def _forward(
         self,
         link: Link,
         reader: asyncio.StreamReader,
@@ -161,12 +169,12 @@
     ) -> None:
         with contextlib.suppress(ConnectionError):
             while chunk := await reader.read(_CHUNK_BYTES):
-                await asyncio.sleep(link.delay_ms / _MS_IN_S)
-                await self._passable(link)
+                await asyncio.sleep(link.delay_ms / _MS_PER_S)
+                await self._wait_until_connected(link)
                 writer.write(chunk)
                 await writer.drain()
 
-    async def _passable(self, link: Link) -> None:
+    async def _wait_until_connected(self, link: Link) -> None:
         while self._is_cut(link):
             await self._changed.wait()
 
@@ -178,7 +186,7 @@
 
 
 def main() -> None:
-    """Run the process."""
+    """Run the process until it is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--config', type=pathlib.Path, required=True)
     options = parser.parse_args()
@@ -189,7 +197,9 @@
         for link in config.links:
             server = await relay.open(link)
             stack.callback(server.close)
-        runner = await start_site(relay.admin(), _HOST, config.admin_port)
+        runner = await start_site(
+            relay.admin_application(), _HOST, config.admin_port
+        )
         stack.push_async_callback(runner.cleanup)
 
     run_process(_open)
--- a/waxwingford_standins/report.py
+++ b/waxwingford_standins/report.py
@@ -1,4 +1,4 @@
-"""Report of a run, as text and JSON."""
+"""Report of a run, and its text format."""
 
 import collections
 import itertools
@@ -8,7 +8,7 @@
 
 from waxwingford_standins.audit import (
     Finding,
-    FinishedTasks,
+    FinishedJob,
     audit_attempts,
     audit_calls,
     audit_jobs,
@@ -17,26 +17,26 @@
 from waxwingford_standins.backend_server import ServerAudit
 from waxwingford_standins.latencies import LatencyRow, latency_rows
 from waxwingford_standins.load import Callers
-from waxwingford_standins.night import DomainTracker, Submitted
+from waxwingford_standins.night import DomainTracker, SubmittedJob
 from waxwingford_standins.operator import ACCEPTED_STATUSES
 
-_MOST_FINDINGS = 20
-_MOST_REASONS = 12
+_MAX_FINDINGS = 20
+_MAX_REASONS = 12
 
 
 class BatchReport(msgspec.Struct):
     """Batch work of a run.
 
-    :ivar submitted: jobs submitted.
-    :ivar accepted: jobs accepted in the log.
-    :ivar finished: jobs of which no task is open.
+    :ivar submitted: number of submitted jobs.
+    :ivar accepted: number of jobs recorded as accepted in the log.
+    :ivar finished: number of jobs without open tasks.
     :ivar unfinished: ids of accepted jobs with open tasks.
-    :ivar tasks_done: tasks done, by the log.
-    :ivar tasks_failed: tasks given up, by the log.
-    :ivar tasks_cancelled: tasks cancelled, by the log.
-    :ivar attempts_by_phase: attempts on servers by how they ended;
-        ``checkpointed`` are evictions.
-    :ivar told_impossible: answers to jobs that can never run.
+    :ivar tasks_done: number of completed tasks of finished jobs.
+    :ivar tasks_failed: number of permanently failed tasks of finished jobs.
+    :ivar tasks_cancelled: number of cancelled tasks of finished jobs.
+    :ivar attempts_by_phase: number of attempts on servers by final phase;
+        ``checkpointed`` attempts were evicted.
+    :ivar told_impossible: responses to jobs that fit on no server.
     """
 
     submitted: int
@@ -51,17 +51,18 @@
 
 
 class RunReport(msgspec.Struct):
-    """Everything that is known of a run.
-
-    :ivar deployment: its name.
-    :ivar seconds: length of the load.
-    :ivar latencies: of requests, by caller and outcome.
-    :ivar attempts_by_outcome: attempts of requests by outcome.
-    :ivar reasons: attempts that were not answered, by outcome and reason.
-    :ivar server_refusals: requests that servers refused for lack of a slot.
+    """Results of a run.
+
+    :ivar deployment: name of the deployment.
+    :ivar seconds: duration of the load, in seconds.
+    :ivar latencies: request latencies by caller and outcome.
+    :ivar attempts_by_outcome: number of request attempts by outcome.
+    :ivar reasons: number of unanswered attempts by outcome and reason.
+    :ivar server_refusals: number of requests refused by servers because all
+        slots were busy.
     :ivar batch: batch work.
-    :ivar findings: what must never happen, and did.
-    :ivar platform: what the platform counted.
+    :ivar findings: violated invariants.
+    :ivar platform: counters of the platform.
     """
 
     deployment: str
@@ -80,31 +81,31 @@
     seconds: float,
     callers: Callers,
     servers: Sequence[ServerAudit],
-    submitted: Sequence[Submitted],
+    submitted: Sequence[SubmittedJob],
     trackers: Sequence[DomainTracker],
     platform: dict[str, int],
 ) -> RunReport:
-    """Put a report together and audit the run.
-
-    :param deployment: its name.
-    :param seconds: length of the load.
-    :param callers: their ended calls.
-    :param servers: what the servers ran.
-    :param submitted: jobs submitted.
-    :param trackers: streams of all failure domains.
-    :param platform: what the platform counted.
-    :returns: the report.
+    """Audit a run and create its report.
+
+    :param deployment: name of the deployment.
+    :param seconds: duration of the load, in seconds.
+    :param callers: load generator with the completed calls.
+    :param servers: audits of all servers.
+    :param submitted: submitted jobs.
+    :param trackers: replayed streams of all failure domains.
+    :param platform: counters of the platform.
+    :returns: report of the run.
     """
     in_log = frozenset().union(*(tracker.accepted for tracker in trackers))
-    finished = list(_finished(trackers))
-    answered_for = (
+    finished = list(_finished_jobs(trackers))
+    acknowledged = (
         job.job_id for job in submitted if job.status in ACCEPTED_STATUSES
     )
     findings = [
         *audit_calls(callers.calls, servers),
         *audit_attempts(servers),
         *audit_leaving(servers),
-        *audit_jobs(answered_for, in_log, finished, servers),
+        *audit_jobs(acknowledged, in_log, finished, servers),
     ]
     outcomes = itertools.chain.from_iterable(
         call.outcomes for call in callers.calls
@@ -114,33 +115,33 @@
         seconds,
         latency_rows(callers.calls),
         dict(collections.Counter(outcome.value for outcome in outcomes)),
-        dict(callers.reasons.most_common(_MOST_REASONS)),
+        dict(callers.reasons.most_common(_MAX_REASONS)),
         sum(server.refused for server in servers),
-        _batch(submitted, in_log, finished, trackers, servers),
+        _batch_report(submitted, in_log, finished, trackers, servers),
         findings,
         platform,
     )
 
 
 def report_text(report: RunReport) -> str:
-    """Write a report for people.
+    """Format a report as text.
 
-    :param report: the report.
-    :returns: text.
+    :param report: report to format.
+    :returns: text of the report.
     """
-    return '\n'.join((*_lines(report), ''))
+    return '\n'.join((*_report_lines(report), ''))
 
 
-def _finished(trackers: Iterable[DomainTracker]) -> Iterator[FinishedTasks]:
+def _finished_jobs(trackers: Iterable[DomainTracker]) -> Iterator[FinishedJob]:
     for tracker in trackers:
         for job in tracker.state.finished.kept_by_id.values():
-            yield FinishedTasks(job.job_id, job.done, job.failed, job.cancelled)
+            yield FinishedJob(job.job_id, job.done, job.failed, job.cancelled)
 
 
-def _batch(
-    submitted: Sequence[Submitted],
+def _batch_report(
+    submitted: Sequence[SubmittedJob],
     in_log: frozenset[str],
-    finished: Sequence[FinishedTasks],
+    finished: Sequence[FinishedJob],
     trackers: Iterable[DomainTracker],
     servers: Iterable[ServerAudit],
 ) -> BatchReport:
@@ -167,15 +168,15 @@
     )
 
 
-def _lines(report: RunReport) -> Iterator[str]:
+def _report_lines(report: RunReport) -> Iterator[str]:
     yield f'deployment {report.deployment}, load of {report.seconds:.0f} s'
     yield from _request_lines(report)
     yield from _batch_lines(report.batch)
-    yield f'platform: {_counts(report.platform)}'
+    yield f'platform: {_format_counts(report.platform)}'
     yield f'audit: {len(report.findings)} findings'
     yield from (
         f'  {finding.check}: {finding.detail}'
-        for finding in report.findings[:_MOST_FINDINGS]
+        for finding in report.findings[:_MAX_FINDINGS]
     )
 
 
@@ -189,11 +190,11 @@
         f'{row.p50_ms:>9.1f}{row.p99_ms:>9.1f}{row.p999_ms:>9.1f}'
         for row in report.latencies
     )
-    yield f'attempts by outcome: {_counts(report.attempts_by_outcome)}'
+    yield f'attempts by outcome: {_format_counts(report.attempts_by_outcome)}'
     yield from (
         f'  {count:>6} {reason}' for reason, count in report.reasons.items()
     )
-    yield f'refused by servers for lack of a slot: {report.server_refusals}'
+    yield f'refused by servers since all slots were busy: {report.server_refusals}'
 
 
 def _batch_lines(batch: BatchReport) -> Iterator[str]:
@@ -205,13 +206,15 @@
         f'tasks of finished jobs: {batch.tasks_done} done, '
         f'{batch.tasks_failed} failed, {batch.tasks_cancelled} cancelled'
     )
-    yield f'attempts by end: {_counts(batch.attempts_by_phase)}'
+    yield f'attempts by final phase: {_format_counts(batch.attempts_by_phase)}'
     evictions = batch.attempts_by_phase.get('checkpointed', 0)
     yield f'evictions (checkpointed attempts): {evictions}'
-    yield from (f'impossible job: {line}' for line in batch.told_impossible)
+    yield from (
+        f'job that fits on no server: {line}' for line in batch.told_impossible
+    )
 
 
-def _counts(count_by_name: dict[str, int]) -> str:
+def _format_counts(count_by_name: dict[str, int]) -> str:
     return ', '.join(
         f'{name} {count}' for name, count in sorted(count_by_name.items())
     )
--- a/waxwingford_standins/server_attempts.py
+++ b/waxwingford_standins/server_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that a stand-in backend server knows, and commands on them."""
+"""Table of the batch attempts of a simulated backend server."""
 
 from waxwingford.ports import (
     CheckpointTask,
@@ -14,8 +14,8 @@
 )
 from waxwingford_standins.server_tasks import (
     AttemptRun,
-    RunningAttempt,
-    begin,
+    ServerAttempt,
+    create_attempt,
 )
 
 _UNKNOWN_ATTEMPT = 'attempt is not known here'
@@ -23,27 +23,27 @@
 
 
 class AttemptTable:
-    """Running attempts, ended ones until they are forgotten, and history.
+    """Running attempts, ended attempts until forgotten, and the audit history.
 
-    :ivar fails_starts: whether each start fails at once.
+    :ivar fails_starts: whether each started task fails immediately.
     """
 
     def __init__(self, server_id: str, total: Resources) -> None:
-        """Start empty.
+        """Create an empty table.
 
-        :param server_id: name of the server, for the audit.
-        :param total: size of the VM.
+        :param server_id: id of the server, for the audit.
+        :param total: capacity of the VM.
         """
         self.fails_starts = False
         self._server_id = server_id
         self._total = total
-        self._attempt_by_key: dict[TaskKey, RunningAttempt] = {}
+        self._attempt_by_key: dict[TaskKey, ServerAttempt] = {}
         self._history: list[AttemptRun] = []
 
     def advance(self, now_ms: int) -> None:
-        """Let attempts run.
+        """Advance all attempts to the given time.
 
-        :param now_ms: monotonic time.
+        :param now_ms: monotonic time, in milliseconds.
         """
         for attempt in self._attempt_by_key.values():
             attempt.advance(now_ms)
@@ -51,24 +51,22 @@
     def renew(
         self, keys: tuple[TaskKey, ...], lease_ms: int, now_ms: int
     ) -> None:
-        """Renew task leases; unknown attempts are left out.
+        """Renew task leases, ignoring unknown attempts.
 
-        :param keys: attempts.
-        :param lease_ms: length of the new leases, in milliseconds.
-        :param now_ms: monotonic time.
+        :param keys: keys of the attempts.
+        :param lease_ms: duration of the new leases, in milliseconds.
+        :param now_ms: monotonic time, in milliseconds.
         """
         for key in self._attempt_by_key.keys() & set(keys):
             self._attempt_by_key[key].lease_until_ms = now_ms + lease_ms
 
-    def carry_out(
-        self, command: ServerCommand, now_ms: int, boot_id: str
-    ) -> str:
-        """Carry out one command other than a start.
+    def execute(self, command: ServerCommand, now_ms: int, boot_id: str) -> str:
+        """Execute a command other than a start.
 
-        :param command: the command.
-        :param now_ms: monotonic time.
-        :param boot_id: boot of the server, for the audit.
-        :returns: reason if it was refused, else empty.
+        :param command: command on a known attempt.
+        :param now_ms: monotonic time, in milliseconds.
+        :param boot_id: id of the current boot, for the audit.
+        :returns: reason of the refusal; empty on success.
         """
         attempt = self._attempt_by_key.get(command.key)
         if attempt is None:
@@ -91,23 +89,23 @@
     def start(self, start: StartTask, now_ms: int) -> str:
         """Start an attempt.
 
-        :param start: the command.
-        :param now_ms: monotonic time.
-        :returns: reason if it was refused, else empty.
+        :param start: start command.
+        :param now_ms: monotonic time, in milliseconds.
+        :returns: reason of the refusal; empty on success.
         """
         reason = self._start_refusal(start)
         if reason:
             return reason
-        attempt = begin(start, now_ms)
+        attempt = create_attempt(start, now_ms)
         self._attempt_by_key[start.key] = attempt
         if self.fails_starts:
             attempt.end(TaskPhase.failed, 'server fails each start', now_ms)
         return ''
 
-    def running(self) -> list[RunningAttempt]:
-        """List what runs.
+    def running(self) -> list[ServerAttempt]:
+        """List running attempts.
 
-        :returns: attempts.
+        :returns: running attempts.
         """
         return [
             attempt
@@ -115,11 +113,11 @@
             if attempt.phase is TaskPhase.running
         ]
 
-    def ran_since(self, since_ms: int) -> list[RunningAttempt]:
-        """List what ran in a window that ends now.
+    def ran_since(self, since_ms: int) -> list[ServerAttempt]:
+        """List attempts that ran after a given time.
 
-        :param since_ms: monotonic time at which the window began.
-        :returns: attempts that run, or ended after that.
+        :param since_ms: monotonic time, in milliseconds.
+        :returns: attempts that are running or ended later.
         """
         return [
             attempt
@@ -128,31 +126,33 @@
         ]
 
     def reports(self) -> tuple[TaskReport, ...]:
-        """Describe every attempt that is not forgotten.
+        """Report every attempt that is not forgotten.
 
-        :returns: reports.
+        :returns: reports of the attempts.
         """
-        return tuple(kept.report() for kept in self._attempt_by_key.values())
+        return tuple(
+            attempt.report() for attempt in self._attempt_by_key.values()
+        )
 
     def runs(self, boot_id: str) -> list[AttemptRun]:
-        """Tell what ever ran here.
+        """List all attempts, across restarts, for the audit.
 
-        :param boot_id: present boot.
+        :param boot_id: id of the current boot.
         :returns: attempts of all boots.
         """
         return [
             *self._history,
             *(
-                kept.run(self._server_id, boot_id)
-                for kept in self._attempt_by_key.values()
+                attempt.run(self._server_id, boot_id)
+                for attempt in self._attempt_by_key.values()
             ),
         ]
 
     def drop_all(self, now_ms: int, boot_id: str) -> None:
-        """Lose everything: the server died.
+        """Drop all attempts after a crash, keeping the audit history.
 
-        :param now_ms: monotonic time.
-        :param boot_id: boot that ends.
+        :param now_ms: monotonic time, in milliseconds.
+        :param boot_id: id of the boot that ended.
         """
         for attempt in self.running():
             attempt.end(TaskPhase.stopped, 'server died', now_ms)
@@ -165,20 +165,23 @@
         running = self.running()
         if any(other.key.task_id == start.key.task_id for other in running):
             return 'task runs here already'
-        taken = [other.start.resources for other in running]
-        return _overcommitted([*taken, start.resources], self._total)
+        committed = [other.start.resources for other in running]
+        return _find_exceeded_dimension(
+            [*committed, start.resources], self._total
+        )
 
 
-def _overcommitted(parts: list[Resources], total: Resources) -> str:
-    """Check a vector of sums.
+def _find_exceeded_dimension(parts: list[Resources], total: Resources) -> str:
+    """Check whether resources fit into a capacity together.
 
-    :param parts: what would run together.
-    :param total: size of the VM.
-    :returns: name of the first dimension that does not fit, else empty.
+    :param parts: resources of the attempts.
+    :param total: capacity of the VM.
+    :returns: message that names the first exceeded dimension; empty if all
+        fit.
     """
-    short = (
+    exceeded = (
         f'not enough {dimension}'
         for dimension, size in total._asdict().items()
         if sum(getattr(part, dimension) for part in parts) > size
     )
-    return next(short, '')
+    return next(exceeded, '')
--- a/waxwingford_standins/serving.py
+++ b/waxwingford_standins/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-in processes share: sites, signals, orphan watch."""
+"""HTTP serving and process lifetime of the stand-in processes."""
 
 import asyncio
 import contextlib
@@ -8,44 +8,45 @@
 
 from aiohttp import web
 
-_ORPHAN_CHECK_S = 1
-_SHUTDOWN_S = 0.2
+_PARENT_CHECK_S = 1
+_SHUTDOWN_TIMEOUT_S = 0.2
 
 
 async def start_site(
     app: web.Application, host: str, port: int
 ) -> web.AppRunner:
-    """Serve an application.
+    """Start serving a web application.
 
-    :param app: its routes.
-    :param host: IP number.
-    :param port: TCP port.
-    :returns: runner; clean it up to stop.
+    :param app: application to serve.
+    :param host: IP address to listen on.
+    :param port: TCP port to listen on.
+    :returns: runner, whose ``cleanup`` stops serving.
     """
-    runner = web.AppRunner(app, access_log=None, shutdown_timeout=_SHUTDOWN_S)
+    runner = web.AppRunner(
+        app, access_log=None, shutdown_timeout=_SHUTDOWN_TIMEOUT_S
+    )
     await runner.setup()
     await web.TCPSite(runner, host, port, reuse_address=True).start()
     return runner
 
 
-async def _orphaned(parent: int) -> None:
-    """Return once the parent is gone.
+async def _wait_for_parent_exit(parent: int) -> None:
+    """Wait until the parent process has exited.
 
-    A launcher killed without warning would leave its stand-ins running; one
-    would notice busy ports at the next start.
+    Keeps stand-ins from outliving a launcher that was killed.
 
     :param parent: process id of the launcher.
     """
     while os.getppid() == parent:
-        await asyncio.sleep(_ORPHAN_CHECK_S)
+        await asyncio.sleep(_PARENT_CHECK_S)
 
 
-async def _stopped() -> None:
+async def _wait_for_stop() -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    watch = asyncio.ensure_future(_orphaned(os.getppid()))
+    watch = asyncio.ensure_future(_wait_for_parent_exit(os.getppid()))
     waiting = asyncio.ensure_future(stop.wait())
     await asyncio.wait((watch, waiting), return_when=asyncio.FIRST_COMPLETED)
     watch.cancel()
@@ -55,14 +56,15 @@
 def run_process(
     open_parts: Callable[[contextlib.AsyncExitStack], Awaitable[None]],
 ) -> None:
-    """Run a stand-in until a signal comes or its parent is gone.
+    """Run a stand-in until a stop signal or the exit of its parent.
 
-    :param open_parts: starts everything and leaves its clean-up on the stack.
+    :param open_parts: starts the services and pushes their clean-up on the
+        stack.
     """
 
     async def _run() -> None:
         async with contextlib.AsyncExitStack() as stack:
             await open_parts(stack)
-            await _stopped()
+            await _wait_for_stop()
 
     asyncio.run(_run())
--- a/waxwingford_standins/tests/launcher_steps.py
+++ b/waxwingford_standins/tests/launcher_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the launcher, as a real process."""
+"""Steps for the launcher, run as a process."""
 
 import pathlib
 import signal
@@ -17,12 +17,12 @@
 from waxwingford_standins.relay_main import RelayConfig
 
 TESTS = pathlib.Path(__file__).parent
-CAP_S = 40
+TIMEOUT_S = 40
 
 
 @fixture
 def launcher_process(context):
-    """Run a launcher in a directory of its own."""
+    """Run a launcher in a temporary directory."""
     with tempfile.TemporaryDirectory() as directory:
         context.output = pathlib.Path(directory)
         context.launcher = subprocess.Popen(
@@ -41,13 +41,13 @@
             stdout=subprocess.DEVNULL,
             text=True,
         )
-        # A launcher that says nothing more would hold the test up for ever.
-        watchdog = threading.Timer(CAP_S, context.launcher.terminate)
+        # Keeps a launcher that stops writing output from blocking the test.
+        watchdog = threading.Timer(TIMEOUT_S, context.launcher.terminate)
         watchdog.start()
         yield
         watchdog.cancel()
         context.launcher.terminate()
-        context.launcher.wait(CAP_S)
+        context.launcher.wait(TIMEOUT_S)
         context.launcher.stderr.close()
 
 
@@ -56,17 +56,17 @@
     use_fixture(launcher_process, context)
 
 
-@given('a deployment file in which "{text}" reads "{other}"')
-def deployment_with_mistake(context, text, other):
+@given('a deployment file with "{text}" replaced by "{other}"')
+def invalid_deployment(context, text, other):
     source = (TESTS / 'small' / 'deployment.toml').read_text()
     context.deployment_text = source.replace(text, other)
 
 
-@when('it says "{text}" and gets SIGTERM')
-def says_and_gets_sigterm(context, text):
-    context.said = []
+@when('it prints "{text}" and receives SIGTERM')
+def prints_and_receives_sigterm(context, text):
+    context.output_lines = []
     for line in context.launcher.stderr:
-        context.said.append(line)
+        context.output_lines.append(line)
         if text in line:
             context.launcher.send_signal(signal.SIGTERM)
 
@@ -82,7 +82,7 @@
 
 @then('it exits with code {code:d}')
 def exits_with(context, code):
-    assert context.launcher.wait(CAP_S) == code, context.said
+    assert context.launcher.wait(TIMEOUT_S) == code, context.output_lines
 
 
 @then('no port of the deployment is open')
@@ -94,8 +94,8 @@
             assert probe.connect_ex(('127.0.0.1', port)), port
 
 
-@then('it is refused for "{text}"')
-def refused_for(context, text):
+@then('it is rejected with "{text}"')
+def rejected_with(context, text):
     assert any(text in problem for problem in context.problems), (
         context.problems
     )
