--- a/waxwingford/scheduling/__init__.py
+++ b/waxwingford/scheduling/__init__.py
@@ -1,16 +1,6 @@
 """Scheduling decisions of a shard, free of I/O."""
 
-from waxwingford.scheduling._engine import Engine
-from waxwingford.scheduling._notes import Note
-from waxwingford.scheduling._orders import Batch, Order, Pace, Start, Stop
-from waxwingford.scheduling._recovery import InheritedLeases
-from waxwingford.scheduling._rows import (
-    ENDED_PREFIX,
-    decode_end,
-    decode_spec,
-    encode_spec,
-)
-from waxwingford.scheduling._runners import (
+from waxwingford.scheduling._backend_client import (
     Address,
     Denial,
     EndKind,
@@ -30,6 +20,16 @@
     TaskKey,
     TaskRunners,
 )
+from waxwingford.scheduling._engine import Engine
+from waxwingford.scheduling._notes import Note
+from waxwingford.scheduling._orders import Batch, Order, Pace, Start, Stop
+from waxwingford.scheduling._recovery import InheritedLeases
+from waxwingford.scheduling._rows import (
+    ENDED_PREFIX,
+    decode_end,
+    decode_spec,
+    encode_spec,
+)
 from waxwingford.scheduling._servers import Server, ServerEntry
 from waxwingford.scheduling._specs import JobSpec, QueueTerms, StepSpec, Terms
 from waxwingford.scheduling._state import JobPhase, Run, RunPhase
--- a/waxwingford/scheduling/_admission.py
+++ b/waxwingford/scheduling/_admission.py
@@ -9,10 +9,10 @@
 import itertools
 from typing import NamedTuple
 
-from waxwingford.scheduling._book import runs_of
 from waxwingford.scheduling._colocated_runs import full_pace_share
-from waxwingford.scheduling._harm import HarmModel
+from waxwingford.scheduling._interference import HarmModel
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import runs_of
 from waxwingford.scheduling._state import Job, Step
 
 #: Share of its full speed at which a server must be able to run a task.
--- a/waxwingford/scheduling/_crashes.py
+++ b/waxwingford/scheduling/_crashes.py
@@ -6,9 +6,9 @@
 server stays up, the suspect is cleared.
 """
 
-from waxwingford.scheduling._book import Book
-from waxwingford.scheduling._runners import TaskKey
+from waxwingford.scheduling._backend_client import TaskKey
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._state import JobPhase, Run, RunPhase, Step, Task
 
 #: Time by the server's clock after which a server has outlived a start, in ms. A
--- a/waxwingford/scheduling/_engine.py
+++ b/waxwingford/scheduling/_engine.py
@@ -8,33 +8,33 @@
 from collections.abc import Iterable, Iterator
 
 from waxwingford.ports import Resources
-from waxwingford.scheduling._blame import (
-    BLAME_STUCK,
-    blame_server,
-    fade_blame,
-    spare_last_servers,
+from waxwingford.scheduling._backend_client import (
+    LookOutcome,
+    OrderOutcome,
+    OrderTaken,
 )
-from waxwingford.scheduling._book import Book
 from waxwingford.scheduling._crashes import mark_outlived
-from waxwingford.scheduling._harm import HarmModel
-from waxwingford.scheduling._moving import Mover
+from waxwingford.scheduling._interference import HarmModel
+from waxwingford.scheduling._lease_withholding import Withholding
+from waxwingford.scheduling._migration import Mover
 from waxwingford.scheduling._order_factory import OrderFactory
 from waxwingford.scheduling._orders import Batch, Start
 from waxwingford.scheduling._pacing import FULL_PERCENT, Pacer
+from waxwingford.scheduling._penalties import (
+    BLAME_STUCK,
+    blame_server,
+    fade_blame,
+    spare_last_servers,
+)
 from waxwingford.scheduling._placing import Placer
 from waxwingford.scheduling._recovery import InheritedLeases, StateRecovery
 from waxwingford.scheduling._rows import HARM_KEY, OBSOLETE_HARM_KEY
-from waxwingford.scheduling._runners import (
-    LookOutcome,
-    OrderOutcome,
-    OrderTaken,
-)
 from waxwingford.scheduling._servers import Server, ServerEntry
 from waxwingford.scheduling._settle import Settler
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._specs import JobSpec, Terms
 from waxwingford.scheduling._state import Job, JobPhase, Run, RunPhase, Step
 from waxwingford.scheduling._stops import Stopper
-from waxwingford.scheduling._withholding import Withholding
 
 #: A run is stopped after this time without progress, in ms.
 STALLED_RUN_TIMEOUT_MS = 2500
--- a/waxwingford/scheduling/_harm.py
+++ b/waxwingford/scheduling/_interference.py
@@ -1,6 +1,6 @@
 """Model of the interference of best-effort tasks with serving tasks.
 
-A serving task's headroom (see ``_loads``) is that of its step without
+A serving task's headroom (see ``_headroom``) is that of its step without
 best-effort tasks, less a coefficient per best-effort image times the share of
 the server's CPU that runs of the image use. Interference differs strongly by
 pair of images, so a coefficient is learned for each. A sample corrects the
@@ -24,7 +24,7 @@
     serving_steps,
     share_by_image,
 )
-from waxwingford.scheduling._loads import HeadroomFilter
+from waxwingford.scheduling._headroom import HeadroomFilter
 from waxwingford.scheduling._samples import Observation, Sample, take_sample
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Run, Step
--- a/waxwingford/scheduling/_isolation.py
+++ b/waxwingford/scheduling/_isolation.py
@@ -9,10 +9,10 @@
 
 from waxwingford.ports import Resources
 from waxwingford.scheduling import _gangs as gangs
-from waxwingford.scheduling._book import Book
+from waxwingford.scheduling._backend_client import TaskKey
 from waxwingford.scheduling._crashes import cause_of, is_suspect
-from waxwingford.scheduling._runners import TaskKey
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._state import Step, Task
 
 #: Share of the usable servers that is reserved at a time, at least one server.
--- a/waxwingford/scheduling/_late_ends.py
+++ b/waxwingford/scheduling/_late_ends.py
@@ -5,9 +5,9 @@
 and a failing one would exceed its number of attempts.
 """
 
-from waxwingford.scheduling._book import Book
-from waxwingford.scheduling._runners import EndReport
+from waxwingford.scheduling._backend_client import EndReport
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._state import Run, RunPhase, Step, Task
 
 #: Number of lost runs per task, newest first, whose late ends are counted.
--- a/waxwingford/scheduling/_withholding.py
+++ b/waxwingford/scheduling/_lease_withholding.py
@@ -8,8 +8,8 @@
 import math
 from collections.abc import Iterable
 
-from waxwingford.scheduling._book import Book
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book
 
 #: Time without an answer after which a server counts as silent, in ms. Long
 #: enough for a connection that was reset to be opened again, as a silent server
--- a/waxwingford/scheduling/_moving.py
+++ b/waxwingford/scheduling/_migration.py
@@ -7,10 +7,10 @@
 
 import itertools
 
-from waxwingford.scheduling._book import Book
 from waxwingford.scheduling._colocated_runs import best_effort_runs
 from waxwingford.scheduling._placing import Placer
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._state import Run, RunPhase, Step
 
 #: Pace up to which a run counts as throttled, in percent.
--- a/waxwingford/scheduling/_order_factory.py
+++ b/waxwingford/scheduling/_order_factory.py
@@ -1,9 +1,9 @@
 """Creation of orders with their lease and fencing token."""
 
 from waxwingford.ports import Resources, fits_resources
-from waxwingford.scheduling._book import Book
-from waxwingford.scheduling._runners import LookOrder, StartOrder
+from waxwingford.scheduling._backend_client import LookOrder, StartOrder
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._state import Run, RunPhase
 
 _NOTHING = Resources(0, 0, 0)
--- a/waxwingford/scheduling/_orders.py
+++ b/waxwingford/scheduling/_orders.py
@@ -3,7 +3,7 @@
 import dataclasses
 from typing import NamedTuple
 
-from waxwingford.scheduling._runners import RunKey
+from waxwingford.scheduling._backend_client import RunKey
 from waxwingford.scheduling._state import Job, JobPhase, Run
 
 
--- a/waxwingford/scheduling/_pacing.py
+++ b/waxwingford/scheduling/_pacing.py
@@ -6,18 +6,18 @@
 again as far as the model predicts no interference.
 """
 
-from waxwingford.scheduling._book import Book
+from waxwingford.scheduling._backend_client import OrderOutcome, OrderTaken
 from waxwingford.scheduling._colocated_runs import (
     best_effort_runs,
     full_pace_share,
     serving_runs,
     serving_steps,
 )
-from waxwingford.scheduling._harm import HarmModel
-from waxwingford.scheduling._loads import HeadroomFilter
+from waxwingford.scheduling._headroom import HeadroomFilter
+from waxwingford.scheduling._interference import HarmModel
 from waxwingford.scheduling._orders import Pace
-from waxwingford.scheduling._runners import OrderOutcome, OrderTaken
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._state import Run, RunPhase, Step
 
 #: Headroom reserved for serving tasks: tail latencies at 95% of the target.
--- a/waxwingford/scheduling/_blame.py
+++ b/waxwingford/scheduling/_penalties.py
@@ -6,9 +6,9 @@
 """
 
 from waxwingford.ports import fits_resources
-from waxwingford.scheduling._book import Book
 from waxwingford.scheduling._eligibility import eligible, matches
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._state import Step
 
 #: Penalties for one failed and for one stalled run.
--- a/waxwingford/scheduling/_pending_report.py
+++ b/waxwingford/scheduling/_pending_report.py
@@ -8,7 +8,7 @@
 from waxwingford.scheduling._notes import NoteBook
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Step
-from waxwingford.scheduling._turns import PendingTask
+from waxwingford.scheduling._task_order import PendingTask
 
 #: Pending time after which a step is reported, and interval between reports, in
 #: ms.
--- a/waxwingford/scheduling/_placing.py
+++ b/waxwingford/scheduling/_placing.py
@@ -3,18 +3,18 @@
 from waxwingford.ports import fits_resources
 from waxwingford.scheduling import _gangs as gangs
 from waxwingford.scheduling._admission import BestEffortAdmission
-from waxwingford.scheduling._book import Book
-from waxwingford.scheduling._choices import CandidateQueue
+from waxwingford.scheduling._backend_client import RunKey
+from waxwingford.scheduling._candidates import CandidateQueue
 from waxwingford.scheduling._crashes import is_suspect
 from waxwingford.scheduling._eligibility import eligible
-from waxwingford.scheduling._harm import HarmModel
-from waxwingford.scheduling._holding import Reservations
+from waxwingford.scheduling._interference import HarmModel
 from waxwingford.scheduling._isolation import Isolation
 from waxwingford.scheduling._pending_report import PendingReport
-from waxwingford.scheduling._runners import RunKey
+from waxwingford.scheduling._reservations import Reservations
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._state import Job, Run, RunPhase, Step, Task
-from waxwingford.scheduling._turns import (
+from waxwingford.scheduling._task_order import (
     PendingTask,
     rank_task,
     ranked_tasks,
--- a/waxwingford/scheduling/_recovery.py
+++ b/waxwingford/scheduling/_recovery.py
@@ -4,7 +4,6 @@
 from typing import NamedTuple
 
 from waxwingford.scheduling import _gangs as gangs
-from waxwingford.scheduling._book import Book, steps_of
 from waxwingford.scheduling._rows import (
     ENDED_PREFIX,
     apply_step_row,
@@ -12,6 +11,7 @@
     parse_step_key,
 )
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book, steps_of
 from waxwingford.scheduling._state import Job, JobPhase, Run, Step
 
 
--- a/waxwingford/scheduling/_rows.py
+++ b/waxwingford/scheduling/_rows.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from waxwingford.scheduling._runners import RunKey
+from waxwingford.scheduling._backend_client import RunKey
 from waxwingford.scheduling._specs import JobSpec
 from waxwingford.scheduling._state import (
     Job,
--- a/waxwingford/scheduling/_samples.py
+++ b/waxwingford/scheduling/_samples.py
@@ -3,7 +3,7 @@
 import math
 from typing import NamedTuple
 
-from waxwingford.scheduling._runners import RunKey
+from waxwingford.scheduling._backend_client import RunKey
 
 #: Time constant of the exponential average that servers report, in ms.
 SMOOTHING_MS = 500
--- a/waxwingford/scheduling/_servers.py
+++ b/waxwingford/scheduling/_servers.py
@@ -9,7 +9,7 @@
     add_resources,
     subtract_resources,
 )
-from waxwingford.scheduling._runners import Address, RunKey, TaskKey
+from waxwingford.scheduling._backend_client import Address, RunKey, TaskKey
 from waxwingford.scheduling._state import Run, RunPhase, Step
 
 #: Maximum relative drift between the clocks of a server and of the owner. The
--- a/waxwingford/scheduling/_settle.py
+++ b/waxwingford/scheduling/_settle.py
@@ -9,14 +9,7 @@
 
 from waxwingford.scheduling import _crashes as crashes
 from waxwingford.scheduling import _gangs as gangs
-from waxwingford.scheduling._blame import (
-    BLAME_FAILED,
-    PRAISE_FACTOR,
-    blame_server,
-)
-from waxwingford.scheduling._book import Book
-from waxwingford.scheduling._late_ends import note_lost, take_late_end
-from waxwingford.scheduling._runners import (
+from waxwingford.scheduling._backend_client import (
     Denial,
     EndKind,
     EndReport,
@@ -31,12 +24,19 @@
     RunningReport,
     ServerReplaced,
 )
+from waxwingford.scheduling._late_ends import note_lost, take_late_end
+from waxwingford.scheduling._penalties import (
+    BLAME_FAILED,
+    PRAISE_FACTOR,
+    blame_server,
+)
 from waxwingford.scheduling._server_notes import (
     note_awaited,
     note_run,
     note_silent,
 )
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._state import JobPhase, Run, RunPhase, Step, Task
 from waxwingford.scheduling._stops import STOP_RETRY_INTERVAL_MS
 
--- a/waxwingford/scheduling/_book.py
+++ b/waxwingford/scheduling/_shard_state.py
@@ -5,7 +5,7 @@
 servers see a state that a new owner would not find in the store.
 """
 
-from waxwingford.scheduling._advice import AdviceBook
+from waxwingford.scheduling._backend_client import RunKey
 from waxwingford.scheduling._notes import NoteBook
 from waxwingford.scheduling._orders import (
     Batch,
@@ -19,7 +19,6 @@
     encode_end,
     encode_step_row,
 )
-from waxwingford.scheduling._runners import RunKey
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._specs import JobSpec, QueueTerms, Terms
 from waxwingford.scheduling._state import (
@@ -30,6 +29,7 @@
     Task,
     new_job,
 )
+from waxwingford.scheduling._tickets import AdviceBook
 
 INITIAL_TERMS = Terms(0, {})
 
--- a/waxwingford/scheduling/_state.py
+++ b/waxwingford/scheduling/_state.py
@@ -3,7 +3,7 @@
 import dataclasses
 import enum
 
-from waxwingford.scheduling._runners import RunKey, TaskKey
+from waxwingford.scheduling._backend_client import RunKey, TaskKey
 from waxwingford.scheduling._specs import JobSpec, StepSpec
 
 
--- a/waxwingford/scheduling/_stops.py
+++ b/waxwingford/scheduling/_stops.py
@@ -1,8 +1,8 @@
 """Stop orders and their repetition."""
 
-from waxwingford.scheduling._book import Book
 from waxwingford.scheduling._orders import Stop
 from waxwingford.scheduling._servers import Server
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._state import Run, RunPhase
 
 #: Time after which a run is stopped if its start got no answer and no poll has
--- a/waxwingford/scheduling/_turns.py
+++ b/waxwingford/scheduling/_task_order.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from waxwingford.scheduling._book import Book
+from waxwingford.scheduling._shard_state import Book
 from waxwingford.scheduling._specs import QueueTerms
 from waxwingford.scheduling._state import Job, Step, Task
 
--- a/waxwingford/scheduling/tests/crash_steps.py
+++ b/waxwingford/scheduling/tests/crash_steps.py
@@ -9,7 +9,7 @@
     ServerReplaced,
 )
 from waxwingford.scheduling._crashes import is_suspect
-from waxwingford.scheduling.tests.engine_bench import (
+from waxwingford.scheduling.tests.engine_harness import (
     JOB,
     QUEUE,
     SECOND,
--- a/waxwingford/scheduling/tests/engine_steps.py
+++ b/waxwingford/scheduling/tests/engine_steps.py
@@ -11,7 +11,7 @@
     TaskKey,
     Terms,
 )
-from waxwingford.scheduling.tests.engine_bench import (
+from waxwingford.scheduling.tests.engine_harness import (
     JOB,
     QUEUE,
     SECOND,
--- a/waxwingford/scheduling/tests/fault_steps.py
+++ b/waxwingford/scheduling/tests/fault_steps.py
@@ -11,7 +11,7 @@
     OrderNotSent,
     OrderUnknown,
 )
-from waxwingford.scheduling.tests.engine_bench import (
+from waxwingford.scheduling.tests.engine_harness import (
     JOB,
     LOOK_EVERY_MS,
     QUEUE,
--- a/waxwingford/scheduling/tests/large_fleet_steps.py
+++ b/waxwingford/scheduling/tests/large_fleet_steps.py
@@ -7,7 +7,7 @@
 
 from waxwingford.ports import Resources
 from waxwingford.scheduling import EndKind, JobSpec, StepSpec
-from waxwingford.scheduling.tests.engine_bench import QUEUE, Bench
+from waxwingford.scheduling.tests.engine_harness import QUEUE, Bench
 
 MS_IN_S = 1000
 PACKAGE = 'waxwingford.scheduling'
--- a/waxwingford/scheduling/tests/late_ends_steps.py
+++ b/waxwingford/scheduling/tests/late_ends_steps.py
@@ -3,7 +3,7 @@
 from behave import then, when
 
 from waxwingford.scheduling import EndKind
-from waxwingford.scheduling.tests.engine_bench import expire_leases
+from waxwingford.scheduling.tests.engine_harness import expire_leases
 from waxwingford.scheduling.tests.succession_steps import change_owner
 
 
--- a/waxwingford/scheduling/tests/pressure_steps.py
+++ b/waxwingford/scheduling/tests/pressure_steps.py
@@ -4,7 +4,7 @@
 
 from waxwingford.ports import Resources
 from waxwingford.scheduling import EndKind, EndReport, JobSpec, StepSpec
-from waxwingford.scheduling.tests.engine_bench import (
+from waxwingford.scheduling.tests.engine_harness import (
     QUEUE,
     SECOND,
     THIRD,
--- a/waxwingford/scheduling/tests/succession_steps.py
+++ b/waxwingford/scheduling/tests/succession_steps.py
@@ -4,7 +4,7 @@
 
 from waxwingford.scheduling import Denial, EndKind, EndReport, OrderDenied
 from waxwingford.scheduling._rows import encode_step_row
-from waxwingford.scheduling.tests.engine_bench import (
+from waxwingford.scheduling.tests.engine_harness import (
     JOB,
     new_engine,
     step,
--- a/waxwingford/scheduling/tests/tickets_steps.py
+++ b/waxwingford/scheduling/tests/tickets_steps.py
@@ -9,7 +9,7 @@
     OrderTaken,
     Terms,
 )
-from waxwingford.scheduling.tests.engine_bench import QUEUE, Bench, step
+from waxwingford.scheduling.tests.engine_harness import QUEUE, Bench, step
 
 #: Servers that the service accepts in one request.
 MAX_REQUEST_SERVERS = 100
--- a/waxwingford/shard/__init__.py
+++ b/waxwingford/shard/__init__.py
@@ -1,8 +1,6 @@
 """Shards: their stored intake and journal, owner election and queries."""
 
-from waxwingford.shard._advice_asker import Advised, Advisor, NotAdvised
-from waxwingford.shard._desk import CancelNotKnown, ShardDesk
-from waxwingford.shard._fleet import ServerDirectory
+from waxwingford.shard._frontend import CancelNotKnown, ShardDesk
 from waxwingford.shard._intake import (
     Intake,
     IntakeOutcome,
@@ -44,6 +42,8 @@
     SchedulerPlatform,
     scheduler_platforms,
 )
+from waxwingford.shard._server_drivers import ServerDirectory
+from waxwingford.shard._ticket_requests import Advised, Advisor, NotAdvised
 
 __all__ = (
     'Advised',
--- a/waxwingford/shard/_commits.py
+++ b/waxwingford/shard/_commits.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable, Iterator
 
 from waxwingford.scheduling import Engine
-from waxwingford.shard._fleet import Fleet
 from waxwingford.shard._journal import Deposed, EpochWriter
 from waxwingford.shard._log_port import KeyedRecord
+from waxwingford.shard._server_drivers import Fleet
 
 #: Most bytes of rows in one append, half of the platform's limit.
 MAX_APPEND_BYTES = 1_000_000
--- a/waxwingford/shard/_drivers.py
+++ b/waxwingford/shard/_drivers.py
@@ -14,7 +14,7 @@
     Server,
     TaskRunners,
 )
-from waxwingford.shard._times import MS_IN_S, steady_ms
+from waxwingford.shard._clocks import MS_IN_S, steady_ms
 
 #: Longest time that a server may hold a poll until a run ends, in ms. It bounds
 #: the age of reported progress and latencies.
--- a/waxwingford/shard/_desk.py
+++ b/waxwingford/shard/_frontend.py
@@ -4,6 +4,7 @@
 import dataclasses
 
 from waxwingford.scheduling import JobPhase, JobSpec, encode_spec
+from waxwingford.shard._clocks import steady_ms
 from waxwingford.shard._intake import (
     CancelRow,
     Intake,
@@ -25,7 +26,6 @@
     OwnerLink,
 )
 from waxwingford.shard._store_view import StoreView
-from waxwingford.shard._times import steady_ms
 
 #: Share of the caller's remaining time that the owner is given to store a row.
 OWNER_TIMEOUT_SHARE = 0.4
--- a/waxwingford/shard/_intake_reader.py
+++ b/waxwingford/shard/_intake_reader.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from waxwingford.scheduling import Engine, decode_spec
+from waxwingford.shard._clocks import MS_IN_S, steady_ms
 from waxwingford.shard._intake import (
     CANCEL_PREFIX,
     INTAKE_TOPIC,
@@ -11,7 +12,6 @@
 )
 from waxwingford.shard._log_port import SharedLog, StoredRecord
 from waxwingford.shard._mirror import CatchUp, CaughtUp, Mirror
-from waxwingford.shard._times import MS_IN_S, steady_ms
 
 #: Longest time that the store may hold a read, in ms. It bounds the time to
 #: detect a dead connection.
--- a/waxwingford/shard/_lease_bounds.py
+++ b/waxwingford/shard/_lease_bounds.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from waxwingford.scheduling import Engine, InheritedLeases
+from waxwingford.shard._clocks import steady_ms
 from waxwingford.shard._journal import OwnerRecord
-from waxwingford.shard._times import steady_ms
 
 #: Greatest age of the newest proof of ownership, in ms, at which leases are
 #: extended. A successor waits for this age plus the lease before it restarts
--- a/waxwingford/shard/_load.py
+++ b/waxwingford/shard/_loop_lag.py
@@ -8,8 +8,8 @@
 
 import asyncio
 
+from waxwingford.shard._clocks import MS_IN_S, steady_ms
 from waxwingford.shard._observer import Observer
-from waxwingford.shard._times import MS_IN_S, steady_ms
 
 #: Interval between two samples of the event loop, in seconds.
 SAMPLE_INTERVAL_S = 0.05
--- a/waxwingford/shard/_member.py
+++ b/waxwingford/shard/_member.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 
 from waxwingford.scheduling import Terms
+from waxwingford.shard._clocks import MS_IN_S, steady_ms
 from waxwingford.shard._journal import (
     Claimed,
     ClaimFailed,
@@ -16,7 +17,6 @@
 from waxwingford.shard._log_port import SharedLog
 from waxwingford.shard._observer import Observer
 from waxwingford.shard._owner import Owner
-from waxwingford.shard._times import MS_IN_S, steady_ms
 from waxwingford.shard._watch import OwnerWatch
 
 #: Greatest random delay of a claim, in ms, if the owner resigned or there never
--- a/waxwingford/shard/_owner.py
+++ b/waxwingford/shard/_owner.py
@@ -8,13 +8,13 @@
 
 from waxwingford.kernel import SystemClock
 from waxwingford.scheduling import Engine, TaskRunners, Terms, decode_spec
-from waxwingford.shard._advice_asker import AdviceAsker, Advisor
 from waxwingford.shard._claims import Claim
+from waxwingford.shard._clocks import boottime_ms, steady_ms
 from waxwingford.shard._commits import Committer
 from waxwingford.shard._drivers import DriverPorts
-from waxwingford.shard._fleet import Fleet, ServerDirectory
 from waxwingford.shard._heartbeats import Heartbeats
 from waxwingford.shard._intake import CancelRow, IntakeRow, JobRow
+from waxwingford.shard._intake_cleaner import Sweeper
 from waxwingford.shard._intake_reader import IntakeReader
 from waxwingford.shard._journal import (
     JOURNAL_TOPIC,
@@ -29,8 +29,8 @@
     next_epoch,
 )
 from waxwingford.shard._lease_bounds import LeaseLedger, Predecessor
-from waxwingford.shard._load import LoopLag, StrainLines
 from waxwingford.shard._log_port import SharedLog
+from waxwingford.shard._loop_lag import LoopLag, StrainLines
 from waxwingford.shard._mirror import CaughtUp, Mirror
 from waxwingford.shard._observer import Observer
 from waxwingford.shard._peers import (
@@ -39,8 +39,8 @@
     JobNotKnown,
     NotAnswered,
 )
-from waxwingford.shard._sweeper import Sweeper
-from waxwingford.shard._times import boottime_ms, steady_ms
+from waxwingford.shard._server_drivers import Fleet, ServerDirectory
+from waxwingford.shard._ticket_requests import AdviceAsker, Advisor
 
 #: Longest interval between decisions, in seconds.
 MAX_DECISION_INTERVAL_S = 0.1
--- a/waxwingford/shard/_peers.py
+++ b/waxwingford/shard/_peers.py
@@ -10,6 +10,7 @@
 
 from waxwingford.scheduling import JobPhase
 from waxwingford.shard import queries_pb2 as wire
+from waxwingford.shard._clocks import MS_IN_S
 from waxwingford.shard._intake import (
     CancelRow,
     IntakeOutcome,
@@ -19,7 +20,6 @@
     NotStored,
     Stored,
 )
-from waxwingford.shard._times import MS_IN_S
 from waxwingford.shard.queries_grpc import ShardQueriesBase, ShardQueriesStub
 
 #: Timeout of a query to the owner, in seconds. It leaves time to read the store
--- a/waxwingford/shard/_platform_port.py
+++ b/waxwingford/shard/_platform_port.py
@@ -5,10 +5,10 @@
 
 from waxwingford.kernel import Registry
 from waxwingford.scheduling import TaskRunners, Terms
-from waxwingford.shard._advice_asker import Advisor
-from waxwingford.shard._desk import ShardDesk
-from waxwingford.shard._fleet import ServerDirectory
+from waxwingford.shard._frontend import ShardDesk
 from waxwingford.shard._log_port import SharedLog
+from waxwingford.shard._server_drivers import ServerDirectory
+from waxwingford.shard._ticket_requests import Advisor
 
 
 class SchedulerPlatform(ServerDirectory, Protocol):
--- a/waxwingford/shard/_fleet.py
+++ b/waxwingford/shard/_server_drivers.py
@@ -10,8 +10,8 @@
     Start,
     Stop,
 )
+from waxwingford.shard._clocks import steady_ms
 from waxwingford.shard._drivers import DriverPorts, ServerDriver
-from waxwingford.shard._times import steady_ms
 
 #: An owner is cut off if more than half of the servers that have tasks have not
 #: answered for this time, in ms, which is shorter than a lease. With fewer servers
--- a/waxwingford/shard/_advice_asker.py
+++ b/waxwingford/shard/_ticket_requests.py
@@ -8,7 +8,7 @@
 import logbook
 
 from waxwingford.scheduling import Engine
-from waxwingford.shard._times import steady_ms
+from waxwingford.shard._clocks import steady_ms
 
 #: Delay after a question that failed, in seconds.
 RETRY_DELAY_S = 0.2
--- a/waxwingford/shard/_watch.py
+++ b/waxwingford/shard/_watch.py
@@ -2,12 +2,12 @@
 
 import random
 
+from waxwingford.shard._clocks import steady_ms
 from waxwingford.shard._heartbeats import OWNERS_TOPIC
 from waxwingford.shard._journal import OWNER_KEY, OwnerRecord, decode_owner
 from waxwingford.shard._lease_bounds import Predecessor
 from waxwingford.shard._log_port import SharedLog
 from waxwingford.shard._mirror import CaughtUp, Mirror
-from waxwingford.shard._times import steady_ms
 
 #: The owner is suspected after this many times the longest recent interval
 #: between heartbeats, within the bounds below, in ms. The timeout adapts
--- a/waxwingford/shard/tests/virtual_shard.py
+++ b/waxwingford/shard/tests/virtual_shard.py
@@ -20,8 +20,8 @@
     ShardDesk,
     ShardMember,
 )
-from waxwingford.shard._times import steady_ms
-from waxwingford.shard.tests.servers_way import VirtualServerClient
+from waxwingford.shard._clocks import steady_ms
+from waxwingford.shard.tests.virtual_server_client import VirtualServerClient
 from waxwingford.shard.tests.virtual_servers import VirtualServers
 from waxwingford.shard.tests.virtual_store import StoreWay, VirtualStore
 
