--- a/waxwingford/scheduling/tests/pressure_steps.py
+++ b/waxwingford/scheduling/tests/pressure_steps.py
@@ -18,32 +18,36 @@
 @given('a lasting job of {count:d} task of {cores:d} cores that runs')
 @given('a lasting job of {count:d} tasks of {cores:d} cores that runs')
 def run_long_running(context, count, cores):
-    context.bench.lasting = True
-    context.bench.submit(step(count, cores, lasting=True))
-    context.bench.look()
-    assert len(context.bench.planned) == count
-    context.run = context.bench.planned[0]
+    context.harness.long_running = True
+    context.harness.submit(step(count, cores, long_running=True))
+    context.harness.poll()
+    assert len(context.harness.planned_runs) == count
+    context.run = context.harness.planned_runs[0]
 
 
 @when('a lasting job of 1 task of {cores:d} cores waits for {span_s:d} s')
 def one_long_running_pending(context, cores, span_s):
-    steps = (step(1, cores, lasting=True),)
+    steps = (step(1, cores, long_running=True),)
     spec = JobSpec(SECOND, 'queue', 'payload', steps, terms=QUEUE)
-    context.bench.engine.submit(spec, context.bench.now_ms)
-    context.bench.pass_ms(span_s * 1000)
+    context.harness.engine.submit(spec, context.harness.now_ms)
+    context.harness.pass_ms(span_s * 1000)
 
 
 @when(
     'a lasting job of {count:d} tasks of {cores:d} cores waits for {span_s:d} s'
 )
 def long_running_pending(context, count, cores, span_s):
-    submit_long_running(context.bench, SECOND, step(count, cores, lasting=True))
-    context.bench.pass_ms(span_s * 1000)
+    submit_long_running(
+        context.harness, SECOND, step(count, cores, long_running=True)
+    )
+    context.harness.pass_ms(span_s * 1000)
 
 
 @when('a lasting job of 1 task of {cores:d} cores comes besides')
 def add_long_running(context, cores):
-    submit_long_running(context.bench, THIRD, step(1, cores, lasting=True))
+    submit_long_running(
+        context.harness, THIRD, step(1, cores, long_running=True)
+    )
 
 
 @when(
@@ -52,13 +56,13 @@
 )
 def add_large_long_running(context, cores, memory_mb):
     needs = Resources(cores * 1000, memory_mb, 0)
-    large = StepSpec(1, needs, 700, lasting=True)
-    submit_long_running(context.bench, THIRD, large)
+    large = StepSpec(1, needs, 700, long_running=True)
+    submit_long_running(context.harness, THIRD, large)
 
 
-def submit_long_running(bench, job_id, spec):
+def submit_long_running(harness, job_id, spec):
     job = JobSpec(job_id, 'queue', 'payload', (spec,), terms=QUEUE)
-    bench.engine.submit(job, bench.now_ms)
+    harness.engine.submit(job, harness.now_ms)
 
 
 @when(
@@ -66,18 +70,18 @@
 )
 def run_long_task(context, kind, cores, memory_mb, span_s):
     needs = Resources(cores * 1000, memory_mb, 0)
-    long = StepSpec(1, needs, span_s * 1000, fills=kind == 'fill')
-    context.bench.submit(long)
-    context.bench.look()
-    assert len(context.bench.planned) == 1
+    long = StepSpec(1, needs, span_s * 1000, best_effort=kind == 'fill')
+    context.harness.submit(long)
+    context.harness.poll()
+    assert len(context.harness.planned_runs) == 1
 
 
 @then('that one is planned within {span_s:d} s')
 def third_job_planned(context, span_s):
-    bench = context.bench
+    harness = context.harness
 
     def planned():
-        return any(run.key.task.job_id == THIRD for run in bench.planned)
+        return any(run.key.task.job_id == THIRD for run in harness.planned_runs)
 
     elapsed_ms = run_overloaded(context, span_s * 1000, until=planned)
     assert planned(), f'not within {elapsed_ms} ms'
@@ -110,62 +114,64 @@
     :param until: condition that ends it earlier.
     :returns: elapsed milliseconds.
     """
-    bench = context.bench
-    begin_ms = bench.now_ms
-    cores = sum(one.capacity.processors_milli for one in bench.entries) // 1000
-    while bench.now_ms - begin_ms < span_ms and not until():
-        while len(bench.engine.book.ready_by_key) < cores:
+    harness = context.harness
+    begin_ms = harness.now_ms
+    cores = (
+        sum(one.capacity.processors_milli for one in harness.entries) // 1000
+    )
+    while harness.now_ms - begin_ms < span_ms and not until():
+        while len(harness.engine.state.pending_by_key) < cores:
             submit_short(context)
         end_short(context)
-        bench.decide()
-    return bench.now_ms - begin_ms
+        harness.decide()
+    return harness.now_ms - begin_ms
 
 
 def submit_short(context):
-    bench = context.bench
+    harness = context.harness
     context.pressed += 1
     job_id = f'{0xC000 + context.pressed:016x}'
     spec = JobSpec(job_id, 'queue', 'payload', (step(),), terms=QUEUE)
-    bench.engine.submit(spec, bench.now_ms)
-    bench.engine.decide(bench.now_ms, bench.wall_ms)
+    harness.engine.submit(spec, harness.now_ms)
+    harness.engine.decide(harness.now_ms, harness.wall_ms)
 
 
-def short_runs(bench):
+def short_runs(harness):
     return [
         run
-        for server in bench.engine.book.server_by_id.values()
+        for server in harness.engine.state.server_by_id.values()
         for key, run in server.run_by_key.items()
-        if not bench.step_of(key).lasting
-        and bench.step_of(key).estimate_ms < LONG_MS
+        if not harness.step_of(key).long_running
+        and harness.step_of(key).estimate_ms < LONG_MS
     ]
 
 
 def end_short(context):
-    bench = context.bench
-    for run in short_runs(bench):
+    harness = context.harness
+    for run in short_runs(harness):
         extra_ms = int(run.key.task.job_id, 16) * 97 % (context.spread_ms + 1)
-        if bench.now_ms - run.planned_ms >= context.length_ms + extra_ms:
-            ends = bench.ends[run.server_id]
+        if harness.now_ms - run.planned_ms >= context.length_ms + extra_ms:
+            ends = harness.ends[run.server_id]
             end = EndReport(len(ends) + 1, run.key, EndKind.done, '')
             ends.append(end)
-    bench.look()
+    harness.poll()
 
 
 @when('the run of the lasting task ends as stopped')
 def stop_long_running(context):
-    context.bench.end(context.run, EndKind.stopped)
+    context.harness.end(context.run, EndKind.stopped)
 
 
 @then('it is planned again within {span_s:d} s')
 def planned_again(context, span_s):
-    bench = context.bench
-    context.planned_before = len(bench.planned)
+    harness = context.harness
+    context.planned_before = len(harness.planned_runs)
     task = context.run.key.task
 
     def again():
         return any(
             run.key.task == task and run is not context.run
-            for run in bench.planned
+            for run in harness.planned_runs
         )
 
     elapsed_ms = run_overloaded(context, 3 * span_s * 1000, until=again)
@@ -176,7 +182,7 @@
 
 @then('short tasks were planned all the while')
 def short_tasks_planned(context):
-    count = len(context.bench.planned) - context.planned_before
+    count = len(context.harness.planned_runs) - context.planned_before
     # Two of three servers run 16 tasks every 0.75 s.
     least = 16 * context.waited_ms // 750
     assert count >= least, (count, least)
@@ -184,4 +190,4 @@
 
 @then('all {cores:d} cores beside the lasting tasks are in use')
 def remaining_cores_used(context, cores):
-    assert len(short_runs(context.bench)) == cores
+    assert len(short_runs(context.harness)) == cores
--- a/waxwingford/scheduling/tests/tickets_steps.py
+++ b/waxwingford/scheduling/tests/tickets_steps.py
@@ -3,13 +3,17 @@
 from behave import given, then, when
 
 from waxwingford.scheduling import (
-    Denial,
     EndKind,
-    OrderDenied,
-    OrderTaken,
+    OrderAccepted,
+    OrderRefused,
+    RefusalReason,
     Terms,
 )
-from waxwingford.scheduling.tests.engine_harness import QUEUE, Bench, step
+from waxwingford.scheduling.tests.engine_harness import (
+    QUEUE,
+    EngineHarness,
+    step,
+)
 
 #: Servers that the service accepts in one request.
 MAX_REQUEST_SERVERS = 100
@@ -17,7 +21,7 @@
 DECIDE_INTERVAL_MS = 50
 
 
-class TicketBench(Bench):
+class TicketBench(EngineHarness):
     """An engine whose starts are sent by steps of the scenario.
 
     :ivar unsent: stored starts that are not sent yet.
@@ -31,7 +35,7 @@
         super().__init__(count, cores)
         queue = QUEUE._replace(advised=True)
         self.engine.configure(Terms(2, {'queue': queue}))
-        self.advice = self.engine.book.advice
+        self.tickets = self.engine.state.tickets
         self.until_by_ticket = {}
         self.unsent = []
         self.taken = []
@@ -43,9 +47,9 @@
         self.now_ms += DECIDE_MS
         self.engine.decide(self.now_ms, self.wall_ms)
         starts = self.engine.stored(self.engine.take_batch())
-        self.planned += [start.run for start in starts]
+        self.planned_runs += [start.run for start in starts]
         self.unsent += starts
-        self.orders += self.engine.book.take_orders()
+        self.orders += self.engine.state.take_orders()
 
     def send(self, starts):
         for start in starts:
@@ -58,11 +62,11 @@
 
     def answer(self, start, order):
         valid = self.until_by_ticket.get(order.ticket, 0) > self.now_ms
-        outcome = OrderDenied(Denial.no_ticket)
+        outcome = OrderRefused(RefusalReason.no_ticket)
         if valid:
-            outcome = OrderTaken(self.now_ms)
+            outcome = OrderAccepted(self.now_ms)
         (self.taken if valid else self.refused).append(start.run)
-        server = self.engine.book.server_by_id[start.server_id]
+        server = self.engine.state.server_by_id[start.server_id]
         self.engine.start_answered(server, start.run, self.now_ms, outcome)
 
     def advise(self, choose, validity_ms, took_ms=0):
@@ -73,7 +77,7 @@
         :param took_ms: duration of the request; placement rounds go on.
         :returns: whether there was a request.
         """
-        request = self.advice.next_question()
+        request = self.tickets.next_request()
         if request is None:
             return False
         assert len(request.server_ids) <= MAX_REQUEST_SERVERS, request
@@ -89,7 +93,7 @@
         }
         for text in tickets.values():
             self.until_by_ticket[text] = self.now_ms + validity_ms
-        self.advice.answered(
+        self.tickets.answered(
             request, tickets, sent_ms, validity_ms, self.now_ms
         )
         self.decide()
@@ -103,7 +107,7 @@
         :param span_ms: time limit.
         """
         until_ms = self.now_ms + span_ms
-        while self.now_ms < until_ms and not self.planned:
+        while self.now_ms < until_ms and not self.planned_runs:
             if not self.advise(self.choose_allowed, validity_ms, took_ms):
                 self.decide()
 
@@ -125,18 +129,18 @@
 @given('an advised queue, and {count:d} servers of {cores:d} core')
 @given('an advised queue, and {count:d} servers of {cores:d} cores')
 def create_advised_servers(context, count, cores):
-    context.bench = TicketBench(count, cores)
+    context.harness = TicketBench(count, cores)
 
 
 @when('a job of 2 tasks is submitted')
 def submit_two_tasks(context):
-    context.bench.submit(step(2))
+    context.harness.submit(step(2))
 
 
 @when('the service issues tickets of {validity_ms:d} ms for {count:d} server')
 @when('the service issues tickets of {validity_ms:d} ms for {count:d} servers')
 def issue_tickets(context, validity_ms, count):
-    assert context.bench.advise(first_servers(count), validity_ms)
+    assert context.harness.advise(first_servers(count), validity_ms)
 
 
 @when(
@@ -144,12 +148,12 @@
     ' after {took_ms:d} ms'
 )
 def issue_tickets_late(context, validity_ms, count, took_ms):
-    assert context.bench.advise(first_servers(count), validity_ms, took_ms)
+    assert context.harness.advise(first_servers(count), validity_ms, took_ms)
 
 
 @given('the service allows the servers from {begin:d} to {end:d} only')
 def allow_servers(context, begin, end):
-    context.bench.allowed = {f's{number}' for number in range(begin, end + 1)}
+    context.harness.allowed = {f's{number}' for number in range(begin, end + 1)}
 
 
 @when(
@@ -157,64 +161,64 @@
     ' each time after {took_ms:d} ms, for {span_s:d} s'
 )
 def issue_tickets_repeatedly(context, validity_ms, took_ms, span_s):
-    context.bench.advise_until_planned(validity_ms, took_ms, span_s * 1000)
+    context.harness.advise_until_planned(validity_ms, took_ms, span_s * 1000)
 
 
 @then('the service got at most {count:d} requests')
 def requests_bounded(context, count):
-    assert 0 < context.bench.requests <= count, context.bench.requests
+    assert 0 < context.harness.requests <= count, context.harness.requests
 
 
 @when('the starts are sent {later_ms:d} ms later')
 def send_starts(context, later_ms):
-    context.bench.now_ms += later_ms
-    context.bench.send(list(context.bench.unsent))
+    context.harness.now_ms += later_ms
+    context.harness.send(list(context.harness.unsent))
 
 
 @when('{count:d} start is sent {later_ms:d} ms later')
 def send_some_starts(context, count, later_ms):
-    context.bench.now_ms += later_ms
-    context.bench.send(context.bench.unsent[:count])
+    context.harness.now_ms += later_ms
+    context.harness.send(context.harness.unsent[:count])
 
 
 @when('the run ends {later_ms:d} ms later')
 def end_run(context, later_ms):
-    bench = context.bench
-    bench.now_ms += later_ms
-    bench.end(bench.taken[-1], EndKind.done)
+    harness = context.harness
+    harness.now_ms += later_ms
+    harness.end(harness.taken[-1], EndKind.done)
 
 
 @then('no start is sent')
 def no_start_sent(context):
-    bench = context.bench
-    assert bench.planned
-    assert not bench.taken and not bench.refused, bench.refused
+    harness = context.harness
+    assert harness.planned_runs
+    assert not harness.taken and not harness.refused, harness.refused
 
 
 @then('another ticket request is pending')
 def request_pending(context):
-    advice = context.bench.advice
-    request = advice.next_question()
+    advice = context.harness.tickets
+    request = advice.next_request()
     assert request is not None
     # The round queues the request again for the next step.
-    context.bench.decide()
+    context.harness.decide()
 
 
 @then('{count:d} start is taken')
 @then('{count:d} starts are taken')
 def starts_taken(context, count):
-    assert len(context.bench.taken) == count, context.bench.taken
+    assert len(context.harness.taken) == count, context.harness.taken
 
 
 @then('no start is refused')
 def no_start_refused(context):
-    assert not context.bench.refused, context.bench.refused
+    assert not context.harness.refused, context.harness.refused
 
 
 @then('a stop of the other member is ordered')
 def other_member_stopped(context):
     # Stops are ordered every 50 ms; the first round settles the run.
-    context.bench.now_ms += 50
-    context.bench.decide()
-    stops = context.bench.stops()
-    assert stops == [run.key for run in context.bench.taken], stops
+    context.harness.now_ms += 50
+    context.harness.decide()
+    stops = context.harness.stops()
+    assert stops == [run.key for run in context.harness.taken], stops
--- a/waxwingford/shard/_commits.py
+++ b/waxwingford/shard/_commits.py
@@ -31,7 +31,7 @@
 
     def wake(self) -> None:
         """Request a batch if the engine has decisions to store."""
-        if self._engine.book.dirty:
+        if self._engine.state.dirty:
             self._requested.set()
 
     async def run(self, request_decision: Callable[[], None]) -> None:
--- a/waxwingford/shard/_drivers.py
+++ b/waxwingford/shard/_drivers.py
@@ -5,14 +5,14 @@
 from collections.abc import Awaitable, Callable, Coroutine
 
 from waxwingford.scheduling import (
+    BackendClient,
     Engine,
-    Looked,
     Pace,
+    PollResult,
     Run,
     RunKey,
     RunPhase,
     Server,
-    TaskRunners,
 )
 from waxwingford.shard._clocks import MS_IN_S, steady_ms
 
@@ -57,7 +57,7 @@
 class DriverPorts:
     """Dependencies that all drivers of an owner share.
 
-    :ivar runners: client of the backend servers.
+    :ivar backend_client: client of the backend servers.
     :ivar ownership_proven: returns whether ownership of the shard is proven
         recently enough to grant leases.
     :ivar wait_until_proven: waits until ownership is proven.
@@ -66,7 +66,7 @@
     :ivar loop_lag_s: returns the lag of the event loop, in seconds.
     """
 
-    runners: TaskRunners
+    backend_client: BackendClient
     ownership_proven: Callable[[], bool]
     wait_until_proven: Callable[[], Awaitable[None]]
     on_answer: Callable[[], None]
@@ -91,7 +91,7 @@
         """
         self.server = server
         self._engine = engine
-        self._runners = ports.runners
+        self._backend_client = ports.backend_client
         self._ownership_proven = ports.ownership_proven
         self._wait_until_proven = ports.wait_until_proven
         self._on_answer = ports.on_answer
@@ -169,12 +169,14 @@
             return False
         order = self._engine.orders.start(run, now_ms)
         if order is not None:
-            outcome = await self._runners.start(self.server.address, order)
+            outcome = await self._backend_client.start(
+                self.server.address, order
+            )
             self._engine.start_answered(self.server, run, steady_ms(), outcome)
         return True
 
     async def _stop(self, key: RunKey) -> None:
-        outcome = await self._runners.stop(
+        outcome = await self._backend_client.stop(
             self.server.address, key, self._engine.orders.token
         )
         self._engine.settler.stop_answered(
@@ -184,7 +186,7 @@
 
     async def _pace(self, order: Pace) -> None:
         async with self._order_slots:
-            outcome = await self._runners.pace(
+            outcome = await self._backend_client.pace(
                 self.server.address,
                 order.key,
                 order.percent,
@@ -193,47 +195,51 @@
         self._engine.pacer.answered(self.server, order, outcome)
 
     async def _poll_loop(self) -> None:
-        while not self.server.gone:
+        while not self.server.replaced:
             await self._wait_until_due()
             sent_ms = steady_ms()
-            order = self._engine.orders.look(
+            order = self._engine.orders.poll(
                 self.server, sent_ms, self._wait_ms(), self._ownership_proven()
             )
-            outcome = await self._runners.look(self.server.address, order)
-            if isinstance(outcome, Looked):
-                self._acked_end = order.seen_end
-            self._engine.looked(self.server, sent_ms, steady_ms(), outcome)
+            outcome = await self._backend_client.poll(
+                self.server.address, order
+            )
+            if isinstance(outcome, PollResult):
+                self._acked_end = order.acknowledged_end
+            self._engine.poll_answered(
+                self.server, sent_ms, steady_ms(), outcome
+            )
             self._on_answer()
             await self._pause()
 
     async def _wait_until_due(self) -> None:
         server = self.server
-        if server.looked_ms < 0 or server.failing_ms is not None:
+        if server.polled_ms < 0 or server.failing_since_ms is not None:
             return
         # A poll acknowledges the end reports of the one before. Without it an
         # idle server would keep its last reports.
-        has_unacked_ends = self._acked_end < server.seen_end
-        if not (server.run_by_key or server.strangers or has_unacked_ends):
+        has_unacked_ends = self._acked_end < server.acknowledged_end
+        if not (server.run_by_key or server.unknown_runs or has_unacked_ends):
             await self._wait_for_wake(IDLE_POLL_INTERVAL_S)
 
     def _wait_ms(self) -> int:
         server = self.server
-        if server.looked_ms < 0 or server.failing_ms is not None:
+        if server.polled_ms < 0 or server.failing_since_ms is not None:
             return 0
-        if server.reserved_for is not None and server.fresh:
+        if server.reserved_for is not None and server.recent_starts:
             return UNRESOLVED_WAIT_MS
-        if server.strangers or any(
+        if server.unknown_runs or any(
             map(_is_unresolved, server.run_by_key.values())
         ):
             return UNRESOLVED_WAIT_MS
-        if self._engine.pacer.watches(server):
-            return _colocated_wait_ms(self._engine.pacer.watched)
+        if self._engine.pacer.needs_frequent_polls(server):
+            return _colocated_wait_ms(self._engine.pacer.watched_servers)
         return min(
             POLL_WAIT_MS, self._engine.orders.lease_ms // MIN_POLLS_PER_LEASE
         )
 
     async def _pause(self) -> None:
-        if self.server.failing_ms is not None:
+        if self.server.failing_since_ms is not None:
             # A poll also fails if its answer is read too late; an immediate
             # retry would add to the load of the event loop.
             await asyncio.sleep(
@@ -243,7 +249,7 @@
         deadline_s = asyncio.get_running_loop().time() + MAX_STORE_WAIT_S
         gap_s = _gap_ms(self.server) / MS_IN_S
         await asyncio.sleep(gap_s + _lag_backoff_s(self._loop_lag_s()))
-        while self.server.seen_end < self.server.taken_end:
+        while self.server.acknowledged_end < self.server.processed_end:
             # Reports that are not stored yet would only be listed again.
             left_s = deadline_s - asyncio.get_running_loop().time()
             if left_s <= 0:
@@ -267,7 +273,7 @@
 
 def _gap_ms(server: Server) -> int:
     urgent = any(
-        not (step.spec.fills or step.spec.lasting)
+        not (step.spec.best_effort or step.spec.long_running)
         for step in server.step_by_run.values()
     )
     return POLL_GAP_MS if urgent else BACKGROUND_GAP_MS
@@ -288,4 +294,4 @@
 
 
 def _is_unresolved(run: Run) -> bool:
-    return run.stopping or run.phase is RunPhase.doubtful
+    return run.stopping or run.phase is RunPhase.unresolved
--- a/waxwingford/shard/_intake_cleaner.py
+++ b/waxwingford/shard/_intake_cleaner.py
@@ -40,11 +40,11 @@
                 job_id for job_id in ended if self._is_removable(job_id)
             ]
             await self._delete(removable[:MAX_DELETED_JOBS])
-            ended = self._engine.book.end_by_job.keys() - self._deleted
+            ended = self._engine.state.final_phase_by_job.keys() - self._deleted
 
     def _is_removable(self, job_id: str) -> bool:
         # A successor needs the spec to stop runs that are left on servers.
-        return job_id not in self._engine.book.job_by_id
+        return job_id not in self._engine.state.job_by_id
 
     async def _delete(self, job_ids: list[str]) -> None:
         rows = tuple(
--- a/waxwingford/shard/_intake_reader.py
+++ b/waxwingford/shard/_intake_reader.py
@@ -118,6 +118,6 @@
             try:
                 engine.submit(decode_spec(record.payload), now_ms)
             except ValueError as error:
-                engine.book.notes.add_unreadable(record.key, error)
+                engine.state.notes.add_unreadable(record.key, error)
         elif record.key.startswith(CANCEL_PREFIX):
             engine.cancel(record.key.removeprefix(CANCEL_PREFIX))
--- a/waxwingford/shard/_lease_bounds.py
+++ b/waxwingford/shard/_lease_bounds.py
@@ -165,7 +165,9 @@
         """
         now_ms = steady_ms()
         if self._engine is not None:
-            return LeaseReport(self._engine.withholding.name_silent(now_ms))
+            return LeaseReport(
+                self._engine.lease_withholding.withhold_silent(now_ms)
+            )
         if self.first_stored.is_set():
             bounds, read_to = self.inherited, None
         else:
@@ -194,4 +196,4 @@
             )
             self.first_stored.set()
         if self._engine is not None and report.rest_ms is None:
-            self._engine.withholding.stored(report.silent)
+            self._engine.lease_withholding.heartbeat_stored(report.silent)
--- a/waxwingford/shard/_observer.py
+++ b/waxwingford/shard/_observer.py
@@ -23,14 +23,14 @@
         """
         self.metrics = metrics
 
-    def tell(self, event: str, **inputs: object) -> None:
+    def tell(self, event: str, **fields: object) -> None:
         """Log an event and count it.
 
         :param event: name of the event, for example ``shard.claimed``.
-        :param inputs: fields of the log line: ids, the inputs of a decision, their
+        :param fields: fields of the log line: ids, the inputs of a decision, their
             ages or versions, and the outcome.
         """
-        _log.info(event, extra=inputs)
+        _log.info(event, extra=fields)
         self.metrics.count('events_total', event=event)
 
     def tell_all(self, notes: Iterable[Note]) -> None:
@@ -39,7 +39,7 @@
         :param notes: notes, oldest first.
         """
         for note in notes:
-            self.tell(note.event, subject=note.subject, **note.inputs)
+            self.tell(note.event, subject=note.subject, **note.fields)
             if note.event == 'run.planned':
-                waited_ms = float(str(note.inputs['waited_ms']))
+                waited_ms = float(str(note.fields['waited_ms']))
                 self.metrics.latency('run_wait', waited_ms)
--- a/waxwingford/shard/_owner.py
+++ b/waxwingford/shard/_owner.py
@@ -7,7 +7,7 @@
 import logbook
 
 from waxwingford.kernel import SystemClock
-from waxwingford.scheduling import Engine, TaskRunners, Terms, decode_spec
+from waxwingford.scheduling import BackendClient, Engine, Terms, decode_spec
 from waxwingford.shard._claims import Claim
 from waxwingford.shard._clocks import boottime_ms, steady_ms
 from waxwingford.shard._commits import Committer
@@ -80,7 +80,7 @@
     """Ports through which an owner acts.
 
     :ivar log: the store.
-    :ivar runners: client of backend servers.
+    :ivar backend_client: client of backend servers.
     :ivar directory: registrations of backend servers.
     :ivar advisor: client of the advice service.
     :ivar observer: logs and metrics.
@@ -88,7 +88,7 @@
     """
 
     log: SharedLog
-    runners: TaskRunners
+    backend_client: BackendClient
     directory: ServerDirectory
     advisor: Advisor
     observer: Observer
@@ -219,11 +219,11 @@
         :returns: the phase. A job is only reported as unknown after the intake
             was read to its end.
         """
-        found = self._engine.book.phase(job_id)
+        found = self._engine.state.phase(job_id)
         if found is None:
             if not await self._intake.peek(self._engine):
                 return NotAnswered('cannot read the intake')
-            found = self._engine.book.phase(job_id)
+            found = self._engine.state.phase(job_id)
         return JobNotKnown() if found is None else JobKnown(found)
 
     def pending(self, queue: str) -> int:
@@ -232,7 +232,7 @@
         :param queue: name of the queue.
         :returns: number of jobs.
         """
-        return self._engine.book.pending(queue)
+        return self._engine.state.pending(queue)
 
     async def resign(
         self, reason: str = 'resigned', cut_off: bool = False
@@ -314,7 +314,7 @@
         self._intake.hand_over(self._engine)
         self._engine.inherit(now_ms, wall_ms)
         driver_ports = DriverPorts(
-            self._ports.runners,
+            self._ports.backend_client,
             lambda: self._heartbeats.ownership_proven,
             self._heartbeats.wait_ownership_proven,
             self._decision_due.set,
@@ -347,13 +347,13 @@
         )
         for coroutine in coroutines:
             self._spawn(coroutine)
-        book = self._engine.book
+        state = self._engine.state
         self._observer.tell(
             'shard.taken_over',
             epoch=self.epoch,
-            terms=book.terms.version,
-            jobs=len(book.job_by_id),
-            servers=len(book.server_by_id),
+            terms=state.terms.version,
+            jobs=len(state.job_by_id),
+            servers=len(state.server_by_id),
             took_ms=steady_ms() - now_ms,
         )
 
@@ -386,7 +386,7 @@
                 steady_ms(), _clock.wall_ms(), place=self._loop_lag.bearable
             )
             self._fleet.send_orders()
-            self._observer.tell_all(self._engine.book.notes.take())
+            self._observer.tell_all(self._engine.state.notes.take())
             self._committer.wake()
             self._asker.wake()
 
--- a/waxwingford/shard/_platform_port.py
+++ b/waxwingford/shard/_platform_port.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from waxwingford.kernel import Registry
-from waxwingford.scheduling import TaskRunners, Terms
+from waxwingford.scheduling import BackendClient, Terms
 from waxwingford.shard._frontend import ShardDesk
 from waxwingford.shard._log_port import SharedLog
 from waxwingford.shard._server_drivers import ServerDirectory
@@ -15,12 +15,12 @@
     """Adapter to a platform.
 
     :ivar log: shared log that stores the shards.
-    :ivar runners: client of the backend servers.
+    :ivar backend_client: client of the backend servers.
     :ivar advisor: client of the advice service.
     """
 
     log: SharedLog
-    runners: TaskRunners
+    backend_client: BackendClient
     advisor: Advisor
 
     async def follow_terms(
--- a/waxwingford/shard/_server_drivers.py
+++ b/waxwingford/shard/_server_drivers.py
@@ -63,14 +63,14 @@
         now_ms = steady_ms()
         with_tasks = [
             server
-            for server in self._engine.book.server_by_id.values()
-            if server.listed and server.run_by_key
+            for server in self._engine.state.server_by_id.values()
+            if server.registered and server.run_by_key
         ]
         unreachable = [
             server
             for server in with_tasks
-            if server.failing_ms is not None
-            and now_ms - server.failing_ms >= UNREACHABLE_AFTER_MS
+            if server.failing_since_ms is not None
+            and now_ms - server.failing_since_ms >= UNREACHABLE_AFTER_MS
         ]
         return (
             len(with_tasks) >= MIN_SERVERS_WITH_TASKS
@@ -83,7 +83,7 @@
         if entries is None:
             return
         self._engine.register(entries, steady_ms())
-        for server_id, server in self._engine.book.server_by_id.items():
+        for server_id, server in self._engine.state.server_by_id.items():
             has_driver = server_id in self._driver_by_server
             if not has_driver and server.entry.endpoint:
                 self._driver_by_server[server_id] = ServerDriver(
@@ -92,7 +92,7 @@
 
     def send_orders(self) -> None:
         """Send orders that need no stored record, and close unused drivers."""
-        for order in self._engine.book.take_orders():
+        for order in self._engine.state.take_orders():
             driver = self._driver_by_server.get(order.server_id)
             match order:
                 case Stop(_, key) if driver is not None:
@@ -100,7 +100,7 @@
                 case Pace() if driver is not None:
                     driver.pace(order)
         for server_id in list(self._driver_by_server):
-            if server_id not in self._engine.book.server_by_id:
+            if server_id not in self._engine.state.server_by_id:
                 self._driver_by_server.pop(server_id).close()
 
     def act_on(self, batch: Batch, starts: list[Start]) -> None:
--- a/waxwingford/shard/_ticket_requests.py
+++ b/waxwingford/shard/_ticket_requests.py
@@ -62,7 +62,7 @@
         :param engine: engine whose questions are asked.
         :param advisor: client of the advice service.
         """
-        self._book = engine.book.advice
+        self._tickets = engine.state.tickets
         self._advisor = advisor
         self._wake_event = asyncio.Event()
 
@@ -78,7 +78,7 @@
         while True:
             await self._wake_event.wait()
             self._wake_event.clear()
-            question = self._book.next_question()
+            question = self._tickets.next_request()
             if question is None:
                 continue
             self._wake_event.set()
@@ -88,7 +88,7 @@
             )
             match answer:
                 case Advised(tickets, validity_ms):
-                    self._book.answered(
+                    self._tickets.answered(
                         question, tickets, asked_ms, validity_ms, steady_ms()
                     )
                 case NotAdvised(reason):
--- a/waxwingford/shard/tests/crashes_steps.py
+++ b/waxwingford/shard/tests/crashes_steps.py
@@ -61,9 +61,13 @@
 def submit_crashing_job_of_kind(context, kind):
     step_by_kind = {
         'gang': {'gang': True},
-        'lasting': {'lasting': True},
+        'lasting': {'long_running': True},
         'repeated': {},
-        'filling': {'fills': True, 'saves': True, 'image': 'batch'},
+        'filling': {
+            'best_effort': True,
+            'writes_checkpoints': True,
+            'image': 'batch',
+        },
     }
     schedule = {'first_due_ms': 1, 'every_ms': 1, 'times': 3}
     job_id, outcome = submit_crashing(
--- a/waxwingford/shard/tests/crashing_tasks.py
+++ b/waxwingford/shard/tests/crashing_tasks.py
@@ -67,5 +67,5 @@
 
 def _restart(server):
     server.replaced = True
-    server.listed = False
+    server.registered = False
     server.fleet.add_server(server.capacity, server.clock_offset_ms)
--- a/waxwingford/shard/tests/drivers_steps.py
+++ b/waxwingford/shard/tests/drivers_steps.py
@@ -10,9 +10,9 @@
     Engine,
     InheritedLeases,
     JobSpec,
-    Looked,
-    OrderTaken,
+    OrderAccepted,
     Pace,
+    PollResult,
     ServerEntry,
     Terms,
 )
@@ -29,19 +29,19 @@
         self.starts = []
         self.paces = []
 
-    async def look(self, address, order):
+    async def poll(self, address, order):
         await asyncio.sleep(ANSWER_S + order.wait_ms / 1000)
-        return Looked(0, (), ())
+        return PollResult(0, (), ())
 
     async def start(self, address, order):
         await asyncio.sleep(ANSWER_S)
         self.starts.append(order)
-        return OrderTaken(0)
+        return OrderAccepted(0)
 
     async def pace(self, address, run, percent, fencing_token):
         await asyncio.sleep(ANSWER_S)
         self.paces.append(run)
-        return OrderTaken(0)
+        return OrderAccepted(0)
 
 
 class DriverFixture:
@@ -70,7 +70,7 @@
         ports = DriverPorts(
             self.recorder, self.proof.is_set, self.proof.wait, int, bool, float
         )
-        server = self.engine.book.server_by_id['s0']
+        server = self.engine.state.server_by_id['s0']
         self.driver = ServerDriver(server, self.engine, ports)
         await asyncio.sleep(ANSWER_S * 2)
 
--- a/waxwingford/shard/tests/mixed_steps.py
+++ b/waxwingford/shard/tests/mixed_steps.py
@@ -21,18 +21,18 @@
 )
 def simulate_mixed(context, span_s, seed):
     shard = begin_faults(context, seed)
-    context.lasting = []
+    context.long_running = []
     context.cancelled = []
     context.denied_jobs = []
     shard.store.most_read = 20
     while shard.loop.time() < span_s:
-        take_random_action(context, shard)
+        take_mixed_action(context, shard)
         shard.run(shard.random.uniform(0.1, 1))
     calm(shard)
     shard.run(CALM_S)
 
 
-def take_random_action(context, shard):
+def take_mixed_action(context, shard):
     kind = shard.random.choices(
         ('repeated', 'gang', 'lasting', 'cancel', 'hang', 'ask', 'others'),
         (10, 10, 5, 5, 5, 10, 55),
@@ -47,9 +47,9 @@
             steps = (step(3, gang=True), step(1, after=(0,)))
             submit(shard, daemon, context.jobs, steps)
         case 'lasting':
-            steps = (step(LASTING_TASKS, lasting=True),)
-            submit(shard, daemon, context.lasting, steps)
-        case 'cancel' if context.lasting:
+            steps = (step(LASTING_TASKS, long_running=True),)
+            submit(shard, daemon, context.long_running, steps)
+        case 'cancel' if context.long_running:
             cancel(context, daemon)
         case 'hang':
             hang_server(shard)
@@ -67,7 +67,7 @@
 
 def cancel(context, daemon):
     shard = context.shard
-    job_id = context.lasting.pop(0)
+    job_id = context.long_running.pop(0)
     if isinstance(shard.cancel(job_id, daemon), Stored):
         context.cancelled.append(job_id)
     else:
@@ -94,9 +94,9 @@
 def check_lasting_tasks(context):
     counts = {
         job_id: len(context.shard.running(job_id))
-        for job_id in context.lasting + context.cancelled
+        for job_id in context.long_running + context.cancelled
     }
-    expected = dict.fromkeys(context.lasting, LASTING_TASKS)
+    expected = dict.fromkeys(context.long_running, LASTING_TASKS)
     expected |= dict.fromkeys(context.cancelled, 0)
     assert counts == expected, (counts, expected)
     phases = {context.shard.phase(job_id) for job_id in context.cancelled}
--- a/waxwingford/shard/tests/overload_steps.py
+++ b/waxwingford/shard/tests/overload_steps.py
@@ -28,8 +28,8 @@
 @given('a lasting task runs on each server')
 def run_lasting_task_everywhere(context):
     count = len(context.shard.servers.server_by_id)
-    lasting = step(count, lasting=True, most_per_server=1)
-    job_id, outcome = context.shard.submit((lasting,))
+    long_running = step(count, long_running=True, max_per_server=1)
+    job_id, outcome = context.shard.submit((long_running,))
     assert isinstance(outcome, Stored), outcome
     context.shard.run(3)
     running = context.shard.running(job_id)
--- a/waxwingford/shard/tests/shard_steps.py
+++ b/waxwingford/shard/tests/shard_steps.py
@@ -43,7 +43,7 @@
 
 @when('a lasting job is submitted')
 def submit_lasting(context):
-    submit(context, (step(4, lasting=True),))
+    submit(context, (step(4, long_running=True),))
 
 
 @when('a long job is submitted')
@@ -303,7 +303,7 @@
 def check_ends_acknowledged(context):
     servers = context.shard.servers.server_by_id.values()
     left = {
-        server.server_id: len(server.ends) - server.seen_end
+        server.server_id: len(server.ends) - server.acknowledged_end
         for server in servers
         if server.ends
     }
--- a/waxwingford/shard/tests/virtual_server_client.py
+++ b/waxwingford/shard/tests/virtual_server_client.py
@@ -3,10 +3,10 @@
 import asyncio
 
 from waxwingford.scheduling import (
-    Looked,
+    OrderAccepted,
     OrderNotSent,
-    OrderTaken,
-    OrderUnknown,
+    OrderOutcomeUnknown,
+    PollResult,
     ServerReplaced,
 )
 from waxwingford.shard import Advised
@@ -38,7 +38,7 @@
         return tuple(
             server.entry
             for server in self._fleet.server_by_id.values()
-            if server.listed
+            if server.registered
         )
 
     async def start(self, address, order):
@@ -55,25 +55,29 @@
 
     async def pace(self, address, run, percent, fencing_token):
         await asyncio.sleep(ANSWER_S)
-        return OrderTaken(0)
+        return OrderAccepted(0)
 
-    async def look(self, address, order):
+    async def poll(self, address, order):
         if self._fleet.call_cpu_s:
             timeout_s = order.wait_ms / MS_IN_S + TIMEOUT_S
             return await self._call_with_cpu_time(
-                self._look(address, order), timeout_s
+                self._poll(address, order), timeout_s
             )
-        return await self._look(address, order)
+        return await self._poll(address, order)
 
-    async def _look(self, address, order):
+    async def _poll(self, address, order):
         server = self._fleet.server_by_id[address.server_id]
         server.poll_count += 1
         failure = await self._connect(server)
         if failure is not None:
             return failure
         end_count = len(server.ends)
-        answer = server.look(order)
-        if order.wait_ms and isinstance(answer, Looked) and not answer.ended:
+        answer = server.poll(order)
+        if (
+            order.wait_ms
+            and isinstance(answer, PollResult)
+            and not answer.ended
+        ):
             try:
                 await asyncio.wait_for(
                     server.changed.wait(), order.wait_ms / MS_IN_S
@@ -81,9 +85,9 @@
             except TimeoutError:
                 end_count = len(server.ends)
             if not await self._is_reachable(server):
-                return OrderUnknown('cut')
+                return OrderOutcomeUnknown('cut')
             if end_count != len(server.ends) or server.run_by_task:
-                answer = server.look(order)
+                answer = server.poll(order)
         return answer
 
     async def advise(self, step_name, server_ids):
@@ -110,7 +114,7 @@
         await asyncio.sleep(0)
         loop.stall(self._fleet.call_cpu_s)
         if loop.time() - sent_s > timeout_s:
-            return OrderUnknown('read too late')
+            return OrderOutcomeUnknown('read too late')
         return outcome
 
     async def _order(self, address, order_method, *order_args):
@@ -132,7 +136,7 @@
                 delay_s, _apply_late, server, order_method, order_args
             )
             await asyncio.sleep(TIMEOUT_S)
-            return OrderUnknown('late')
+            return OrderOutcomeUnknown('late')
         await asyncio.sleep(self._fleet.order_s)
         return order_method(server, *order_args)
 
@@ -146,7 +150,7 @@
         if server.connect_s is not None:
             return await _fail_to_connect(server)
         if not await self._is_reachable(server):
-            return OrderUnknown('cut')
+            return OrderOutcomeUnknown('cut')
         return None
 
     async def _is_successor_reachable(self, server):
--- a/waxwingford/shard/tests/virtual_servers.py
+++ b/waxwingford/shard/tests/virtual_servers.py
@@ -12,12 +12,12 @@
 
 from waxwingford.ports import Resources
 from waxwingford.scheduling import (
-    Denial,
     EndKind,
     EndReport,
-    Looked,
-    OrderDenied,
-    OrderTaken,
+    OrderAccepted,
+    OrderRefused,
+    PollResult,
+    RefusalReason,
     RunningReport,
     ServerEntry,
     decode_spec,
@@ -58,7 +58,7 @@
         self.enforces_capacity = True
         self.clock_offset_ms = clock_offset_ms
         self.up = True
-        self.listed = True
+        self.registered = True
         self.draining = False
         self.fence = 0
         self.lease_until_ms = 0
@@ -66,7 +66,7 @@
         self.ends = []
         self.last_run_by_task = {}
         self.changed = asyncio.Event()
-        self.seen_end = 0
+        self.acknowledged_end = 0
         #: End reports up to this number can no longer be acknowledged, as the lease
         #: has expired since they were listed.
         self.void_end_number = 0
@@ -129,7 +129,7 @@
         self.changed = asyncio.Event()
 
     def crash(self):
-        self.listed = False
+        self.registered = False
         self.vanish()
 
     def vanish(self, connect_s=None):
@@ -143,25 +143,25 @@
     def start(self, order):
         self.check_lease()
         if order.fencing_token < self.fence:
-            return OrderDenied(Denial.fenced)
+            return OrderRefused(RefusalReason.fenced)
         self.fence = order.fencing_token
         task, number = order.run
         current_run = self.run_by_task.get(task)
         if current_run is not None and current_run.key.run == number:
-            return OrderTaken(self.clock_ms())
+            return OrderAccepted(self.clock_ms())
         if number <= self.last_run_by_task.get(task, 0):
-            return OrderDenied(Denial.superseded)
+            return OrderRefused(RefusalReason.superseded)
         if order.lease_until_ms <= self.clock_ms():
-            return OrderDenied(Denial.too_late)
+            return OrderRefused(RefusalReason.too_late)
         self.extend(order.lease_until_ms)
         if self.enforces_capacity and exceeds(
             self.needs_with(task), self.capacity
         ):
-            return OrderDenied(Denial.no_room)
+            return OrderRefused(RefusalReason.no_room)
         if not self.fleet.has_ticket(self, order):
-            return OrderDenied(Denial.no_ticket)
+            return OrderRefused(RefusalReason.no_ticket)
         self.begin(order.run)
-        return OrderTaken(self.clock_ms())
+        return OrderAccepted(self.clock_ms())
 
     def needs_with(self, task):
         """List the resources of all runs, including stopping ones, and of a task.
@@ -170,7 +170,7 @@
         :returns: resources of each run and of the task.
         """
         keys = (*self.run_by_task, task)
-        return [self.fleet.step(key).takes for key in keys]
+        return [self.fleet.step(key).reserved_resources for key in keys]
 
     def begin(self, key):
         step = self.fleet.step(key.task)
@@ -180,7 +180,7 @@
         self.run_by_task[key.task] = run
         self.last_run_by_task[key.task] = key.run
         self.fleet.crashing.on_start(self, key)
-        if not step.lasting and not self.hangs:
+        if not step.long_running and not self.hangs:
             kind = EndKind.failed if self.fails else EndKind.done
             run.timer = asyncio.get_running_loop().call_later(
                 run.length_s, self.end, run, kind
@@ -189,7 +189,7 @@
     def stop(self, key, token):
         self.check_lease()
         if token < self.fence:
-            return OrderDenied(Denial.fenced)
+            return OrderRefused(RefusalReason.fenced)
         self.fence = token
         last = self.last_run_by_task.get(key.task, 0)
         self.last_run_by_task[key.task] = max(last, key.run)
@@ -198,25 +198,29 @@
             asyncio.get_running_loop().call_later(
                 STOP_DURATION_S, self.end, run, EndKind.stopped
             )
-        return OrderTaken(self.clock_ms())
+        return OrderAccepted(self.clock_ms())
 
-    def look(self, order):
+    def poll(self, order):
         self.check_lease()
         if order.fencing_token < self.fence:
-            return OrderDenied(Denial.fenced)
+            return OrderRefused(RefusalReason.fenced)
         self.fence = order.fencing_token
         if order.lease_until_ms is not None:
             self.extend(order.lease_until_ms)
-        self.fleet.acknowledge_ends(self, order.seen_end)
-        self.seen_end = max(self.seen_end, order.seen_end)
-        return Looked(
+        self.fleet.acknowledge_ends(self, order.acknowledged_end)
+        self.acknowledged_end = max(
+            self.acknowledged_end, order.acknowledged_end
+        )
+        return PollResult(
             self.clock_ms(),
             tuple(map(self.report, self.run_by_task.values())),
-            tuple(end for end in self.ends if end.number > order.seen_end),
+            tuple(
+                end for end in self.ends if end.number > order.acknowledged_end
+            ),
         )
 
     def report(self, run):
-        if self.fleet.step(run.key.task).lasting:
+        if self.fleet.step(run.key.task).long_running:
             return RunningReport(run.key, '', 100, 1)
         elapsed_s = asyncio.get_running_loop().time() - run.started_s
         share = 0 if self.hangs else min(0.99, elapsed_s / run.length_s)
--- a/waxwingford/shard/tests/virtual_shard.py
+++ b/waxwingford/shard/tests/virtual_shard.py
@@ -40,8 +40,8 @@
         self._lines = lines
         self._sequence = itertools.count(1)
 
-    def tell(self, event, **inputs):
-        super().tell(event, **inputs)
+    def tell(self, event, **fields):
+        super().tell(event, **fields)
         now = datetime.datetime.fromtimestamp(
             steady_ms() / MS_IN_S, datetime.UTC
         )
@@ -51,7 +51,7 @@
             'process': 'p',
             'sequence': next(self._sequence),
             'event': event,
-            **inputs,
+            **fields,
         }
         self._lines.append(msgspec.json.encode(line, enc_hook=str).decode())
 
