--- a/waxwingford/platform/_adapter.py
+++ b/waxwingford/platform/_adapter.py
@@ -22,7 +22,7 @@
 from waxwingford.shard import (
     CaughtUp,
     Mirror,
-    ShardDesk,
+    ShardFrontend,
     scheduler_platforms,
 )
 
@@ -49,7 +49,9 @@
             if there is none.
         """
         self._http_client = HttpClient()
-        self.advisor = PlatformAdviceClient(self._http_client, advice_address)
+        self.advice_client = PlatformAdviceClient(
+            self._http_client, advice_address
+        )
         self.log = PlatformLog(self._http_client, store_address)
         self.backend_client = PlatformWorkers(self._http_client)
         self._servers = Mirror(self.log, _SERVERS_TOPIC)
@@ -67,7 +69,7 @@
             return None
         return self._registrations.read(self._servers.payload_by_key)
 
-    async def follow_terms(
+    async def follow_configuration(
         self, apply: Callable[[Terms], None], failed: Callable[[], None]
     ) -> None:
         """Read the configuration from the store until cancelled.
@@ -101,13 +103,13 @@
             self._client_api.configuration = configuration
             _log.info('configuration', extra={'version': version})
 
-    async def serve(self, desk: ShardDesk, endpoint: str) -> None:
+    async def serve(self, frontend: ShardFrontend, endpoint: str) -> None:
         """Start the HTTP server for clients.
 
-        :param desk: executes the requests.
+        :param frontend: executes the requests.
         :param endpoint: IP address and port to listen on.
         """
-        self._client_api = ClientApi(desk)
+        self._client_api = ClientApi(frontend)
         self._runner = web.ServerRunner(
             web.Server(self._client_api.handle, access_log=None)
         )
@@ -115,7 +117,7 @@
         host, port = endpoint.rsplit(':', 1)
         await web.TCPSite(self._runner, host, int(port)).start()
 
-    def begin_closing(self) -> None:
+    def start_draining(self) -> None:
         """Close each client connection after its next response."""
         if self._client_api is not None:
             self._client_api.closing = True
--- a/waxwingford/platform/_advice.py
+++ b/waxwingford/platform/_advice.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from waxwingford.platform._http_client import HttpClient, HttpResponse
-from waxwingford.shard import Advised, NotAdvised
+from waxwingford.shard import TicketsIssued, TicketsUnavailable
 
 #: Timeout of a request, in seconds: the service handles requests one at a time,
 #: in a time proportional to the number of servers in each.
@@ -38,7 +38,7 @@
 
     async def advise(
         self, step_name: str, server_ids: tuple[str, ...]
-    ) -> Advised | NotAdvised:
+    ) -> TicketsIssued | TicketsUnavailable:
         """Request the servers that may run a step.
 
         :param step_name: name of the step.
@@ -46,17 +46,17 @@
         :returns: tickets by server, or the reason why there are none.
         """
         if not self._address:
-            return NotAdvised('no advice service configured')
+            return TicketsUnavailable('no advice service configured')
         content = {'step': step_name, 'workers': server_ids}
         outcome = await self._http_client.post_json(
             self._address, '/api/advise', content, {}, ADVICE_TIMEOUT_S
         )
         if not isinstance(outcome, HttpResponse):
-            return NotAdvised(outcome.reason)
+            return TicketsUnavailable(outcome.reason)
         if outcome.status != HTTPStatus.OK:
-            return NotAdvised(f'status {outcome.status}')
+            return TicketsUnavailable(f'status {outcome.status}')
         try:
             advice = _decoder.decode(outcome.body)
         except msgspec.MsgspecError as error:
-            return NotAdvised(f'response not decoded: {error}')
-        return Advised(dict(advice.eligible), advice.validity_ms)
+            return TicketsUnavailable(f'response not decoded: {error}')
+        return TicketsIssued(dict(advice.eligible), advice.validity_ms)
--- a/waxwingford/platform/_client_api.py
+++ b/waxwingford/platform/_client_api.py
@@ -21,7 +21,7 @@
     MayBeStored,
     NotAnswered,
     NotStored,
-    ShardDesk,
+    ShardFrontend,
     Stored,
 )
 
@@ -39,14 +39,14 @@
 class ClientApi:
     """Translates between HTTP and the operations of the desk."""
 
-    def __init__(self, desk: ShardDesk) -> None:
+    def __init__(self, frontend: ShardFrontend) -> None:
         """Create the API without a configuration.
 
-        :param desk: executes the requests.
+        :param frontend: executes the requests.
         """
         self.configuration: Configuration | None = None
         self.closing = False
-        self._desk = desk
+        self._frontend = frontend
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Handle one request.
@@ -110,12 +110,14 @@
             submission.repeat_count,
             terms,
         )
-        return _store_response(await self._desk.submit(spec, deadline_s))
+        return _store_response(await self._frontend.submit(spec, deadline_s))
 
     async def _cancel(
         self, request: web.BaseRequest, path: QueuePath, job_id: str
     ) -> web.Response:
-        outcome = await self._desk.cancel(job_id, _deadline_s(request, path))
+        outcome = await self._frontend.cancel(
+            job_id, _deadline_s(request, path)
+        )
         match outcome:
             case CancelNotKnown():
                 return _empty_response(HTTPStatus.GONE)
@@ -125,7 +127,7 @@
                 return _store_response(outcome)
 
     async def _get_phase(self, job_id: str) -> web.Response:
-        match await self._desk.phase(job_id):
+        match await self._frontend.phase(job_id):
             case JobKnown(phase):
                 return _json_response({'state': phase.value})
             case JobNotKnown():
@@ -134,7 +136,7 @@
                 return _retry_later(HTTPStatus.SERVICE_UNAVAILABLE)
 
     async def _count_pending(self, path: QueuePath) -> web.Response:
-        count = await self._desk.pending(path.queue)
+        count = await self._frontend.pending(path.queue)
         return (
             _retry_later(HTTPStatus.SERVICE_UNAVAILABLE)
             if count is None
--- a/waxwingford/platform/_store.py
+++ b/waxwingford/platform/_store.py
@@ -17,7 +17,7 @@
 )
 from waxwingford.shard import (
     Appended,
-    AppendElsewhere,
+    AppendEndMismatch,
     AppendFenced,
     AppendOutcome,
     AppendOutOfOrder,
@@ -29,8 +29,8 @@
     RecordsExpired,
     RecordsRead,
     StoredRecord,
+    StoreOutcomeUnknown,
     StoreRefused,
-    StoreUnknown,
 )
 
 #: Timeout of an append, in seconds: several times the latency of a slow store.
@@ -110,7 +110,7 @@
         self._failures = 0
 
     @property
-    def answering(self) -> bool:
+    def responsive(self) -> bool:
         """Check whether the store has answered one of the last requests.
 
         :returns: whether fewer than ``MAX_FAILURES`` consecutive requests have
@@ -188,7 +188,7 @@
             case _:
                 return _status_outcome(outcome)
 
-    async def newest(self, topic: str, after_key: str) -> NewestOutcome:
+    async def read_newest(self, topic: str, after_key: str) -> NewestOutcome:
         """Read a page of the newest records, ordered by key.
 
         :param topic: name of the topic.
@@ -228,8 +228,8 @@
         'epoch': str(fence.epoch),
         'seq': str(fence.sequence),
     }
-    if fence.at_offset is not None:
-        query['at'] = str(fence.at_offset)
+    if fence.expected_end is not None:
+        query['at'] = str(fence.expected_end)
     return query
 
 
@@ -241,11 +241,11 @@
 
 def _try_decode(
     decoder: Callable[[HttpResponse], Outcome], response: HttpResponse
-) -> Outcome | StoreUnknown:
+) -> Outcome | StoreOutcomeUnknown:
     try:
         return decoder(response)
     except (msgspec.MsgspecError, struct.error, ValueError) as error:
-        return StoreUnknown(f'response not decoded: {error}')
+        return StoreOutcomeUnknown(f'response not decoded: {error}')
 
 
 def _decode_append(response: HttpResponse) -> AppendOutcome:
@@ -254,7 +254,7 @@
         case HTTPStatus.OK:
             return Appended(body.end)
         case HTTPStatus.PRECONDITION_FAILED:
-            return AppendElsewhere(body.end)
+            return AppendEndMismatch(body.end)
         case _ if body.reason == 'seq':
             return AppendOutOfOrder(body.seq)
         case _:
@@ -304,14 +304,18 @@
     return StoredRecord(offset, key, body[key_end:] or None)
 
 
-def _status_outcome(response: HttpResponse) -> StoreRefused | StoreUnknown:
+def _status_outcome(
+    response: HttpResponse,
+) -> StoreRefused | StoreOutcomeUnknown:
     reason = f'status {response.status}'
     if response.status in _REFUSAL_STATUSES:
         return StoreRefused(reason)
-    return StoreUnknown(reason)
+    return StoreOutcomeUnknown(reason)
 
 
-def _failure_outcome(outcome: RequestOutcome) -> StoreRefused | StoreUnknown:
+def _failure_outcome(
+    outcome: RequestOutcome,
+) -> StoreRefused | StoreOutcomeUnknown:
     if isinstance(outcome, NotSent):
         return StoreRefused(outcome.reason)
-    return StoreUnknown(outcome.reason)
+    return StoreOutcomeUnknown(outcome.reason)
--- a/waxwingford/platform/tests/adapter.feature
+++ b/waxwingford/platform/tests/adapter.feature
@@ -16,10 +16,10 @@
       | 200    | {"offset":3,"end":4}          | Appended         |
       | 409    | {"reason":"fenced"}           | AppendFenced     |
       | 409    | {"reason":"seq","seq":5}      | AppendOutOfOrder |
-      | 412    | {"end":9}                     | AppendElsewhere  |
+      | 412    | {"end":9}                     | AppendEndMismatch  |
       | 429    | {}                            | StoreRefused     |
       | 503    | {}                            | StoreRefused     |
-      | 500    | {}                            | StoreUnknown     |
+      | 500    | {}                            | StoreOutcomeUnknown     |
 
   Scenario: the store accepts no connection
     Given an address without a listener
@@ -29,7 +29,7 @@
     # Guards against waiting without a timeout for a connection that has gone
     # silent without a reset.
     Given a store that never responds
-    Then the append's outcome is "StoreUnknown"
+    Then the append's outcome is "StoreOutcomeUnknown"
 
   Scenario Outline: outcome of a start by response
     Given a fake platform on loopback
@@ -79,7 +79,7 @@
     # Guards against rejecting a job that the first address may have stored.
     Given a fake platform on loopback
     When the store redirects to an address without a listener
-    Then the append's outcome is "StoreUnknown"
+    Then the append's outcome is "StoreOutcomeUnknown"
 
   Scenario: poll of a worker
     Given a fake platform on loopback
@@ -94,10 +94,10 @@
 
     Examples:
       | status | body                                        | outcome    |
-      | 200    | {"eligible":[["i-1","t"]],"validity-ms":50} | Advised    |
-      | 200    | not JSON                                    | NotAdvised |
-      | 200    | {"eligible":[["i-1"]]}                      | NotAdvised |
-      | 429    | {}                                          | NotAdvised |
+      | 200    | {"eligible":[["i-1","t"]],"validity-ms":50} | TicketsIssued    |
+      | 200    | not JSON                                    | TicketsUnavailable |
+      | 200    | {"eligible":[["i-1"]]}                      | TicketsUnavailable |
+      | 429    | {}                                          | TicketsUnavailable |
 
   Scenario: rack of a worker
     When a worker registers with the labels "ram r1-3 gpu"
--- a/waxwingford/platform/tests/adapter_steps.py
+++ b/waxwingford/platform/tests/adapter_steps.py
@@ -172,7 +172,7 @@
         await append(log)
         await log.append('journal', (KeyedRecord('a', b'3'),))
         read = await log.read('journal', 1, 0)
-        return read, await log.newest('journal', '')
+        return read, await log.read_newest('journal', '')
 
     result = call_store(context, _call)
     context.read = result[0]
--- a/waxwingford/platform/tests/foreign_steps.py
+++ b/waxwingford/platform/tests/foreign_steps.py
@@ -284,7 +284,7 @@
     def write(self, raw):
         self.records.append(StoredRecord(len(self.records), 'config', raw))
 
-    async def newest(self, topic, after_key):
+    async def read_newest(self, topic, after_key):
         return NewestPage(tuple(self.records), False, len(self.records))
 
     async def read(self, topic, from_offset, wait_ms):
@@ -313,7 +313,7 @@
         platform.log = context.store
         platform._client_api = FakeClientApi()
         task = asyncio.create_task(
-            platform.follow_terms(
+            platform.follow_configuration(
                 lambda terms: context.versions.append(terms.version),
                 lambda: None,
             )
--- a/waxwingford/scheduler/_daemon.py
+++ b/waxwingford/scheduler/_daemon.py
@@ -16,7 +16,7 @@
     OwnerLink,
     OwnerPorts,
     OwnerSettings,
-    ShardDesk,
+    ShardFrontend,
     ShardMember,
     scheduler_platforms,
     serve_queries,
@@ -64,7 +64,7 @@
             settings.vm.cores,
         )
         self._link = OwnerLink()
-        self._desk = ShardDesk(
+        self._frontend = ShardFrontend(
             self._platform.log, self._member, self._link, self._observer
         )
         self._readiness = ReadinessServer(
@@ -85,12 +85,12 @@
         if listen.metrics_port:
             await self._readiness.serve(f'{listen.host}:{listen.metrics_port}')
         queries = await serve_queries(
-            self._desk, listen.host, listen.peers_port
+            self._frontend, listen.host, listen.peers_port
         )
-        await self._platform.serve(self._desk, listen.callers)
+        await self._platform.serve(self._frontend, listen.callers)
         tasks = [
             asyncio.create_task(
-                self._platform.follow_terms(
+                self._platform.follow_configuration(
                     self.apply_terms, self.record_failed_read
                 )
             ),
@@ -112,7 +112,7 @@
 
     async def _stop(self, tasks: list[asyncio.Task[None]]) -> None:
         _log.info('stopping')
-        self._platform.begin_closing()
+        self._platform.start_draining()
         await self._member.resign()
         grace_s = self._settings.bounds.stop_grace_s
         await asyncio.sleep(min(STOP_DELAY_S, grace_s * GRACE_FRACTION))
@@ -179,7 +179,7 @@
             self._platform.log,
             self._platform.backend_client,
             self._platform,
-            self._platform.advisor,
+            self._platform.advice_client,
             self._observer,
         )
         return Owner(owner_settings, ports, terms)
--- a/waxwingford/shard/__init__.py
+++ b/waxwingford/shard/__init__.py
@@ -1,6 +1,6 @@
 """Shards: their stored intake and journal, owner election and queries."""
 
-from waxwingford.shard._frontend import CancelNotKnown, ShardDesk
+from waxwingford.shard._frontend import CancelNotKnown, ShardFrontend
 from waxwingford.shard._intake import (
     Intake,
     IntakeOutcome,
@@ -10,7 +10,7 @@
 )
 from waxwingford.shard._log_port import (
     Appended,
-    AppendElsewhere,
+    AppendEndMismatch,
     AppendFenced,
     AppendOutcome,
     AppendOutOfOrder,
@@ -23,11 +23,11 @@
     RecordsRead,
     SharedLog,
     StoredRecord,
+    StoreOutcomeUnknown,
     StoreRefused,
-    StoreUnknown,
 )
 from waxwingford.shard._member import ShardMember
-from waxwingford.shard._mirror import CatchUp, CaughtUp, Mirror
+from waxwingford.shard._mirror import CatchUpOutcome, CaughtUp, Mirror
 from waxwingford.shard._observer import Observer
 from waxwingford.shard._owner import Owner, OwnerPorts, OwnerSettings
 from waxwingford.shard._peers import (
@@ -42,20 +42,24 @@
     SchedulerPlatform,
     scheduler_platforms,
 )
-from waxwingford.shard._server_drivers import ServerDirectory
-from waxwingford.shard._ticket_requests import Advised, Advisor, NotAdvised
+from waxwingford.shard._server_drivers import RegistrationSource
+from waxwingford.shard._ticket_requests import (
+    AdviceClient,
+    TicketsIssued,
+    TicketsUnavailable,
+)
 
 __all__ = (
-    'Advised',
-    'Advisor',
-    'NotAdvised',
-    'AppendElsewhere',
+    'TicketsIssued',
+    'AdviceClient',
+    'TicketsUnavailable',
+    'AppendEndMismatch',
     'AppendFenced',
     'AppendOutOfOrder',
     'AppendOutcome',
     'Appended',
     'CancelNotKnown',
-    'CatchUp',
+    'CatchUpOutcome',
     'CaughtUp',
     'Fence',
     'Intake',
@@ -79,12 +83,12 @@
     'RecordsExpired',
     'RecordsRead',
     'SchedulerPlatform',
-    'ServerDirectory',
-    'ShardDesk',
+    'RegistrationSource',
+    'ShardFrontend',
     'ShardMember',
     'SharedLog',
     'StoreRefused',
-    'StoreUnknown',
+    'StoreOutcomeUnknown',
     'Stored',
     'StoredRecord',
     'scheduler_platforms',
--- a/waxwingford/shard/_claims.py
+++ b/waxwingford/shard/_claims.py
@@ -19,10 +19,10 @@
 )
 from waxwingford.shard._log_port import (
     Appended,
-    AppendElsewhere,
+    AppendEndMismatch,
     AppendFenced,
     AppendOutcome,
-    StoreUnknown,
+    StoreOutcomeUnknown,
 )
 from waxwingford.shard._mirror import CaughtUp, Mirror
 
@@ -64,7 +64,7 @@
             failed claim that got no answer.
         """
         outcome = await self._send()
-        if isinstance(outcome, StoreUnknown):
+        if isinstance(outcome, StoreOutcomeUnknown):
             return await self._resolve(stopped)
         if isinstance(outcome, Appended):
             return self._confirm()
@@ -113,7 +113,7 @@
 
 def _failure_reason(outcome: AppendOutcome) -> str:
     match outcome:
-        case AppendElsewhere():
+        case AppendEndMismatch():
             return 'journal has grown since it was read'
         case AppendFenced():
             return 'fenced by a higher epoch'
--- a/waxwingford/shard/_clocks.py
+++ b/waxwingford/shard/_clocks.py
@@ -3,17 +3,17 @@
 import asyncio
 import time
 
-MS_IN_S = 1000
+MS_PER_S = 1000
 _NS_IN_MS = 1_000_000
 
 
-def steady_ms() -> int:
+def monotonic_ms() -> int:
     """Read the event loop's clock.
 
     :returns: milliseconds since an arbitrary start; stops while the VM is
         suspended.
     """
-    return int(asyncio.get_running_loop().time() * MS_IN_S)
+    return int(asyncio.get_running_loop().time() * MS_PER_S)
 
 
 def boottime_ms() -> int:
--- a/waxwingford/shard/_commits.py
+++ b/waxwingford/shard/_commits.py
@@ -6,7 +6,7 @@
 from waxwingford.scheduling import Engine
 from waxwingford.shard._journal import Deposed, EpochWriter
 from waxwingford.shard._log_port import KeyedRecord
-from waxwingford.shard._server_drivers import Fleet
+from waxwingford.shard._server_drivers import ServerDrivers
 
 #: Most bytes of rows in one append, half of the platform's limit.
 MAX_APPEND_BYTES = 1_000_000
@@ -16,7 +16,7 @@
     """Stores one batch at a time; later decisions go into the next batch."""
 
     def __init__(
-        self, engine: Engine, writer: EpochWriter, fleet: Fleet
+        self, engine: Engine, writer: EpochWriter, fleet: ServerDrivers
     ) -> None:
         """Create a committer without pending work.
 
@@ -50,7 +50,7 @@
             for part in _split(rows):
                 if isinstance(await self._writer.append(part), Deposed):
                     return
-            self._fleet.act_on(batch, self._engine.stored(batch))
+            self._fleet.send_starts(batch, self._engine.stored(batch))
             request_decision()
 
 
--- a/waxwingford/shard/_drivers.py
+++ b/waxwingford/shard/_drivers.py
@@ -14,7 +14,7 @@
     RunPhase,
     Server,
 )
-from waxwingford.shard._clocks import MS_IN_S, steady_ms
+from waxwingford.shard._clocks import MS_PER_S, monotonic_ms
 
 #: Longest time that a server may hold a poll until a run ends, in ms. It bounds
 #: the age of reported progress and latencies.
@@ -164,7 +164,7 @@
         """
         # Before the check: if the VM is suspended in between, the lease is
         # shorter rather than longer.
-        now_ms = steady_ms()
+        now_ms = monotonic_ms()
         if not self._ownership_proven():
             return False
         order = self._engine.orders.start(run, now_ms)
@@ -172,7 +172,9 @@
             outcome = await self._backend_client.start(
                 self.server.address, order
             )
-            self._engine.start_answered(self.server, run, steady_ms(), outcome)
+            self._engine.start_answered(
+                self.server, run, monotonic_ms(), outcome
+            )
         return True
 
     async def _stop(self, key: RunKey) -> None:
@@ -180,7 +182,7 @@
             self.server.address, key, self._engine.orders.token
         )
         self._engine.settler.stop_answered(
-            self.server, key, steady_ms(), outcome
+            self.server, key, monotonic_ms(), outcome
         )
         self._on_answer()
 
@@ -197,7 +199,7 @@
     async def _poll_loop(self) -> None:
         while not self.server.replaced:
             await self._wait_until_due()
-            sent_ms = steady_ms()
+            sent_ms = monotonic_ms()
             order = self._engine.orders.poll(
                 self.server, sent_ms, self._wait_ms(), self._ownership_proven()
             )
@@ -207,7 +209,7 @@
             if isinstance(outcome, PollResult):
                 self._acked_end = order.acknowledged_end
             self._engine.poll_answered(
-                self.server, sent_ms, steady_ms(), outcome
+                self.server, sent_ms, monotonic_ms(), outcome
             )
             self._on_answer()
             await self._pause()
@@ -243,11 +245,11 @@
             # A poll also fails if its answer is read too late; an immediate
             # retry would add to the load of the event loop.
             await asyncio.sleep(
-                RETRY_DELAY_MS / MS_IN_S + _lag_backoff_s(self._loop_lag_s())
+                RETRY_DELAY_MS / MS_PER_S + _lag_backoff_s(self._loop_lag_s())
             )
             return
         deadline_s = asyncio.get_running_loop().time() + MAX_STORE_WAIT_S
-        gap_s = _gap_ms(self.server) / MS_IN_S
+        gap_s = _gap_ms(self.server) / MS_PER_S
         await asyncio.sleep(gap_s + _lag_backoff_s(self._loop_lag_s()))
         while self.server.acknowledged_end < self.server.processed_end:
             # Reports that are not stored yet would only be listed again.
@@ -281,7 +283,7 @@
 
 def _colocated_wait_ms(servers: int) -> int:
     rate_limited_ms = (
-        servers * MS_IN_S // COLOCATED_POLLS_PER_S - BACKGROUND_GAP_MS
+        servers * MS_PER_S // COLOCATED_POLLS_PER_S - BACKGROUND_GAP_MS
     )
     return min(MAX_COLOCATED_WAIT_MS, max(COLOCATED_WAIT_MS, rate_limited_ms))
 
--- a/waxwingford/shard/_frontend.py
+++ b/waxwingford/shard/_frontend.py
@@ -4,7 +4,7 @@
 import dataclasses
 
 from waxwingford.scheduling import JobPhase, JobSpec, encode_spec
-from waxwingford.shard._clocks import steady_ms
+from waxwingford.shard._clocks import monotonic_ms
 from waxwingford.shard._intake import (
     CancelRow,
     Intake,
@@ -16,7 +16,7 @@
     Stored,
 )
 from waxwingford.shard._log_port import SharedLog
-from waxwingford.shard._member import ShardMember, StoreWay
+from waxwingford.shard._member import IntakeRoute, ShardMember
 from waxwingford.shard._observer import Observer
 from waxwingford.shard._peers import (
     JobAnswer,
@@ -42,7 +42,7 @@
     """The job to cancel does not exist."""
 
 
-class ShardDesk:
+class ShardFrontend:
     """Accepts jobs and cancellations, and reports the phases of jobs."""
 
     def __init__(
@@ -73,7 +73,7 @@
         :param deadline_s: loop time at which the caller's request times out.
         :returns: whether the job is stored.
         """
-        started_ms = steady_ms()
+        started_ms = monotonic_ms()
         outcome = await self._store(JobRow(encode_spec(spec)), deadline_s)
         self._record_request('request.submit', spec.job_id, outcome, started_ms)
         return outcome
@@ -88,7 +88,7 @@
         :returns: whether the cancellation is stored, or that there is no such
             job, or that this could not be determined.
         """
-        started_ms = steady_ms()
+        started_ms = monotonic_ms()
         outcome = await self._cancel(job_id, deadline_s)
         self._record_request('request.cancel', job_id, outcome, started_ms)
         return outcome
@@ -112,7 +112,7 @@
             case JobKnown(phase) if phase in _FINAL_PHASES:
                 self._cache_final_phase(job_id, phase)
             case JobNotKnown() | NotAnswered():
-                self._observer.tell(
+                self._observer.record_event(
                     'request.state', subject=job_id, outcome=str(answer)
                 )
         return answer
@@ -165,7 +165,7 @@
         outcome = await self._intake.store(row, deadline_s)
         owner = self._member.owner
         if isinstance(outcome, Stored) and owner is not None and owner.ready:
-            owner.take(row)
+            owner.apply_stored(row)
         return outcome
 
     async def _cancel(
@@ -192,11 +192,11 @@
         :param deadline_s: loop time at which the caller's request times out.
         :returns: whether the row is stored.
         """
-        match self._member.way:
-            case StoreWay.none:
+        match self._member.intake_route:
+            case IntakeRoute.none:
                 # Fail fast: the caller may retry once there is an owner.
                 return NotStored('the store is slow and the shard has no owner')
-            case StoreWay.owner_only:
+            case IntakeRoute.owner_only:
                 return await self._store_via_owner(row, deadline_s, 1)
             case _:
                 # The rest of the time is kept for the direct append.
@@ -228,9 +228,9 @@
     def _record_request(
         self, event: str, job_id: str, outcome: object, started_ms: int
     ) -> None:
-        took_ms = steady_ms() - started_ms
+        took_ms = monotonic_ms() - started_ms
         record = self._member.owner_record
-        self._observer.tell(
+        self._observer.record_event(
             event,
             subject=job_id,
             outcome=str(outcome),
--- a/waxwingford/shard/_intake.py
+++ b/waxwingford/shard/_intake.py
@@ -13,7 +13,7 @@
     AppendOutcome,
     KeyedRecord,
     SharedLog,
-    StoreUnknown,
+    StoreOutcomeUnknown,
 )
 
 INTAKE_TOPIC = 'intake'
@@ -113,7 +113,7 @@
         :param deadline_s: loop time at which the caller's request times out.
         :returns: whether the row is stored.
         """
-        if not self._log.answering:
+        if not self._log.responsive:
             # An attempt could end with an unknown outcome. Without one the
             # caller may safely retry at once.
             return NotStored('the store does not answer')
@@ -164,7 +164,7 @@
         retry_at_s = asyncio.get_running_loop().time() + RETRY_DELAY_S
         for entry in batch:
             entry.attempts += 1
-            if isinstance(outcome, StoreUnknown):
+            if isinstance(outcome, StoreOutcomeUnknown):
                 entry.unknown_reason = outcome.reason
             refused = (
                 entry.attempts >= MAX_REFUSALS and not entry.unknown_reason
--- a/waxwingford/shard/_intake_cleaner.py
+++ b/waxwingford/shard/_intake_cleaner.py
@@ -18,7 +18,7 @@
 MAX_DELETED_JOBS = 500
 
 
-class Sweeper:
+class IntakeCleaner:
     """Deletes jobs, and their cancellations, once the journal has their end."""
 
     def __init__(self, log: SharedLog, engine: Engine) -> None:
--- a/waxwingford/shard/_intake_reader.py
+++ b/waxwingford/shard/_intake_reader.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable, Iterable
 
 from waxwingford.scheduling import Engine, decode_spec
-from waxwingford.shard._clocks import MS_IN_S, steady_ms
+from waxwingford.shard._clocks import MS_PER_S, monotonic_ms
 from waxwingford.shard._intake import (
     CANCEL_PREFIX,
     INTAKE_TOPIC,
     JOB_PREFIX,
 )
 from waxwingford.shard._log_port import SharedLog, StoredRecord
-from waxwingford.shard._mirror import CatchUp, CaughtUp, Mirror
+from waxwingford.shard._mirror import CatchUpOutcome, CaughtUp, Mirror
 
 #: Longest time that the store may hold a read, in ms. It bounds the time to
 #: detect a dead connection.
@@ -42,13 +42,13 @@
         :param stopped: set when the owner has stopped.
         :returns: whether the whole intake was read.
         """
-        deadline_ms = steady_ms() + PAGE_TIMEOUT_MS
-        while not stopped.is_set() and steady_ms() < deadline_ms:
-            pages = self._mirror.page_count
-            if await self._catch_up(deadline_ms - steady_ms()):
+        deadline_ms = monotonic_ms() + PAGE_TIMEOUT_MS
+        while not stopped.is_set() and monotonic_ms() < deadline_ms:
+            pages = self._mirror.pages_read
+            if await self._catch_up(deadline_ms - monotonic_ms()):
                 return True
-            if self._mirror.page_count > pages:
-                deadline_ms = steady_ms() + PAGE_TIMEOUT_MS
+            if self._mirror.pages_read > pages:
+                deadline_ms = monotonic_ms() + PAGE_TIMEOUT_MS
             else:
                 await asyncio.sleep(RETRY_DELAY_S)
         return False
@@ -56,13 +56,13 @@
     async def _catch_up(self, timeout_ms: int) -> bool:
         try:
             read = await asyncio.wait_for(
-                self._mirror.catch_up(), timeout_ms / MS_IN_S
+                self._mirror.catch_up(), timeout_ms / MS_PER_S
             )
         except TimeoutError:
             return False
         return isinstance(read, CaughtUp)
 
-    def hand_over(self, engine: Engine) -> None:
+    def apply_to(self, engine: Engine) -> None:
         """Apply all rows that were read to an engine.
 
         :param engine: new engine.
@@ -91,7 +91,7 @@
                 _apply(engine, read.changed)
                 on_change()
 
-    async def peek(self, engine: Engine) -> bool:
+    async def read_to_end(self, engine: Engine) -> bool:
         """Read to the end of the intake without waiting for new rows.
 
         It is independent of ``follow``, which reads the same rows again; the
@@ -102,7 +102,7 @@
         """
         mirror = Mirror(self._log, INTAKE_TOPIC)
         mirror.follow_from(self._mirror.next_offset)
-        read: CatchUp = await mirror.reach_end()
+        read: CatchUpOutcome = await mirror.read_to_end()
         if isinstance(read, CaughtUp):
             _apply(engine, read.changed)
             return True
@@ -110,7 +110,7 @@
 
 
 def _apply(engine: Engine, records: Iterable[StoredRecord]) -> None:
-    now_ms = steady_ms()
+    now_ms = monotonic_ms()
     for record in records:
         if record.payload is None:
             continue
--- a/waxwingford/shard/_journal.py
+++ b/waxwingford/shard/_journal.py
@@ -15,15 +15,15 @@
 
 from waxwingford.shard._log_port import (
     Appended,
-    AppendElsewhere,
+    AppendEndMismatch,
     AppendFenced,
     AppendOutcome,
     AppendOutOfOrder,
     Fence,
     KeyedRecord,
     SharedLog,
+    StoreOutcomeUnknown,
     StoreRefused,
-    StoreUnknown,
 )
 
 JOURNAL_TOPIC = 'journal'
@@ -219,9 +219,9 @@
                 case AppendOutOfOrder(expected) if after_pending:
                     after_pending = False
                     self._sequence = expected
-                case AppendFenced() | AppendElsewhere() | AppendOutOfOrder():
+                case AppendFenced() | AppendEndMismatch() | AppendOutOfOrder():
                     return Deposed()
-                case StoreRefused() | StoreUnknown():
+                case StoreRefused() | StoreOutcomeUnknown():
                     await asyncio.sleep(delay_s)
                     delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
 
--- a/waxwingford/shard/_lease_bounds.py
+++ b/waxwingford/shard/_lease_bounds.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from waxwingford.scheduling import Engine, InheritedLeases
-from waxwingford.shard._clocks import steady_ms
+from waxwingford.shard._clocks import monotonic_ms
 from waxwingford.shard._journal import OwnerRecord
 
 #: Greatest age of the newest proof of ownership, in ms, at which leases are
@@ -163,7 +163,7 @@
 
         :returns: lease fields of the next heartbeat.
         """
-        now_ms = steady_ms()
+        now_ms = monotonic_ms()
         if self._engine is not None:
             return LeaseReport(
                 self._engine.lease_withholding.withhold_silent(now_ms)
@@ -192,7 +192,7 @@
         """
         if not self.first_stored.is_set():
             self.inherited = bound_leases(
-                self._predecessor, end, steady_ms(), self._lease_ms
+                self._predecessor, end, monotonic_ms(), self._lease_ms
             )
             self.first_stored.set()
         if self._engine is not None and report.rest_ms is None:
--- a/waxwingford/shard/_log_port.py
+++ b/waxwingford/shard/_log_port.py
@@ -39,12 +39,12 @@
         one.
     :ivar sequence: number of this append within the epoch; a retry with the
         same number gets the first answer again and appends nothing.
-    :ivar at_offset: offset at which the topic must end, ``None`` for any.
+    :ivar expected_end: offset at which the topic must end, ``None`` for any.
     """
 
     epoch: int
     sequence: int
-    at_offset: int | None = None
+    expected_end: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AppendElsewhere:
+class AppendEndMismatch:
     """Not appended: the topic does not end at the required offset.
 
     :ivar end: offset at which the topic ends.
@@ -93,7 +93,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreUnknown:
+class StoreOutcomeUnknown:
     """The call got no complete answer and may have been or may be applied.
 
     :ivar reason: error that ended the call.
@@ -144,21 +144,21 @@
     Appended
     | AppendFenced
     | AppendOutOfOrder
-    | AppendElsewhere
+    | AppendEndMismatch
     | StoreRefused
-    | StoreUnknown
+    | StoreOutcomeUnknown
 )
-ReadOutcome = RecordsRead | RecordsExpired | StoreRefused | StoreUnknown
-NewestOutcome = NewestPage | StoreRefused | StoreUnknown
+ReadOutcome = RecordsRead | RecordsExpired | StoreRefused | StoreOutcomeUnknown
+NewestOutcome = NewestPage | StoreRefused | StoreOutcomeUnknown
 
 
 class SharedLog(Protocol):
     """Topics of keyed records, one partition each.
 
-    :ivar answering: whether the store has answered one of the latest calls.
+    :ivar responsive: whether the store has answered one of the latest calls.
     """
 
-    answering: bool
+    responsive: bool
 
     async def append(
         self,
@@ -187,7 +187,7 @@
         """
         ...
 
-    async def newest(self, topic: str, after_key: str) -> NewestOutcome:
+    async def read_newest(self, topic: str, after_key: str) -> NewestOutcome:
         """Read a page of the newest records in key order.
 
         :param topic: name of the topic.
--- a/waxwingford/shard/_loop_lag.py
+++ b/waxwingford/shard/_loop_lag.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from waxwingford.shard._clocks import MS_IN_S, steady_ms
+from waxwingford.shard._clocks import MS_PER_S, monotonic_ms
 from waxwingford.shard._observer import Observer
 
 #: Interval between two samples of the event loop, in seconds.
@@ -33,7 +33,7 @@
         self.mean_s: float = 0
 
     @property
-    def bearable(self) -> bool:
+    def acceptable(self) -> bool:
         """Check whether the owner has capacity for more work.
 
         With a higher lag answers are read after their timeouts: healthy servers
@@ -53,7 +53,7 @@
             self.mean_s += (lag_s - self.mean_s) * SMOOTHING_FACTOR
 
 
-class StrainLines:
+class OverloadLog:
     """Logs overload of an owner, at a limited rate."""
 
     def __init__(self, observer: Observer, cores: float) -> None:
@@ -66,19 +66,19 @@
         self._cores = cores
         self._logged_ms = -LOG_INTERVAL_MS
 
-    def tell(self, epoch: int, lag: LoopLag) -> None:
+    def log_overload(self, epoch: int, lag: LoopLag) -> None:
         """Log an event if the owner is overloaded and none was logged recently.
 
         :param epoch: epoch of the owner.
         :param lag: lag of its event loop.
         """
-        now_ms = steady_ms()
-        if lag.bearable or now_ms - self._logged_ms < LOG_INTERVAL_MS:
+        now_ms = monotonic_ms()
+        if lag.acceptable or now_ms - self._logged_ms < LOG_INTERVAL_MS:
             return
         self._logged_ms = now_ms
-        self._observer.tell(
+        self._observer.record_event(
             'owner.strained',
             epoch=epoch,
-            late_ms=int(lag.mean_s * MS_IN_S),
+            late_ms=int(lag.mean_s * MS_PER_S),
             cores=self._cores,
         )
--- a/waxwingford/shard/_member.py
+++ b/waxwingford/shard/_member.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from waxwingford.scheduling import Terms
-from waxwingford.shard._clocks import MS_IN_S, steady_ms
+from waxwingford.shard._clocks import MS_PER_S, monotonic_ms
 from waxwingford.shard._journal import (
     Claimed,
     ClaimFailed,
@@ -41,7 +41,7 @@
 RETRY_DELAY_S = 0.15
 
 
-class StoreWay(enum.Enum):
+class IntakeRoute(enum.Enum):
     """Which daemon may append a submitted job to the intake."""
 
     #: The owner, or this daemon if the owner fails to.
@@ -109,15 +109,17 @@
         return not self._watch.unowned
 
     @property
-    def way(self) -> StoreWay:
+    def intake_route(self) -> IntakeRoute:
         """Which daemon may append a submitted job to the intake.
 
         :returns: the permitted daemons.
         """
         if self.owner is not None or not self._watch.store_slow:
-            return StoreWay.either
+            return IntakeRoute.either
         return (
-            StoreWay.owner_only if self._watch.has_live_owner else StoreWay.none
+            IntakeRoute.owner_only
+            if self._watch.has_live_owner
+            else IntakeRoute.none
         )
 
     def configure(self, terms: Terms) -> None:
@@ -131,7 +133,7 @@
 
     async def stand_by(self) -> None:
         """Watch the owner and claim the shard when it has none."""
-        self._started_ms = steady_ms()
+        self._started_ms = monotonic_ms()
         while not self._resigning:
             self._release_stopped_owner()
             if not await self._watch.read():
@@ -152,12 +154,12 @@
             self.owner.stop('daemon is stopping')
 
     def _release_stopped_owner(self) -> None:
-        if self.owner is not None and self.owner.over.is_set():
+        if self.owner is not None and self.owner.stopped.is_set():
             self._release_owner(self.owner)
 
     def _release_owner(self, owner: Owner) -> None:
         if owner.cut_off:
-            self._cooldown_until_ms = steady_ms() + CUT_OFF_COOLDOWN_MS
+            self._cooldown_until_ms = monotonic_ms() + CUT_OFF_COOLDOWN_MS
         self.owner = None
 
     def _shard_claimable(self) -> bool:
@@ -166,7 +168,7 @@
         )
 
     def _may_claim(self) -> bool:
-        cooling_down = steady_ms() < self._cooldown_until_ms
+        cooling_down = monotonic_ms() < self._cooldown_until_ms
         return self.owner is None and not (cooling_down or self._resigning)
 
     async def _try_claim(self) -> None:
@@ -174,11 +176,11 @@
         previous = watch.record
         delay_ms = self._claim_delay_ms()
         if delay_ms:
-            await asyncio.sleep(delay_ms / MS_IN_S)
+            await asyncio.sleep(delay_ms / MS_PER_S)
             if not await watch.read(wait=False) or watch.record != previous:
                 return
         if not watch.unowned:
-            self._observer.tell(
+            self._observer.record_event(
                 'owner.lost',
                 owner=previous.daemon_id,
                 epoch=previous.epoch,
@@ -195,7 +197,7 @@
         return delay_ms + WEAKER_VM_DELAY_MS * weaker
 
     def _unowned_delay_ms(self) -> int:
-        long_running = steady_ms() - self._started_ms > LONG_UPTIME_MS
+        long_running = monotonic_ms() - self._started_ms > LONG_UPTIME_MS
         record = self._watch.record
         same_domain = (
             record is not None
@@ -229,9 +231,9 @@
                 # That daemon sends heartbeats soon; if it does not, the next
                 # claim uses a higher epoch.
                 self._other_claim_epoch = epoch
-                self._observer.tell('claim.overtaken', by_epoch=epoch)
+                self._observer.record_event('claim.overtaken', by_epoch=epoch)
             case ClaimFailed(reason):
-                self._observer.tell('claim.failed', reason=reason)
+                self._observer.record_event('claim.failed', reason=reason)
         self._release_owner(owner)
         self._watch.restart_timeout()
         await asyncio.sleep(RETRY_DELAY_S)
--- a/waxwingford/shard/_mirror.py
+++ b/waxwingford/shard/_mirror.py
@@ -8,8 +8,8 @@
     RecordsRead,
     SharedLog,
     StoredRecord,
+    StoreOutcomeUnknown,
     StoreRefused,
-    StoreUnknown,
 )
 
 
@@ -23,7 +23,7 @@
     changed: tuple[StoredRecord, ...]
 
 
-CatchUp = CaughtUp | StoreRefused | StoreUnknown
+CatchUpOutcome = CaughtUp | StoreRefused | StoreOutcomeUnknown
 
 
 @dataclasses.dataclass(slots=True)
@@ -64,7 +64,7 @@
 
     :ivar payload_by_key: the copy.
     :ivar next_offset: offset of the next read.
-    :ivar page_count: number of pages read so far.
+    :ivar pages_read: number of pages read so far.
     :ivar behind: whether the topic extends beyond what the last read returned.
     """
 
@@ -76,7 +76,7 @@
         """
         self.payload_by_key: dict[str, bytes] = {}
         self.next_offset = 0
-        self.page_count = 0
+        self.pages_read = 0
         self.behind = False
         self._log = log
         self._topic = topic
@@ -86,7 +86,7 @@
         #: Records applied but not yet returned by a call.
         self._undelivered: tuple[StoredRecord, ...] = ()
 
-    async def catch_up(self, wait_ms: int = 0) -> CatchUp:
+    async def catch_up(self, wait_ms: int = 0) -> CatchUpOutcome:
         """Load the topic on the first call, then read the records after it.
 
         One call may return only part of the new records, see ``behind``.
@@ -110,7 +110,7 @@
             case _:
                 return outcome
 
-    async def reach_end(self) -> CatchUp:
+    async def read_to_end(self) -> CatchUpOutcome:
         """Read until the end of the topic.
 
         The store limits the number of records per read, so that a single read
@@ -144,15 +144,15 @@
         self.next_offset = offset
         self._loaded = True
 
-    async def _load(self) -> CatchUp:
+    async def _load(self) -> CatchUpOutcome:
         resumed = self._pages.first_end is not None
         while not self._pages.complete:
             pages = self._pages
-            page = await self._log.newest(self._topic, pages.after_key)
+            page = await self._log.read_newest(self._topic, pages.after_key)
             if not isinstance(page, NewestPage):
                 return page
             pages.add(page)
-            self.page_count += 1
+            self.pages_read += 1
         records = self._apply_pages()
         if resumed:
             # The first pages were read before this call: read what has been
--- a/waxwingford/shard/_observer.py
+++ b/waxwingford/shard/_observer.py
@@ -23,7 +23,7 @@
         """
         self.metrics = metrics
 
-    def tell(self, event: str, **fields: object) -> None:
+    def record_event(self, event: str, **fields: object) -> None:
         """Log an event and count it.
 
         :param event: name of the event, for example ``shard.claimed``.
@@ -33,13 +33,13 @@
         _log.info(event, extra=fields)
         self.metrics.count('events_total', event=event)
 
-    def tell_all(self, notes: Iterable[Note]) -> None:
+    def record_notes(self, notes: Iterable[Note]) -> None:
         """Log and count the notes of an engine.
 
         :param notes: notes, oldest first.
         """
         for note in notes:
-            self.tell(note.event, subject=note.subject, **note.fields)
+            self.record_event(note.event, subject=note.subject, **note.fields)
             if note.event == 'run.planned':
                 waited_ms = float(str(note.fields['waited_ms']))
                 self.metrics.latency('run_wait', waited_ms)
--- a/waxwingford/shard/_owner.py
+++ b/waxwingford/shard/_owner.py
@@ -9,12 +9,12 @@
 from waxwingford.kernel import SystemClock
 from waxwingford.scheduling import BackendClient, Engine, Terms, decode_spec
 from waxwingford.shard._claims import Claim
-from waxwingford.shard._clocks import boottime_ms, steady_ms
+from waxwingford.shard._clocks import boottime_ms, monotonic_ms
 from waxwingford.shard._commits import Committer
 from waxwingford.shard._drivers import DriverPorts
 from waxwingford.shard._heartbeats import Heartbeats
 from waxwingford.shard._intake import CancelRow, IntakeRow, JobRow
-from waxwingford.shard._intake_cleaner import Sweeper
+from waxwingford.shard._intake_cleaner import IntakeCleaner
 from waxwingford.shard._intake_reader import IntakeReader
 from waxwingford.shard._journal import (
     JOURNAL_TOPIC,
@@ -30,7 +30,7 @@
 )
 from waxwingford.shard._lease_bounds import LeaseLedger, Predecessor
 from waxwingford.shard._log_port import SharedLog
-from waxwingford.shard._loop_lag import LoopLag, StrainLines
+from waxwingford.shard._loop_lag import LoopLag, OverloadLog
 from waxwingford.shard._mirror import CaughtUp, Mirror
 from waxwingford.shard._observer import Observer
 from waxwingford.shard._peers import (
@@ -39,8 +39,8 @@
     JobNotKnown,
     NotAnswered,
 )
-from waxwingford.shard._server_drivers import Fleet, ServerDirectory
-from waxwingford.shard._ticket_requests import AdviceAsker, Advisor
+from waxwingford.shard._server_drivers import RegistrationSource, ServerDrivers
+from waxwingford.shard._ticket_requests import AdviceClient, TicketRequester
 
 #: Longest interval between decisions, in seconds.
 MAX_DECISION_INTERVAL_S = 0.1
@@ -82,15 +82,15 @@
     :ivar log: the store.
     :ivar backend_client: client of backend servers.
     :ivar directory: registrations of backend servers.
-    :ivar advisor: client of the advice service.
+    :ivar advice_client: client of the advice service.
     :ivar observer: logs and metrics.
     :ivar since_boot_ms: clock in ms that includes time in suspension.
     """
 
     log: SharedLog
     backend_client: BackendClient
-    directory: ServerDirectory
-    advisor: Advisor
+    directory: RegistrationSource
+    advice_client: AdviceClient
     observer: Observer
     since_boot_ms: Callable[[], int] = boottime_ms
 
@@ -99,7 +99,7 @@
     """Owns a shard from its claim until it is deposed or resigns.
 
     :ivar ready: whether the takeover is complete and the owner acts.
-    :ivar over: set when the owner has stopped for good.
+    :ivar stopped: set when the owner has stopped for good.
     :ivar cut_off: whether it stopped because it could not reach most servers
         or could not read the intake.
     :ivar epoch: epoch of its appends; its fencing token at servers.
@@ -115,7 +115,7 @@
         :param terms: configuration in force.
         """
         self.ready = False
-        self.over = asyncio.Event()
+        self.stopped = asyncio.Event()
         self.epoch = 0
         self.cut_off = False
         self._ready_since_ms = 0
@@ -128,7 +128,7 @@
         self._decision_due = asyncio.Event()
         self._heartbeats: Heartbeats | None = None
         self._loop_lag = LoopLag()
-        self._strain = StrainLines(ports.observer, settings.cores)
+        self._overload_log = OverloadLog(ports.observer, settings.cores)
 
     async def claim(
         self, predecessor: Predecessor, highest_epoch: int
@@ -158,10 +158,10 @@
             failure_domain=self._settings.failure_domain,
             cores=self._settings.cores,
         )
-        if self.over.is_set():
+        if self.stopped.is_set():
             return ClaimFailed('owner stopped before the claim')
         claim = Claim(self._writer, journal, record)
-        claimed = await claim.store(self.over)
+        claimed = await claim.store(self.stopped)
         if not isinstance(claimed, Claimed):
             return claimed
         # Resolving the claim may have read it back; it is not a row of a step.
@@ -171,10 +171,10 @@
         # Not before the claim: a resignation after a failed claim would depose
         # the daemon whose claim succeeded.
         self._heartbeats = heartbeats
-        self._observer.tell(
+        self._observer.record_event(
             'shard.claimed', epoch=self.epoch, former_epoch=highest_epoch
         )
-        if self.over.is_set():
+        if self.stopped.is_set():
             # Stopped before the store answered, when there was nothing to
             # resign from. Heartbeats of this owner would prevent claims until
             # its process ends.
@@ -186,7 +186,7 @@
             )
         )
         await self._take_over(journal.payload_by_key, ledger)
-        if self.over.is_set():
+        if self.stopped.is_set():
             return ClaimFailed('owner stopped during the takeover')
         return claimed
 
@@ -200,14 +200,14 @@
             self._engine.configure(terms)
             self._decision_due.set()
 
-    def take(self, row: IntakeRow) -> None:
+    def apply_stored(self, row: IntakeRow) -> None:
         """Apply a row that this daemon stored, before it is read back.
 
         :param row: a job or a cancellation.
         """
         match row:
             case JobRow(raw):
-                self._engine.submit(decode_spec(raw), steady_ms())
+                self._engine.submit(decode_spec(raw), monotonic_ms())
             case CancelRow(job_id):
                 self._engine.cancel(job_id)
         self._decision_due.set()
@@ -221,7 +221,7 @@
         """
         found = self._engine.state.phase(job_id)
         if found is None:
-            if not await self._intake.peek(self._engine):
+            if not await self._intake.read_to_end(self._engine):
                 return NotAnswered('cannot read the intake')
             found = self._engine.state.phase(job_id)
         return JobNotKnown() if found is None else JobKnown(found)
@@ -287,31 +287,31 @@
         self.ready = False
 
     def _mark_stopped(self, reason: str) -> None:
-        if not self.over.is_set():
-            self._observer.tell(
+        if not self.stopped.is_set():
+            self._observer.record_event(
                 'shard.given_up', epoch=self.epoch, reason=reason
             )
-        self.over.set()
+        self.stopped.set()
 
     async def _take_over(
         self, rows: dict[str, bytes], ledger: LeaseLedger
     ) -> None:
-        now_ms, wall_ms = steady_ms(), _clock.wall_ms()
+        now_ms, wall_ms = monotonic_ms(), _clock.wall_ms()
         # The intake is read after the claim, so that it contains every job to
         # which the journal refers.
-        read = await self._intake.restore(self.over)
-        if not (read or self.over.is_set()):
+        read = await self._intake.restore(self.stopped)
+        if not (read or self.stopped.is_set()):
             # Heartbeats of an owner that does not act would prevent claims.
             await self.resign('cannot read the intake', cut_off=True)
-        await ledger.wait_first_stored(self.over)
-        if self.over.is_set():
+        await ledger.wait_first_stored(self.stopped)
+        if self.stopped.is_set():
             return
         self._engine = Engine(
             self.epoch, self._settings.lease_ms, ledger.inherited
         )
         self._engine.configure(self._terms)
         self._engine.restore(rows)
-        self._intake.hand_over(self._engine)
+        self._intake.apply_to(self._engine)
         self._engine.inherit(now_ms, wall_ms)
         driver_ports = DriverPorts(
             self._ports.backend_client,
@@ -321,17 +321,21 @@
             self._on_task_done,
             lambda: self._loop_lag.mean_s,
         )
-        self._fleet = Fleet(self._engine, driver_ports, self._ports.directory)
+        self._fleet = ServerDrivers(
+            self._engine, driver_ports, self._ports.directory
+        )
         self._committer = Committer(self._engine, self._writer, self._fleet)
-        self._asker = AdviceAsker(self._engine, self._ports.advisor)
+        self._ticket_requester = TicketRequester(
+            self._engine, self._ports.advice_client
+        )
         await self._fleet.register()
-        if self.over.is_set():
+        if self.stopped.is_set():
             # Stopped during the read: a successor may own the shard already.
             self._fleet.close()
             return
         self.ready = True
-        self._ready_since_ms = steady_ms()
-        sweeper = Sweeper(self._ports.log, self._engine)
+        self._ready_since_ms = monotonic_ms()
+        sweeper = IntakeCleaner(self._ports.log, self._engine)
         coroutines = (
             sweeper.run(),
             ledger.start_extending(self._engine),
@@ -343,18 +347,18 @@
                 self._committer.run(self._decision_due.set),
                 'journal append fenced by a higher epoch',
             ),
-            self._asker.run(self._decision_due.set),
+            self._ticket_requester.run(self._decision_due.set),
         )
         for coroutine in coroutines:
             self._spawn(coroutine)
         state = self._engine.state
-        self._observer.tell(
+        self._observer.record_event(
             'shard.taken_over',
             epoch=self.epoch,
             terms=state.terms.version,
             jobs=len(state.job_by_id),
             servers=len(state.server_by_id),
-            took_ms=steady_ms() - now_ms,
+            took_ms=monotonic_ms() - now_ms,
         )
 
     async def _refresh_registrations(self) -> None:
@@ -362,9 +366,15 @@
             await asyncio.sleep(REGISTRATION_INTERVAL_S)
             await self._fleet.register()
             self._decision_due.set()
-            may_resign = steady_ms() - self._ready_since_ms >= MIN_OWNERSHIP_MS
-            may_resign = may_resign and self._loop_lag.bearable
-            if may_resign and self._ports.log.answering and self._fleet.cut_off:
+            may_resign = (
+                monotonic_ms() - self._ready_since_ms >= MIN_OWNERSHIP_MS
+            )
+            may_resign = may_resign and self._loop_lag.acceptable
+            if (
+                may_resign
+                and self._ports.log.responsive
+                and self._fleet.cut_off
+            ):
                 # In a task of its own, because resigning cancels this one.
                 resignation = self.resign('cut off from servers', cut_off=True)
                 self._resignation = asyncio.create_task(resignation)
@@ -380,15 +390,17 @@
                 # Leases expire and repetitions become due without an event.
                 self._decision_due.set()
             await asyncio.sleep(DECISION_DELAY_S)
-            self._strain.tell(self.epoch, self._loop_lag)
+            self._overload_log.log_overload(self.epoch, self._loop_lag)
             self._decision_due.clear()
             self._engine.decide(
-                steady_ms(), _clock.wall_ms(), place=self._loop_lag.bearable
+                monotonic_ms(),
+                _clock.wall_ms(),
+                place=self._loop_lag.acceptable,
             )
             self._fleet.send_orders()
-            self._observer.tell_all(self._engine.state.notes.take())
+            self._observer.record_notes(self._engine.state.notes.take())
             self._committer.wake()
-            self._asker.wake()
+            self._ticket_requester.wake()
 
     async def _run_until_deposed(
         self, coroutine: Coroutine[None, None, None], reason: str
--- a/waxwingford/shard/_peers.py
+++ b/waxwingford/shard/_peers.py
@@ -10,7 +10,7 @@
 
 from waxwingford.scheduling import JobPhase
 from waxwingford.shard import queries_pb2 as wire
-from waxwingford.shard._clocks import MS_IN_S
+from waxwingford.shard._clocks import MS_PER_S
 from waxwingford.shard._intake import (
     CancelRow,
     IntakeOutcome,
@@ -142,7 +142,7 @@
             if request.cancel_job_id
             else JobRow(request.job)
         )
-        left_s = request.left_ms / MS_IN_S
+        left_s = request.left_ms / MS_PER_S
         deadline_s = asyncio.get_running_loop().time() + left_s
         outcome = await self._handler.store_directly(row, deadline_s)
         await stream.send_message(
@@ -213,7 +213,7 @@
         """
         if left_s <= 0:
             return NotStored('timed out before the owner was called')
-        request = wire.StoreRequest(left_ms=int(left_s * MS_IN_S))
+        request = wire.StoreRequest(left_ms=int(left_s * MS_PER_S))
         match row:
             case JobRow(raw):
                 request.job = raw
--- a/waxwingford/shard/_platform_port.py
+++ b/waxwingford/shard/_platform_port.py
@@ -5,25 +5,25 @@
 
 from waxwingford.kernel import Registry
 from waxwingford.scheduling import BackendClient, Terms
-from waxwingford.shard._frontend import ShardDesk
+from waxwingford.shard._frontend import ShardFrontend
 from waxwingford.shard._log_port import SharedLog
-from waxwingford.shard._server_drivers import ServerDirectory
-from waxwingford.shard._ticket_requests import Advisor
+from waxwingford.shard._server_drivers import RegistrationSource
+from waxwingford.shard._ticket_requests import AdviceClient
 
 
-class SchedulerPlatform(ServerDirectory, Protocol):
+class SchedulerPlatform(RegistrationSource, Protocol):
     """Adapter to a platform.
 
     :ivar log: shared log that stores the shards.
     :ivar backend_client: client of the backend servers.
-    :ivar advisor: client of the advice service.
+    :ivar advice_client: client of the advice service.
     """
 
     log: SharedLog
     backend_client: BackendClient
-    advisor: Advisor
+    advice_client: AdviceClient
 
-    async def follow_terms(
+    async def follow_configuration(
         self, apply: Callable[[Terms], None], failed: Callable[[], None]
     ) -> None:
         """Follow the configuration until cancelled.
@@ -33,15 +33,15 @@
         """
         ...
 
-    async def serve(self, desk: ShardDesk, endpoint: str) -> None:
+    async def serve(self, frontend: ShardFrontend, endpoint: str) -> None:
         """Serve callers.
 
-        :param desk: handler of their requests.
+        :param frontend: handler of their requests.
         :param endpoint: IP address and port to listen on.
         """
         ...
 
-    def begin_closing(self) -> None:
+    def start_draining(self) -> None:
         """Close the connection of each caller after its next response."""
         ...
 
--- a/waxwingford/shard/_server_drivers.py
+++ b/waxwingford/shard/_server_drivers.py
@@ -10,7 +10,7 @@
     Start,
     Stop,
 )
-from waxwingford.shard._clocks import steady_ms
+from waxwingford.shard._clocks import monotonic_ms
 from waxwingford.shard._drivers import DriverPorts, ServerDriver
 
 #: An owner is cut off if more than half of the servers that have tasks have not
@@ -20,7 +20,7 @@
 UNREACHABLE_AFTER_MS = 1200
 
 
-class ServerDirectory(Protocol):
+class RegistrationSource(Protocol):
     """Source of the registrations of backend servers."""
 
     async def entries(self) -> tuple[ServerEntry, ...] | None:
@@ -31,14 +31,14 @@
         ...
 
 
-class Fleet:
+class ServerDrivers:
     """Keeps a driver for each backend server that the engine knows."""
 
     def __init__(
         self,
         engine: Engine,
         ports: DriverPorts,
-        directory: ServerDirectory,
+        directory: RegistrationSource,
     ) -> None:
         """Start without drivers.
 
@@ -60,7 +60,7 @@
 
         :returns: whether most servers that have tasks don't answer.
         """
-        now_ms = steady_ms()
+        now_ms = monotonic_ms()
         with_tasks = [
             server
             for server in self._engine.state.server_by_id.values()
@@ -82,7 +82,7 @@
         entries = await self._directory.entries()
         if entries is None:
             return
-        self._engine.register(entries, steady_ms())
+        self._engine.register(entries, monotonic_ms())
         for server_id, server in self._engine.state.server_by_id.items():
             has_driver = server_id in self._driver_by_server
             if not has_driver and server.entry.endpoint:
@@ -103,7 +103,7 @@
             if server_id not in self._engine.state.server_by_id:
                 self._driver_by_server.pop(server_id).close()
 
-    def act_on(self, batch: Batch, starts: list[Start]) -> None:
+    def send_starts(self, batch: Batch, starts: list[Start]) -> None:
         """Send the starts of a stored batch, and resume polls that wait for it.
 
         :param batch: batch that is stored.
--- a/waxwingford/shard/_store_view.py
+++ b/waxwingford/shard/_store_view.py
@@ -88,7 +88,7 @@
         async with self._lock:
             # The intake last, so that it has every job that the journal names.
             for mirror in (self._journal, self._intake):
-                if not isinstance(await mirror.reach_end(), CaughtUp):
+                if not isinstance(await mirror.read_to_end(), CaughtUp):
                     return False
         return True
 
--- a/waxwingford/shard/_ticket_requests.py
+++ b/waxwingford/shard/_ticket_requests.py
@@ -8,7 +8,7 @@
 import logbook
 
 from waxwingford.scheduling import Engine
-from waxwingford.shard._clocks import steady_ms
+from waxwingford.shard._clocks import monotonic_ms
 
 #: Delay after a question that failed, in seconds.
 RETRY_DELAY_S = 0.2
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Advised:
+class TicketsIssued:
     """Answer of the advice service.
 
     :ivar ticket_by_server: start ticket of each eligible server.
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotAdvised:
+class TicketsUnavailable:
     """The advice service gave no answer.
 
     :ivar reason: cause of the failure.
@@ -38,12 +38,12 @@
     reason: str
 
 
-class Advisor(Protocol):
+class AdviceClient(Protocol):
     """Client of the advice service."""
 
     async def advise(
         self, step_name: str, server_ids: tuple[str, ...]
-    ) -> Advised | NotAdvised:
+    ) -> TicketsIssued | TicketsUnavailable:
         """Ask which servers may run a step.
 
         :param step_name: name of the step.
@@ -53,17 +53,17 @@
         ...
 
 
-class AdviceAsker:
+class TicketRequester:
     """Passes the engine's questions to the advice service, and answers back."""
 
-    def __init__(self, engine: Engine, advisor: Advisor) -> None:
+    def __init__(self, engine: Engine, advice_client: AdviceClient) -> None:
         """Use an engine and a client of the advice service.
 
         :param engine: engine whose questions are asked.
-        :param advisor: client of the advice service.
+        :param advice_client: client of the advice service.
         """
         self._tickets = engine.state.tickets
-        self._advisor = advisor
+        self._advice_client = advice_client
         self._wake_event = asyncio.Event()
 
     def wake(self) -> None:
@@ -82,16 +82,16 @@
             if question is None:
                 continue
             self._wake_event.set()
-            asked_ms = steady_ms()
-            answer = await self._advisor.advise(
+            asked_ms = monotonic_ms()
+            answer = await self._advice_client.advise(
                 question.step.name, question.server_ids
             )
             match answer:
-                case Advised(tickets, validity_ms):
+                case TicketsIssued(tickets, validity_ms):
                     self._tickets.answered(
-                        question, tickets, asked_ms, validity_ms, steady_ms()
+                        question, tickets, asked_ms, validity_ms, monotonic_ms()
                     )
-                case NotAdvised(reason):
+                case TicketsUnavailable(reason):
                     log_fields = {'step': question.step.name, 'reason': reason}
                     _log.warning('no advice', extra=log_fields)
                     await asyncio.sleep(RETRY_DELAY_S)
--- a/waxwingford/shard/_watch.py
+++ b/waxwingford/shard/_watch.py
@@ -2,7 +2,7 @@
 
 import random
 
-from waxwingford.shard._clocks import steady_ms
+from waxwingford.shard._clocks import monotonic_ms
 from waxwingford.shard._heartbeats import OWNERS_TOPIC
 from waxwingford.shard._journal import OWNER_KEY, OwnerRecord, decode_owner
 from waxwingford.shard._lease_bounds import Predecessor
@@ -92,7 +92,7 @@
 
         :returns: milliseconds.
         """
-        return steady_ms() - self._silent_since_ms
+        return monotonic_ms() - self._silent_since_ms
 
     @property
     def predecessor(self) -> Predecessor:
@@ -123,16 +123,16 @@
 
     def restart_timeout(self) -> None:
         """Restart the suspicion timeout."""
-        self._silent_since_ms = steady_ms()
+        self._silent_since_ms = monotonic_ms()
 
     def _long_poll_ms(self) -> int:
-        left_ms = self._silent_since_ms + self._timeout_ms - steady_ms()
+        left_ms = self._silent_since_ms + self._timeout_ms - monotonic_ms()
         return max(1, min(MAX_LONG_POLL_MS, left_ms))
 
     def _update(self, record: OwnerRecord | None) -> None:
         if record == self.record:
             return
-        now_ms = steady_ms()
+        now_ms = monotonic_ms()
         if self.record is not None and _same_owner(self.record, record):
             interval_ms = now_ms - self._silent_since_ms
             self._longest_interval_ms = max(
--- a/waxwingford/shard/tests/capacities_steps.py
+++ b/waxwingford/shard/tests/capacities_steps.py
@@ -7,7 +7,7 @@
 from waxwingford.ports import Resources
 from waxwingford.shard import Stored
 from waxwingford.shard._journal import JOURNAL_TOPIC
-from waxwingford.shard.tests.shard_steps import job_of
+from waxwingford.shard.tests.shard_steps import submit_job_of_length
 
 
 @given('no server enforces its capacity')
@@ -31,7 +31,7 @@
 
 @when('the next {count:d} appends to the journal are dropped')
 def drop_appends(context, count):
-    context.shard.store.losses_by_topic[JOURNAL_TOPIC] = list(
+    context.shard.store.lost_appends_by_topic[JOURNAL_TOPIC] = list(
         itertools.repeat(None, count)
     )
 
@@ -43,7 +43,7 @@
 def cancel_and_submit(context, count, length_s):
     outcome = context.shard.cancel(context.jobs[-1])
     assert isinstance(outcome, Stored), outcome
-    job_of(context, count, length_s)
+    submit_job_of_length(context, count, length_s)
 
 
 @then('{count:d} tasks of the job are running')
--- a/waxwingford/shard/tests/claims_steps.py
+++ b/waxwingford/shard/tests/claims_steps.py
@@ -20,7 +20,10 @@
 )
 from waxwingford.shard._mirror import Mirror
 from waxwingford.shard.tests.virtual_shard import step
-from waxwingford.shard.tests.virtual_store import StoreWay, VirtualStore
+from waxwingford.shard.tests.virtual_store import (
+    VirtualStore,
+    VirtualStoreClient,
+)
 
 CHECKS_END_FIRST = {'duplicates': False, "the topic's end": True}
 OUTCOMES = {
@@ -70,7 +73,7 @@
 def lose_claim(context, applied):
     assert not context.shard.owners, 'an owner appends to the journal too'
     losses = [parse_delay_s(applied)]
-    context.shard.store.losses_by_topic[JOURNAL_TOPIC] = losses
+    context.shard.store.lost_appends_by_topic[JOURNAL_TOPIC] = losses
 
 
 @when('a job of 2 steps is submitted through a running daemon')
@@ -83,10 +86,10 @@
 
 @then('the claim that got no answer was sent')
 def check_claim_sent(context):
-    assert not context.shard.store.losses_by_topic[JOURNAL_TOPIC]
+    assert not context.shard.store.lost_appends_by_topic[JOURNAL_TOPIC]
 
 
-class HookedStoreClient(StoreWay):
+class HookedStoreClient(VirtualStoreClient):
     """Store client that runs callbacks after a read was answered."""
 
     def __init__(self, store, daemon_id):
@@ -109,7 +112,9 @@
         self.store = VirtualStore(0)
         self.client = HookedStoreClient(self.store, 'own')
         self.stopped = asyncio.Event()
-        self.losses = self.store.losses_by_topic.setdefault(JOURNAL_TOPIC, [])
+        self.losses = self.store.lost_appends_by_topic.setdefault(
+            JOURNAL_TOPIC, []
+        )
         self.writer = EpochWriter(self.client, JOURNAL_TOPIC, CLAIM_EPOCH)
 
     def lose(self, *applied_after_s):
--- a/waxwingford/shard/tests/crashes_steps.py
+++ b/waxwingford/shard/tests/crashes_steps.py
@@ -9,11 +9,11 @@
 from waxwingford.shard import Stored
 from waxwingford.shard.tests.crashing_tasks import crash_and_restart
 from waxwingford.shard.tests.shard_steps import (
-    CALM_S,
-    act,
-    begin_faults,
-    calm,
+    RECOVERY_S,
     kill_owner,
+    start_faulty_shard,
+    stop_faults,
+    take_random_action,
 )
 from waxwingford.shard.tests.virtual_shard import step
 
@@ -128,7 +128,7 @@
     ' {span_s:d} s with seed {seed:d}'
 )
 def simulate_crashing(context, span_s, seed):
-    shard = begin_faults(context, seed)
+    shard = start_faulty_shard(context, seed)
     for server in list(shard.servers.server_by_id.values())[::2]:
         server.enforces_capacity = False
     context.crashing = []
@@ -140,10 +140,10 @@
                 context.crashing.append(job_id)
         if shard.random.random() < SHRINK_PROBABILITY:
             shrink_temporarily(shard)
-        act(context, shard)
+        take_random_action(context, shard)
         shard.run(shard.random.uniform(0.2, 1.5))
-    calm(shard)
-    shard.run(CALM_S)
+    stop_faults(shard)
+    shard.run(RECOVERY_S)
 
 
 def shrink_temporarily(shard):
--- a/waxwingford/shard/tests/crashing_tasks.py
+++ b/waxwingford/shard/tests/crashing_tasks.py
@@ -36,7 +36,7 @@
             return
         self._starts_after_limit[key.task] += 1
         if self._starts_after_limit[key.task] >= START_LIMIT_AFTER_CRASHES:
-            self._fleet.breaches.append(
+            self._fleet.violations.append(
                 f'{key}: started again after it crashed {crashes} servers'
             )
 
@@ -61,7 +61,7 @@
 
     :param server: server to crash.
     """
-    server.vanish(connect_s=0)
+    server.stop_responding(connect_timeout_s=0)
     asyncio.get_running_loop().call_later(RESTART_AFTER_S, _restart, server)
 
 
--- a/waxwingford/shard/tests/intake_steps.py
+++ b/waxwingford/shard/tests/intake_steps.py
@@ -6,13 +6,18 @@
 
 from waxwingford.routing.tests.virtual_loop import VirtualLoop, end_loop
 from waxwingford.scheduling import JobSpec, encode_spec
-from waxwingford.shard import Appended, Intake, StoreRefused, StoreUnknown
+from waxwingford.shard import (
+    Appended,
+    Intake,
+    StoreOutcomeUnknown,
+    StoreRefused,
+)
 from waxwingford.shard._intake import JobRow
 
 OUTCOME_BY_WORD = {
     'appended': Appended(1),
     'refused': StoreRefused('busy'),
-    'unknown': StoreUnknown('lost'),
+    'unknown': StoreOutcomeUnknown('lost'),
 }
 
 
@@ -20,7 +25,7 @@
     """Store that returns given outcomes in order, then repeats the last."""
 
     def __init__(self, outcomes):
-        self.answering = True
+        self.responsive = True
         self.attempts = 0
         self.outcomes = outcomes
 
@@ -38,7 +43,7 @@
 
 @given('the store is known to be unreachable')
 def store_unreachable(context):
-    context.store.answering = False
+    context.store.responsive = False
 
 
 @when('a job is stored with a timeout of {left_s:g} s')
--- a/waxwingford/shard/tests/lease_bounds_steps.py
+++ b/waxwingford/shard/tests/lease_bounds_steps.py
@@ -6,7 +6,7 @@
 from waxwingford.shard._journal import OwnerRecord
 from waxwingford.shard._lease_bounds import Predecessor, bound_leases
 
-MS_IN_S = 1000
+MS_PER_S = 1000
 
 
 @given('no heartbeat')
@@ -18,14 +18,14 @@
 def read_heartbeat(context, read_s, number):
     record = OwnerRecord('d0', 1, 'd0:1', silent={})
     context.predecessor = Predecessor(
-        record, read_s * MS_IN_S, number, number - 1
+        record, read_s * MS_PER_S, number, number - 1
     )
 
 
 @given('a heartbeat of an older version that was read at {read_s:d} s')
 def read_older_heartbeat(context, read_s):
     record = OwnerRecord('d0', 1, 'd0:1')
-    context.predecessor = Predecessor(record, read_s * MS_IN_S, 1, 0)
+    context.predecessor = Predecessor(record, read_s * MS_PER_S, 1, 0)
 
 
 @given('it lists "{server_id}" as silent with {left_ms:d} ms left')
@@ -50,7 +50,7 @@
 )
 def store_first_heartbeat(context, number, stored_s):
     context.first_end = number
-    context.now_ms = stored_s * MS_IN_S
+    context.now_ms = stored_s * MS_PER_S
 
 
 def bounds(context, lease_ms):
--- a/waxwingford/shard/tests/lost_servers_steps.py
+++ b/waxwingford/shard/tests/lost_servers_steps.py
@@ -36,13 +36,13 @@
     servers = context.shard.servers.server_by_id.values()
     idle = [server for server in servers if not server.run_by_task]
     for server in idle[:count]:
-        server.vanish(connect_s)
+        server.stop_responding(connect_s)
 
 
 @when('the next {count:d} starts are not sent')
 def fail_next_starts(context, count):
     for server in context.shard.servers.server_by_id.values():
-        server.starts_unsent = count
+        server.starts_to_fail = count
 
 
 @when('{span_s:g} s have passed since the server left')
@@ -68,7 +68,7 @@
 
 @when('each order to a server takes {span_s:g} s')
 def delay_orders(context, span_s):
-    context.shard.servers.order_s = span_s
+    context.shard.servers.order_delay_s = span_s
 
 
 @when(
--- a/waxwingford/shard/tests/mirror_steps.py
+++ b/waxwingford/shard/tests/mirror_steps.py
@@ -10,12 +10,12 @@
     KeyedRecord,
     Mirror,
     NewestPage,
-    StoreUnknown,
+    StoreOutcomeUnknown,
 )
 from waxwingford.shard.tests.virtual_store import (
     PAGE_SIZE,
-    StoreWay,
     VirtualStore,
+    VirtualStoreClient,
 )
 
 TOPIC = 'topic'
@@ -27,7 +27,7 @@
 )
 
 
-class LossyStoreClient(StoreWay):
+class LossyStoreClient(VirtualStoreClient):
     """Store client that loses every third page."""
 
     def __init__(self, store):
@@ -35,10 +35,10 @@
         self.calls = itertools.count(1)
         self.pages = []
 
-    async def newest(self, topic, after_key):
-        page = await super().newest(topic, after_key)
+    async def read_newest(self, topic, after_key):
+        page = await super().read_newest(topic, after_key)
         if next(self.calls) % 3 == 0:
-            return StoreUnknown('lost')
+            return StoreOutcomeUnknown('lost')
         assert isinstance(page, NewestPage), page
         self.pages.append(after_key)
         return page
@@ -71,7 +71,7 @@
 
 @when('the topic is read until a page gets no answer')
 def read_until_lost(context):
-    assert read(context) == StoreUnknown('lost')
+    assert read(context) == StoreOutcomeUnknown('lost')
 
 
 @when('the topic is read until the copy is complete')
--- a/waxwingford/shard/tests/mixed_steps.py
+++ b/waxwingford/shard/tests/mixed_steps.py
@@ -5,10 +5,10 @@
 from waxwingford.shard import Stored
 from waxwingford.shard._peers import JobNotKnown
 from waxwingford.shard.tests.shard_steps import (
-    CALM_S,
-    act,
-    begin_faults,
-    calm,
+    RECOVERY_S,
+    start_faulty_shard,
+    stop_faults,
+    take_random_action,
 )
 from waxwingford.shard.tests.virtual_shard import step
 
@@ -20,16 +20,16 @@
     ' under seed {seed:d}'
 )
 def simulate_mixed(context, span_s, seed):
-    shard = begin_faults(context, seed)
+    shard = start_faulty_shard(context, seed)
     context.long_running = []
     context.cancelled = []
     context.denied_jobs = []
-    shard.store.most_read = 20
+    shard.store.max_records_per_read = 20
     while shard.loop.time() < span_s:
         take_mixed_action(context, shard)
         shard.run(shard.random.uniform(0.1, 1))
-    calm(shard)
-    shard.run(CALM_S)
+    stop_faults(shard)
+    shard.run(RECOVERY_S)
 
 
 def take_mixed_action(context, shard):
@@ -56,7 +56,7 @@
         case 'ask' if context.jobs:
             query_phase(context, daemon)
         case _:
-            act(context, shard)
+            take_random_action(context, shard)
 
 
 def submit(shard, daemon, jobs, steps, **more):
--- a/waxwingford/shard/tests/overload_steps.py
+++ b/waxwingford/shard/tests/overload_steps.py
@@ -9,7 +9,7 @@
 from waxwingford.scheduling import EndKind
 from waxwingford.shard import Stored
 from waxwingford.shard.tests.virtual_shard import (
-    MS_IN_S,
+    MS_PER_S,
     VirtualShard,
     step,
 )
@@ -21,7 +21,7 @@
 
 @given("each call to a server takes {work_ms:g} ms of the daemon's processor")
 def set_call_cpu_time(context, work_ms):
-    context.shard.servers.call_cpu_s = work_ms / MS_IN_S
+    context.shard.servers.call_cpu_s = work_ms / MS_PER_S
     context.first_owner = context.shard.owners[0]
 
 
@@ -56,7 +56,7 @@
 async def _submit(shard, tasks):
     deadline_s = shard.loop.time() + 3
     spec = shard.new_spec((step(tasks, TASK_MS),))
-    await shard.daemons[-1].desk.submit(spec, deadline_s)
+    await shard.daemons[-1].frontend.submit(spec, deadline_s)
 
 
 @then('no run has lost its lease')
--- a/waxwingford/shard/tests/owner_change_steps.py
+++ b/waxwingford/shard/tests/owner_change_steps.py
@@ -49,7 +49,7 @@
 def delay_first_heartbeat(context, span_s):
     # The next three appends, retries or from the previous owner, are lost.
     losses = [span_s, None, None, None]
-    context.shard.store.losses_by_topic[OWNERS_TOPIC] = losses
+    context.shard.store.lost_appends_by_topic[OWNERS_TOPIC] = losses
 
 
 @when('the owner is killed just before the job is cancelled')
@@ -129,7 +129,7 @@
         return [
             daemon
             for daemon, owner in owners
-            if owner is not None and owner.epoch and not owner.over.is_set()
+            if owner is not None and owner.epoch and not owner.stopped.is_set()
         ]
 
     while not claiming():
--- a/waxwingford/shard/tests/shard_steps.py
+++ b/waxwingford/shard/tests/shard_steps.py
@@ -18,7 +18,7 @@
 from waxwingford.timeline import about, events_of_lines, merge_events
 
 FAULT_KINDS = ('kill', 'cut_store', 'refuse_store', 'cut_server', 'crash')
-CALM_S = 60
+RECOVERY_S = 60
 MOST_DOWN = 1
 
 
@@ -160,7 +160,7 @@
 
 @when('the store returns at most {count:d} records per read')
 def limit_records_per_read(context, count):
-    context.shard.store.most_read = count
+    context.shard.store.max_records_per_read = count
 
 
 @when('{count:d} jobs are stored at once, bypassing the owner')
@@ -200,7 +200,7 @@
 
 
 @when('a job of {count:d} tasks of {length_s:d} s is submitted')
-def job_of(context, count, length_s):
+def submit_job_of_length(context, count, length_s):
     submit(context, (step(count, length_ms=length_s * 1000),))
 
 
@@ -217,15 +217,15 @@
 
 @when('a shard runs for {span_s:d} s with random faults from seed {seed:d}')
 def run_with_random_faults(context, span_s, seed):
-    shard = begin_faults(context, seed)
+    shard = start_faulty_shard(context, seed)
     while shard.loop.time() < span_s:
-        act(context, shard)
+        take_random_action(context, shard)
         shard.run(shard.random.uniform(0.2, 1.5))
-    calm(shard)
-    shard.run(CALM_S)
+    stop_faults(shard)
+    shard.run(RECOVERY_S)
 
 
-def begin_faults(context, seed):
+def start_faulty_shard(context, seed):
     """Start a shard in which some orders and appends fail.
 
     :param context: context of the scenario.
@@ -243,7 +243,7 @@
     return shard
 
 
-def act(context, shard):
+def take_random_action(context, shard):
     if shard.random.random() < 0.6:
         daemon = shard.random.choice(shard.living())
         steps = (step(3), step(2, after=(0,)))
@@ -280,7 +280,7 @@
             shard.servers.add(1)
 
 
-def calm(shard):
+def stop_faults(shard):
     shard.servers.late_share = 0
     shard.store.lost_share = 0
 
@@ -329,13 +329,15 @@
 
 @then('nothing was breached')
 def check_no_breach(context):
-    assert not context.shard.servers.breaches, context.shard.servers.breaches
+    assert not context.shard.servers.violations, (
+        context.shard.servers.violations
+    )
 
 
 @given('starts need tickets that are valid for {validity_ms:d} ms')
 def require_tickets(context, validity_ms):
     shard = context.shard
-    shard.servers.ticket_ms = validity_ms
+    shard.servers.ticket_validity_ms = validity_ms
     queue = TERMS.queue_by_name['queue']._replace(advised=True)
     for daemon in shard.daemons:
         daemon.member.configure(Terms(2, {'queue': queue}))
@@ -350,5 +352,5 @@
 @then('no start was without a valid ticket')
 def check_tickets_valid(context):
     servers = context.shard.servers
-    assert servers.until_s_by_ticket
-    assert not servers.without_ticket, servers.without_ticket
+    assert servers.expiry_s_by_ticket
+    assert not servers.starts_without_ticket, servers.starts_without_ticket
--- a/waxwingford/shard/tests/slow_store_steps.py
+++ b/waxwingford/shard/tests/slow_store_steps.py
@@ -34,7 +34,9 @@
 
 async def _submit(shard, daemon):
     spec = shard.new_spec((step(1),))
-    return await daemon.desk.submit(spec, shard.loop.time() + CALLER_TIMEOUT_S)
+    return await daemon.frontend.submit(
+        spec, shard.loop.time() + CALLER_TIMEOUT_S
+    )
 
 
 @then('at least {share:d} % of them are stored in time')
--- a/waxwingford/shard/tests/virtual_server_client.py
+++ b/waxwingford/shard/tests/virtual_server_client.py
@@ -9,10 +9,10 @@
     PollResult,
     ServerReplaced,
 )
-from waxwingford.shard import Advised
+from waxwingford.shard import TicketsIssued
 from waxwingford.shard.tests.virtual_servers import (
     ANSWER_S,
-    MS_IN_S,
+    MS_PER_S,
     TIMEOUT_S,
     VirtualServer,
     VirtualServers,
@@ -43,8 +43,8 @@
 
     async def start(self, address, order):
         server = self._fleet.server_by_id[address.server_id]
-        if server.starts_unsent:
-            server.starts_unsent -= 1
+        if server.starts_to_fail:
+            server.starts_to_fail -= 1
             return OrderNotSent('no connection')
         return await self._order(address, VirtualServer.start, order)
 
@@ -59,7 +59,7 @@
 
     async def poll(self, address, order):
         if self._fleet.call_cpu_s:
-            timeout_s = order.wait_ms / MS_IN_S + TIMEOUT_S
+            timeout_s = order.wait_ms / MS_PER_S + TIMEOUT_S
             return await self._call_with_cpu_time(
                 self._poll(address, order), timeout_s
             )
@@ -80,7 +80,7 @@
         ):
             try:
                 await asyncio.wait_for(
-                    server.changed.wait(), order.wait_ms / MS_IN_S
+                    server.changed.wait(), order.wait_ms / MS_PER_S
                 )
             except TimeoutError:
                 end_count = len(server.ends)
@@ -98,7 +98,7 @@
             server_id: self._fleet.issue_ticket(server_id, step_name)
             for server_id in server_ids
         }
-        return Advised(tickets, self._fleet.ticket_ms)
+        return TicketsIssued(tickets, self._fleet.ticket_validity_ms)
 
     async def _call_with_cpu_time(self, call, timeout_s):
         """Make a call that takes processor time of the daemon.
@@ -137,7 +137,7 @@
             )
             await asyncio.sleep(TIMEOUT_S)
             return OrderOutcomeUnknown('late')
-        await asyncio.sleep(self._fleet.order_s)
+        await asyncio.sleep(self._fleet.order_delay_s)
         return order_method(server, *order_args)
 
     async def _connect(self, server):
@@ -147,7 +147,7 @@
         """
         if server.replaced and await self._is_successor_reachable(server):
             return ServerReplaced()
-        if server.connect_s is not None:
+        if server.connect_timeout_s is not None:
             return await _fail_to_connect(server)
         if not await self._is_reachable(server):
             return OrderOutcomeUnknown('cut')
@@ -170,7 +170,7 @@
 
 
 async def _fail_to_connect(server):
-    await asyncio.sleep(server.connect_s)
+    await asyncio.sleep(server.connect_timeout_s)
     return OrderNotSent('no connection')
 
 
--- a/waxwingford/shard/tests/virtual_servers.py
+++ b/waxwingford/shard/tests/virtual_servers.py
@@ -31,7 +31,7 @@
 TIMEOUT_S = 0.6
 MAX_LEASE_MS = 6000
 STOP_DURATION_S = 0.3
-MS_IN_S = 1000
+MS_PER_S = 1000
 
 
 def step_key(task):
@@ -72,9 +72,9 @@
         self.void_end_number = 0
         #: Time until a connection attempt fails, in seconds; ``None`` if connections
         #: succeed.
-        self.connect_s = None
+        self.connect_timeout_s = None
         #: Number of starts from now on that fail before they are sent.
-        self.starts_unsent = 0
+        self.starts_to_fail = 0
         self.fails = False
         self.hangs = False
         #: Number of polls received.
@@ -100,7 +100,7 @@
 
     def clock_ms(self):
         loop_s = asyncio.get_running_loop().time()
-        return int(loop_s * MS_IN_S) + self.clock_offset_ms
+        return int(loop_s * MS_PER_S) + self.clock_offset_ms
 
     def check_lease(self):
         if self.clock_ms() >= self.lease_until_ms:
@@ -113,7 +113,7 @@
         until_ms = min(until_ms, now_ms + MAX_LEASE_MS)
         self.lease_until_ms = max(self.lease_until_ms, until_ms)
         loop = asyncio.get_running_loop()
-        left_s = (self.lease_until_ms - now_ms) / MS_IN_S
+        left_s = (self.lease_until_ms - now_ms) / MS_PER_S
         loop.call_later(max(0, left_s) + 0.001, self.check_lease)
 
     def end(self, run, kind):
@@ -130,11 +130,11 @@
 
     def crash(self):
         self.registered = False
-        self.vanish()
+        self.stop_responding()
 
-    def vanish(self, connect_s=None):
+    def stop_responding(self, connect_timeout_s=None):
         self.up = False
-        self.connect_s = connect_s
+        self.connect_timeout_s = connect_timeout_s
         for run in self.run_by_task.values():
             if run.timer is not None:
                 run.timer.cancel()
@@ -176,7 +176,7 @@
         step = self.fleet.step(key.task)
         self.fleet.check_start(self, key)
         now_s = asyncio.get_running_loop().time()
-        run = _Run(key, now_s, step.estimate_ms / MS_IN_S)
+        run = _Run(key, now_s, step.estimate_ms / MS_PER_S)
         self.run_by_task[key.task] = run
         self.last_run_by_task[key.task] = key.run
         self.fleet.crashing.on_start(self, key)
@@ -239,20 +239,20 @@
         #: Share of orders that get no answer and take effect seconds later.
         self.late_share = 0
         #: Delay of each order, in seconds.
-        self.order_s = 0
+        self.order_delay_s = 0
         #: Processor time of the daemon before and after each call, in seconds.
         self.call_cpu_s = 0
         self.done = set()
         self.acknowledged_done = set()
-        self.breaches = []
+        self.violations = []
         self.starts = collections.Counter()
         self.crashing = CrashingTasks(self)
         self.cancelled_at_s_by_job = {}
         #: Validity of tickets, in ms; 0 if starts need no ticket.
-        self.ticket_ms = 0
+        self.ticket_validity_ms = 0
         #: Expiry of tickets by server, step and text, and starts without a ticket.
-        self.until_s_by_ticket = {}
-        self.without_ticket = []
+        self.expiry_s_by_ticket = {}
+        self.starts_without_ticket = []
         self.job_by_id = {}
 
     def add(self, count, cores=8, clock_offset_ms=0):
@@ -279,20 +279,20 @@
     def issue_ticket(self, server_id, step_name):
         now_s = asyncio.get_running_loop().time()
         text = f'{server_id} at {now_s}'
-        expiry_s = now_s + self.ticket_ms / MS_IN_S
-        self.until_s_by_ticket[server_id, step_name, text] = expiry_s
+        expiry_s = now_s + self.ticket_validity_ms / MS_PER_S
+        self.expiry_s_by_ticket[server_id, step_name, text] = expiry_s
         return text
 
     def has_ticket(self, server, order):
-        if not self.ticket_ms:
+        if not self.ticket_validity_ms:
             return True
         task = order.run.task
         step_name = f'{task.job_id}.{task.occurrence}.{task.step}'
         ticket = server.server_id, step_name, order.ticket
-        expiry_s = self.until_s_by_ticket.get(ticket, 0)
+        expiry_s = self.expiry_s_by_ticket.get(ticket, 0)
         if asyncio.get_running_loop().time() <= expiry_s:
             return True
-        self.without_ticket.append(order.run)
+        self.starts_without_ticket.append(order.run)
         return False
 
     def check_start(self, server, key):
@@ -300,20 +300,20 @@
         self.starts[task] += 1
         stored = [row[0] for row in self.store.topic(JOURNAL_TOPIC).records]
         if step_key(task) not in stored:
-            self.breaches.append(f'{key}: started without a stored record')
+            self.violations.append(f'{key}: started without a stored record')
         if task.index in self.done_in_journal(task):
-            self.breaches.append(f'{key}: started although stored as done')
+            self.violations.append(f'{key}: started although stored as done')
         elsewhere = [
             other.server_id
             for other in self.server_by_id.values()
             if other.up and task in other.run_by_task
         ]
         if elsewhere:
-            self.breaches.append(
+            self.violations.append(
                 f'{key}: started on {server.server_id}, also runs on {elsewhere}'
             )
         if task in self.acknowledged_done:
-            self.breaches.append(
+            self.violations.append(
                 f'{key}: started although acknowledged as done'
             )
         for index in self.step(task).after:
@@ -323,17 +323,19 @@
                 for n in range(predecessor.count)
             }
             if not keys <= self.done:
-                self.breaches.append(
+                self.violations.append(
                     f'{key}: started before step {index} was done'
                 )
         self.crashing.check_start(key)
         if exceeds(server.needs_with(task), server.capacities.upper_bound()):
-            self.breaches.append(
+            self.violations.append(
                 f'{key}: takes {server.server_id} over its capacity'
             )
         now_s = asyncio.get_running_loop().time()
         if now_s > self.cancelled_at_s_by_job.get(task.job_id, now_s) + 13:
-            self.breaches.append(f'{key}: started long after it was cancelled')
+            self.violations.append(
+                f'{key}: started long after it was cancelled'
+            )
 
     def done_in_journal(self, task):
         """Read which tasks of a step are done according to the journal.
--- a/waxwingford/shard/tests/virtual_shard.py
+++ b/waxwingford/shard/tests/virtual_shard.py
@@ -17,16 +17,19 @@
     Owner,
     OwnerPorts,
     OwnerSettings,
-    ShardDesk,
+    ShardFrontend,
     ShardMember,
 )
-from waxwingford.shard._clocks import steady_ms
+from waxwingford.shard._clocks import monotonic_ms
 from waxwingford.shard.tests.virtual_server_client import VirtualServerClient
 from waxwingford.shard.tests.virtual_servers import VirtualServers
-from waxwingford.shard.tests.virtual_store import StoreWay, VirtualStore
+from waxwingford.shard.tests.virtual_store import (
+    VirtualStore,
+    VirtualStoreClient,
+)
 
 LEASE_MS = 5000
-MS_IN_S = 1000
+MS_PER_S = 1000
 QUEUE = QueueTerms('queue', 'service', 0, 3)
 TERMS = Terms(1, {'queue': QUEUE})
 
@@ -40,10 +43,10 @@
         self._lines = lines
         self._sequence = itertools.count(1)
 
-    def tell(self, event, **fields):
-        super().tell(event, **fields)
+    def record_event(self, event, **fields):
+        super().record_event(event, **fields)
         now = datetime.datetime.fromtimestamp(
-            steady_ms() / MS_IN_S, datetime.UTC
+            monotonic_ms() / MS_PER_S, datetime.UTC
         )
         line = {
             'time': now.replace(tzinfo=None).isoformat(timespec='milliseconds'),
@@ -65,22 +68,22 @@
     def close(self):
         """Do nothing, as there is no connection."""
 
-    def desk(self, endpoint):
+    def frontend(self, endpoint):
         return next(
-            daemon.desk
+            daemon.frontend
             for daemon in self.shard.daemons
             if daemon.daemon_id == endpoint
         )
 
     async def phase(self, endpoint, job_id):
-        return await self.desk(endpoint).local_phase(job_id)
+        return await self.frontend(endpoint).local_phase(job_id)
 
     async def pending(self, endpoint, queue):
-        return self.desk(endpoint).local_pending(queue)
+        return self.frontend(endpoint).local_pending(queue)
 
     async def store(self, endpoint, row, left_s):
         deadline_s = self.shard.loop.time() + left_s
-        return await self.desk(endpoint).store_directly(row, deadline_s)
+        return await self.frontend(endpoint).store_directly(row, deadline_s)
 
 
 class VirtualDaemon:
@@ -90,7 +93,7 @@
         self.shard = shard
         self.daemon_id = daemon_id
         self.cores = cores
-        self.log = StoreWay(shard.store, daemon_id)
+        self.log = VirtualStoreClient(shard.store, daemon_id)
         self.servers = VirtualServerClient(shard.servers, daemon_id)
         self.observer = RecordingObserver(daemon_id, shard.lines)
         self.start()
@@ -104,7 +107,7 @@
             self.observer,
             self.cores,
         )
-        self.desk = ShardDesk(
+        self.frontend = ShardFrontend(
             self.log, self.member, VirtualOwnerLink(self.shard), self.observer
         )
         self.member.configure(TERMS)
@@ -130,14 +133,14 @@
             self.servers,
             self.servers,
             self.observer,
-            steady_ms,
+            monotonic_ms,
         )
         return Owner(settings, ports, terms)
 
     @property
     def owns(self):
         owner = self.member.owner
-        return owner is not None and owner.ready and not owner.over.is_set()
+        return owner is not None and owner.ready and not owner.stopped.is_set()
 
 
 class VirtualShard:
@@ -198,13 +201,15 @@
         spec = self.new_spec(steps, **more)
         entry_daemon = daemon or self.living()[0]
         deadline_s = self.loop.time() + 3
-        outcome = self.run_until(entry_daemon.desk.submit(spec, deadline_s))
+        outcome = self.run_until(entry_daemon.frontend.submit(spec, deadline_s))
         return spec.job_id, outcome
 
     def cancel(self, job_id, daemon=None):
         entry_daemon = daemon or self.living()[0]
         deadline_s = self.loop.time() + 3
-        outcome = self.run_until(entry_daemon.desk.cancel(job_id, deadline_s))
+        outcome = self.run_until(
+            entry_daemon.frontend.cancel(job_id, deadline_s)
+        )
         self.servers.cancelled_at_s_by_job[job_id] = self.loop.time()
         return outcome
 
@@ -213,7 +218,7 @@
 
     def phase(self, job_id, daemon=None):
         entry_daemon = daemon or self.living()[0]
-        answer = self.run_until(entry_daemon.desk.phase(job_id))
+        answer = self.run_until(entry_daemon.frontend.phase(job_id))
         return answer.phase.value if isinstance(answer, JobKnown) else answer
 
     def running(self, job_id):
--- a/waxwingford/shard/tests/virtual_store.py
+++ b/waxwingford/shard/tests/virtual_store.py
@@ -6,21 +6,21 @@
 
 from waxwingford.shard import (
     Appended,
-    AppendElsewhere,
+    AppendEndMismatch,
     AppendFenced,
     AppendOutOfOrder,
     NewestPage,
     RecordsRead,
     StoredRecord,
+    StoreOutcomeUnknown,
     StoreRefused,
-    StoreUnknown,
 )
 
 ANSWER_S = 0.004
 TIMEOUT_S = 1.2
 MAX_QUEUE_S = 2
 PAGE_SIZE = 50
-MS_IN_S = 1000
+MS_PER_S = 1000
 
 
 @dataclasses.dataclass
@@ -46,7 +46,7 @@
         self.late_share = 0
         #: By topic, the next appends that get no answer, as the delay in
         #: seconds after which each is applied, ``None`` for never.
-        self.losses_by_topic: dict[str, list[float | None]] = {}
+        self.lost_appends_by_topic: dict[str, list[float | None]] = {}
         #: By daemon and topic, additional seconds per page, ``None`` for pages
         #: that get no answer.
         self.page_delay_s_by_reader: dict[tuple[str, str], float | None] = {}
@@ -59,7 +59,7 @@
         self.append_s = 0
         self.busy_until_s_by_topic: dict[str, float] = {}
         #: Most records that one read returns.
-        self.most_read = 10_000
+        self.max_records_per_read = 10_000
         self.random = random.Random(seed)
 
     def topic(self, name: str) -> _Topic:
@@ -101,20 +101,20 @@
         elif apply_delay_s is not None:
             self.apply(name, records, fence)
         await asyncio.sleep(TIMEOUT_S)
-        return StoreUnknown('lost')
+        return StoreOutcomeUnknown('lost')
 
 
 def _refusal(topic, fence, checks_end_first):
-    end_mismatch = fence.at_offset not in {None, len(topic.records)}
+    end_mismatch = fence.expected_end not in {None, len(topic.records)}
     if checks_end_first and end_mismatch:
-        return AppendElsewhere(len(topic.records))
+        return AppendEndMismatch(len(topic.records))
     if fence.epoch < topic.epoch:
         return AppendFenced()
     new_epoch = fence.epoch > topic.epoch
     if not new_epoch and fence.sequence in topic.answer_by_sequence:
         return topic.answer_by_sequence[fence.sequence]
     if end_mismatch:
-        return AppendElsewhere(len(topic.records))
+        return AppendEndMismatch(len(topic.records))
     if not new_epoch and fence.sequence != topic.next_sequence:
         return AppendOutOfOrder(topic.next_sequence)
     if new_epoch:
@@ -123,13 +123,13 @@
     return None
 
 
-class StoreWay:
+class VirtualStoreClient:
     """Client of the store in one daemon."""
 
     def __init__(self, store: VirtualStore, daemon_id: str):
         self._store = store
         self._daemon_id = daemon_id
-        self.answering = True
+        self.responsive = True
 
     async def append(self, topic, records, fence=None):
         fault = await self._fault()
@@ -138,7 +138,7 @@
         store = self._store
         if store.append_s and not await store.wait_for_queue(topic):
             return StoreRefused('append queue is full')
-        losses = store.losses_by_topic.get(topic)
+        losses = store.lost_appends_by_topic.get(topic)
         if losses:
             return await store.lose_append(topic, records, fence, losses.pop(0))
         if store.random.random() >= store.lost_share:
@@ -154,21 +154,21 @@
         stored = self._store.topic(topic)
         if from_offset >= len(stored.records) and wait_ms:
             try:
-                await asyncio.wait_for(stored.grown.wait(), wait_ms / MS_IN_S)
+                await asyncio.wait_for(stored.grown.wait(), wait_ms / MS_PER_S)
             except TimeoutError:
                 pass
         fault = await self._fault()
         if fault is not None:
             return fault
         end = len(stored.records)
-        next_offset = min(end, from_offset + self._store.most_read)
+        next_offset = min(end, from_offset + self._store.max_records_per_read)
         records = tuple(
             StoredRecord(offset, *stored.records[offset])
             for offset in range(from_offset, next_offset)
         )
         return RecordsRead(records, max(from_offset, next_offset), end)
 
-    async def newest(self, topic, after_key):
+    async def read_newest(self, topic, after_key):
         fault = await self._fault()
         if fault is not None:
             return fault
@@ -177,7 +177,7 @@
         )
         if page_delay_s is None:
             await asyncio.sleep(TIMEOUT_S)
-            return StoreUnknown('lost')
+            return StoreOutcomeUnknown('lost')
         if page_delay_s:
             await asyncio.sleep(page_delay_s)
         stored = self._store.topic(topic)
@@ -200,5 +200,5 @@
             return StoreRefused('refused')
         if self._daemon_id in self._store.silent:
             await asyncio.sleep(TIMEOUT_S)
-            return StoreUnknown('silent')
+            return StoreOutcomeUnknown('silent')
         return None
