--- a/waxwingford/scheduling/_backend_client.py
+++ b/waxwingford/scheduling/_backend_client.py
@@ -60,7 +60,7 @@
 
     :ivar run: key of the run.
     :ivar checkpoint: newest checkpoint, empty for none.
-    :ivar percent: progress in percent; for a lasting task, 100 means ready.
+    :ivar percent: progress in percent; for a long-running task, 100 means ready.
     :ivar measured_value: tail latency in ms for a serving task, CPU usage in
         thousandths of a core for others, each over the last half second.
     """
--- a/waxwingford/scheduling/_engine.py
+++ b/waxwingford/scheduling/_engine.py
@@ -38,20 +38,21 @@
 
 #: A run is stopped after this time without progress, in ms.
 STALLED_RUN_TIMEOUT_MS = 2500
-#: The same for a fill, in ms, which may be starved of CPU for a while.
-STALLED_FILL_TIMEOUT_MS = 6000
-#: The same for a lasting task that isn't ready, in ms.
-STALLED_LASTING_TIMEOUT_MS = 4000
-#: Interval between updates of the stored interference of fills, in ms. A new
-#: owner has to learn again what isn't stored.
-STORE_HARM_INTERVAL_MS = 2000
+#: The same for a best-effort task, in ms, which may be starved of CPU for a
+#: while.
+STALLED_BEST_EFFORT_TIMEOUT_MS = 6000
+#: The same for a long-running task that isn't ready, in ms.
+STALLED_LONG_RUNNING_TIMEOUT_MS = 4000
+#: Interval between updates of the stored interference of best-effort tasks, in
+#: ms. A new owner has to learn again what isn't stored.
+STORE_INTERFERENCE_INTERVAL_MS = 2000
 #: Interval between checks of all servers for expired leases, stalled runs and
 #: stops to send, in ms. Placement runs with every decision.
 MAINTENANCE_INTERVAL_MS = 50
 #: Interval between stores of outlived starts, in ms. Without them, a new owner
 #: would suspect the latest starts on a server that crashes along with the owner.
 MARK_OUTLIVED_INTERVAL_MS = 200
-#: Progress of a lasting task that is ready, in percent.
+#: Progress of a long-running task that is ready, in percent.
 READY_PERCENT = 100
 _NOTHING = Resources(0, 0, 0)
 
@@ -63,7 +64,7 @@
     :ivar orders: creates orders.
     :ivar settler: applies the answers of servers.
     :ivar recovery: restores the rows of previous owners.
-    :ivar pacer: sets the speed limits of fills.
+    :ivar pacer: sets the pace of best-effort runs.
     :ivar lease_withholding: chooses servers whose leases are not extended.
     """
 
@@ -189,7 +190,7 @@
             return
         self._harm.learn(server, now_ms)
         if self.pacer.needs_frequent_polls(server):
-            if now_ms - self._harm_stored_ms >= STORE_HARM_INTERVAL_MS:
+            if now_ms - self._harm_stored_ms >= STORE_INTERFERENCE_INTERVAL_MS:
                 self._harm_stored_ms = now_ms
                 self.state.interference_row = self._harm.encode()
             self.pacer.adjust_paces(server, now_ms)
@@ -199,7 +200,7 @@
     ) -> None:
         """Apply the outcome of a start order.
 
-        A fill starts at full speed; if it is known to harm the tasks on its
+        A best-effort task starts at full speed; if it is known to harm the tasks on its
         server, it is slowed at once instead of after the next poll.
 
         :param server: server that the order was sent to.
@@ -320,16 +321,16 @@
 def _stall_timeout_ms(run: Run, step: Step) -> float:
     if step.spec.long_running:
         ready = run.percent >= READY_PERCENT
-        return math.inf if ready else STALLED_LASTING_TIMEOUT_MS
+        return math.inf if ready else STALLED_LONG_RUNNING_TIMEOUT_MS
     return (
-        STALLED_FILL_TIMEOUT_MS
+        STALLED_BEST_EFFORT_TIMEOUT_MS
         if step.spec.best_effort
         else STALLED_RUN_TIMEOUT_MS
     )
 
 
 def _stop_movable_runs(server: Server) -> None:
-    """Stop lasting runs and runs with checkpoints on a draining server.
+    """Stop long-running tasks and tasks with checkpoints on a draining server.
 
     Otherwise they would be restarted elsewhere only after the server has exited
     and its lease has expired, several seconds later.
--- a/waxwingford/scheduling/_isolation.py
+++ b/waxwingford/scheduling/_isolation.py
@@ -58,7 +58,7 @@
         """
         cause = suspect_key(task.key, step)
         if not is_suspect(task, step):
-            # A former suspect may still have a server reserved.
+            # A previous suspect may still have a server reserved.
             open_for = (None, cause)
             return [
                 server for server in servers if server.reserved_for in open_for
--- a/waxwingford/scheduling/_migration.py
+++ b/waxwingford/scheduling/_migration.py
@@ -33,7 +33,7 @@
     """Stops runs that another server can run faster, for the placer to restart."""
 
     def __init__(self, state: ShardState, placer: Placer) -> None:
-        """Create a mover.
+        """Create a migrator.
 
         :param state: of the shard.
         :param placer: finds servers for a task.
--- a/waxwingford/scheduling/_rows.py
+++ b/waxwingford/scheduling/_rows.py
@@ -21,7 +21,7 @@
 
 #: Prefix of the keys of ended jobs; keys of steps begin with the job id.
 ENDED_PREFIX = 'ended/'
-#: Key of the learned interference of fills.
+#: Key of the learned interference of best-effort tasks.
 INTERFERENCE_KEY = 'effects'
 #: Key used by older versions, which store these values in another unit. They must
 #: not be read: they would make harmful pairs of images look harmless.
@@ -43,7 +43,7 @@
     crash_evidence: int = 0
     #: Whether the servers of all runs are known to have outlived the starts.
     outlived: bool = False
-    #: Unix time in ms since when the task waits for a server, 0 if it doesn't.
+    #: Unix time in ms since when the task is pending, 0 if it isn't.
     waits_since_ms: int = 0
     lost_runs: list[int] = []
 
@@ -186,7 +186,7 @@
         adopted=True,
     )
     if task.best_effort:
-        # Only fills have a speed limit. An unknown limit exempts a run from stall
+        # Only best-effort runs have a pace. An unknown pace exempts a run from stall
         # detection, so it must not be set for other tasks.
         run.pace = None
     return run
--- a/waxwingford/scheduling/_servers.py
+++ b/waxwingford/scheduling/_servers.py
@@ -56,10 +56,10 @@
     :ivar reserved_for: task suspected of crashing servers that is to start alone
         here, ``None`` for none.
     :ivar unanswered: runs whose start was sent and not confirmed.
-    :ivar used: resources reserved by runs, without the CPU of fills.
+    :ivar used: resources reserved by runs, without the CPU of best-effort runs.
     :ivar free_resources: free resources: capacity less ``used``.
-    :ivar best_effort_milli: CPU requested by fills, in thousandths of a core.
-    :ivar long_running_milli: CPU reserved by lasting tasks, in thousandths of a core.
+    :ivar best_effort_milli: CPU requested by best-effort tasks, in thousandths of a core.
+    :ivar long_running_milli: CPU reserved by long-running tasks, in thousandths of a core.
     :ivar clock_offset_ms: offset of the server's clock from the owner's, ``None``
         before the first answer.
     :ivar clock_updated_ms: when this offset was determined.
--- a/waxwingford/scheduling/_specs.py
+++ b/waxwingford/scheduling/_specs.py
@@ -41,7 +41,7 @@
     :ivar target_ms: tail latency in ms that a serving task must stay below, 0
         for none.
     :ivar best_effort: whether the tasks use only CPU that other tasks leave idle.
-    :ivar max_unavailable: maximum number of lasting tasks that the scheduler may
+    :ivar max_unavailable: maximum number of long-running tasks that the scheduler may
         interrupt at a time, 0 for no limit; not enforced yet.
     """
 
@@ -68,7 +68,7 @@
 
         Cached because placement compares them with every server.
 
-        :returns: resources that the task requires, without CPU for a fill.
+        :returns: resources that the task requires, without CPU for a best-effort task.
         """
         return (
             self.needs._replace(processors_milli=0)
--- a/waxwingford/scheduling/_state.py
+++ b/waxwingford/scheduling/_state.py
@@ -49,9 +49,9 @@
     :ivar progress_changed_ms: when the progress last changed.
     :ivar measured_value: tail latency or CPU usage that the server listed, see
         ``RunningReport.measured_value``.
-    :ivar pace: speed limit in percent; ``None`` if it is unknown, because an
-        order got no answer or a previous owner set the limit of this fill.
-    :ivar paced_ms: when the speed limit last changed.
+    :ivar pace: pace in percent; ``None`` if it is unknown, because an order got no
+        answer or a previous owner set the pace of this best-effort run.
+    :ivar paced_ms: when the pace last changed.
     :ivar over_target_since_ms: since when the tail latency exceeds its target, 0 if it
         doesn't.
     :ivar stopping: whether the run is to be stopped.
@@ -113,8 +113,7 @@
     :ivar invalid_starts: start orders that servers rejected as invalid.
     :ivar not_before_ms: monotonic time in ms before which the task isn't
         placed.
-    :ivar pending_since_ms: monotonic time in ms since when the task waits for a
-        server.
+    :ivar pending_since_ms: monotonic time in ms since when the task is pending.
     :ivar best_effort: whether the task uses only CPU that other tasks leave idle.
     """
 
--- a/waxwingford/scheduling/tests/engine.feature
+++ b/waxwingford/scheduling/tests/engine.feature
@@ -1,10 +1,10 @@
 Feature: decisions of a shard's engine
 
-  Scenario: a draining server gets no starts, and its lasting run moves
-    # Guards against lasting tasks that are restarted only when the lease of a server that
+  Scenario: a draining server gets no starts, and its long-running task moves
+    # Guards against long-running tasks that are restarted only when the lease of a server that
     # has shut down expires.
     Given an engine with 2 servers of 8 cores
-    And a lasting job of 1 task that runs
+    And a running long-running job of 1 task
     When the server of the task drains
     Then a stop of the task is ordered
     When the server lists it as stopped
@@ -36,27 +36,27 @@
     When a job is submitted whose task loses its lease 5 times
     Then the job is reported as running
 
-  Scenario: only fills that harm other tasks are slowed
-    # Guards against slowing all fills on a server alike.
+  Scenario: only best-effort tasks that harm other tasks are slowed
+    # Guards against slowing all best-effort tasks on a server alike.
     Given an engine with 1 servers of 32 cores
-    And a serving task with a target of 18 ms, beside fills "calm" and "wild"
+    And a serving task with a target of 18 ms, beside best-effort tasks "calm" and "wild"
     When its tail latency is 7 ms with "calm" alone and 25 ms beside "wild", for 20 s
     Then "wild" was slowed to under 50 percent
     And "calm" runs at 100 percent at the end
 
-  Scenario: an unexplained tail latency above its target halts all fills
+  Scenario: an unexplained tail latency above its target halts all best-effort tasks
     # Guards against a serving task that misses its target beside images whose
     # interference is still unknown.
     Given an engine with 1 servers of 32 cores
-    And a serving task with a target of 18 ms, beside fills "calm" and "wild"
+    And a serving task with a target of 18 ms, beside best-effort tasks "calm" and "wild"
     When its tail latency is 30 ms for 2.5 s
     Then "calm" runs at 0 percent at the end
     And "wild" runs at 0 percent at the end
 
-  Scenario: a slowed fill moves to a server where it harms no task
-    # Guards against fills that stay slow on one server while others are idle.
+  Scenario: a slowed best-effort task moves to a server where it harms no task
+    # Guards against best-effort tasks that stay slow on one server while others are idle.
     Given an engine with 1 servers of 32 cores
-    And a serving task with a target of 18 ms, beside fills "calm" and "wild"
+    And a serving task with a target of 18 ms, beside best-effort tasks "calm" and "wild"
     When its tail latency is 7 ms with "calm" alone and 40 ms beside "wild", for 10 s
     Then "wild" was slowed to under 31 percent
     And no stop is ordered
@@ -67,34 +67,34 @@
   Scenario: a step that finds no server is noted with the reasons that exclude servers
     # Guards against jobs that wait without any log line.
     Given an engine with 2 servers of 8 cores
-    When a job of 3 tasks of 6 cores is submitted and waits for 2500 ms
+    When a job of 3 tasks of 6 cores is submitted and is pending for 2500 ms
     Then its wait was noted 2 times, with 2 servers excluded by "cpu"
 
-  Scenario: a lasting task is not starved by short tasks after its run ends
+  Scenario: a long-running task is not starved by short tasks after its run ends
     # Guards against placing short tasks first without a bound, and against giving freed
-    # resources to smaller tasks before there is room for the lasting one.
+    # resources to smaller tasks before there is room for the long-running one.
     Given an engine with 3 servers of 8 cores
-    And a lasting job of 1 task of 6 cores that runs
-    When urgent tasks of 1 core and 700 ms come, twice what there is room for
-    And the run of the lasting task ends as stopped
+    And a running long-running job of 1 task of 6 cores
+    When urgent tasks of 1 core and 700 ms need twice the cores there are
+    And the run of the long-running task ends as stopped
     Then it is planned again within 5 s
-    And short tasks were planned all the while
+    And short tasks were planned throughout
 
-  Scenario: resources freed one by one are kept for an overdue lasting task
+  Scenario: resources freed one by one are kept for an overdue long-running task
     # Guards against placing tasks that fit now in resources that the overdue task needs.
     Given an engine with 3 servers of 8 cores
-    And a lasting job of 1 task of 6 cores that runs
-    When urgent tasks of 1 core and 500 to 900 ms come, twice what there is room for
-    And the run of the lasting task ends as stopped
+    And a running long-running job of 1 task of 6 cores
+    When urgent tasks of 1 core and 500 to 900 ms need twice the cores there are
+    And the run of the long-running task ends as stopped
     Then it is planned again within 5 s
 
   Scenario Outline: overdue tasks that fit on no server delay no other overdue task
     # Guards against looking for a server for the first few overdue tasks only.
     Given an engine with 3 servers of 8 cores
-    When a lasting job of <count> tasks of 9 cores waits for 1 s
-    And urgent tasks of 1 core and 500 to 900 ms come, twice what there is room for
-    And a lasting job of 1 task of 4 cores comes besides
-    Then that one is planned within 5 s
+    When a long-running job of <count> tasks of 9 cores is pending for 1 s
+    And urgent tasks of 1 core and 500 to 900 ms need twice the cores there are
+    And another long-running job of 1 task of 4 cores is submitted
+    Then the other long-running job is planned within 5 s
 
     Examples:
       | count |
@@ -103,26 +103,26 @@
       | 80    |
 
   Scenario Outline: resources that will not become free soon are not reserved
-    # Guards against reserving room for a lasting task on a server where a fill or a long
-    # task holds it.
+    # Guards against reserving room for a long-running task on a server where a best-effort
+    # or a long task holds it.
     Given an engine with 2 servers of 8 cores
     When a <kind> task of <cores> cores, <memory_mb> MB and 60 s runs
-    And urgent tasks of 1 core and 500 to 900 ms come, twice what there is room for
-    And a lasting job of 1 task of 4 cores and 8000 MB comes besides
-    Then that one is planned within 5 s
+    And urgent tasks of 1 core and 500 to 900 ms need twice the cores there are
+    And another long-running job of 1 task of 4 cores and 8000 MB is submitted
+    Then the other long-running job is planned within 5 s
 
     Examples:
       | kind | cores | memory_mb |
-      | fill | 1     | 26000     |
+      | best-effort | 1     | 26000     |
       | long | 5     | 1000      |
 
-  Scenario: a lasting task that no server can hold blocks no other task
+  Scenario: a long-running task that no server can hold blocks no other task
     # Guards against idle resources that are reserved for a task that never fits.
     Given an engine with 2 servers of 8 cores
-    And a lasting job of 2 tasks of 5 cores that runs
-    When a lasting job of 1 task of 4 cores waits for 5 s
-    And urgent tasks of 1 core and 700 ms come, twice what there is room for
-    Then all 6 cores beside the lasting tasks are in use
+    And a running long-running job of 2 tasks of 5 cores
+    When a long-running job of 1 task of 4 cores is pending for 5 s
+    And urgent tasks of 1 core and 700 ms need twice the cores there are
+    Then all 6 cores beside the long-running tasks are in use
 
   Scenario: a run without progress is restarted on another server
     # Guards against jobs that never end because a server lists a stalled run.
@@ -167,27 +167,27 @@
     Then a stop of the 3 other members is ordered
 
   Scenario: rare failures do not exclude a server
-    # Guards against a failure score that grows with each failure of a lasting task, however
+    # Guards against a failure score that grows with each failure of a long-running task, however
     # rare, until its servers are excluded.
     Given an engine with 2 servers of 8 cores
-    And a lasting job of 1 task that runs
+    And a running long-running job of 1 task
     When its run fails 5 times, 20 s apart
     Then it runs again within 1.3 s each time
     And a second job of 15 tasks of 1 core is planned at once
 
   Scenario: the last eligible servers are not excluded after failures
-    # Guards against a lasting task that waits while the only servers with its label are
+    # Guards against a long-running task that waits while the only servers with its label are
     # idle.
     Given an engine with 2 servers of 8 cores
     And 2 servers of 8 cores without the label
-    And a lasting job of 1 task that runs and requires the label
+    And a running long-running job of 1 task that requires the label
     When its run fails 10 times, 1 s apart
     Then it runs again within 1.3 s each time
 
-  Scenario: the last server with room for a lasting task is not excluded after failures
-    # Guards against counting servers full of other lasting tasks as alternatives.
+  Scenario: the last server with room for a long-running task is not excluded after failures
+    # Guards against counting servers full of other long-running tasks as alternatives.
     Given an engine with 2 servers of 8 cores
-    And a lasting job of 2 tasks of 5 cores that runs
+    And a running long-running job of 2 tasks of 5 cores
     When its run fails 6 times, 1 s apart
     Then it runs again within 1.3 s each time
 
@@ -200,8 +200,8 @@
   Scenario: restarts are limited on a broken server that is the only one with room
     # Guards against tasks that restart, and are stored, many times per second.
     Given an engine with 2 servers of 8 cores
-    And a lasting job of 1 task of 8 cores that runs
-    When a lasting job of 8 tasks is submitted, whose tasks all fail at once for 30 s
+    And a running long-running job of 1 task of 8 cores
+    When a long-running job of 8 tasks is submitted, whose tasks all fail at once for 30 s
     Then they were started at most 300 times
 
   Scenario: a repetition starts when it is due
@@ -254,10 +254,10 @@
     When a job of 1 task is submitted after 25 s without a poll
     Then its lease expires after 5 s at most, by a clock that is 2 percent slow
 
-  Scenario: a speed limit is ordered again if the order got no answer
-    # Guards against a fill that harms a serving task after an order to slow it was lost.
+  Scenario: a pace is ordered again if the order got no answer
+    # Guards against a best-effort task that harms a serving task after an order to slow it was lost.
     Given an engine with 1 servers of 32 cores
-    And a serving task with a target of 18 ms, beside fills "calm" and "wild"
+    And a serving task with a target of 18 ms, beside best-effort tasks "calm" and "wild"
     When its tail latency is 30 ms for 2.5 s
     And the order that slows "wild" has no answer
     And its tail latency is 30 ms for 1 s
--- a/waxwingford/scheduling/tests/engine_steps.py
+++ b/waxwingford/scheduling/tests/engine_steps.py
@@ -32,7 +32,7 @@
     context.harness.engine.configure(Terms(2, {'queue': queue}))
 
 
-@given('a lasting job of 1 task that runs')
+@given('a running long-running job of 1 task')
 def lasting_job(context):
     context.harness.long_running = True
     context.harness.submit(step(long_running=True))
@@ -165,7 +165,7 @@
 
 @given(
     'a serving task with a target of {target_ms:d} ms,'
-    ' beside fills "calm" and "wild"'
+    ' beside best-effort tasks "calm" and "wild"'
 )
 def run_serving_task_and_fills(context, target_ms):
     harness = context.harness
@@ -207,7 +207,7 @@
 
 @when(
     'a job of {count:d} tasks of {cores:d} cores is submitted'
-    ' and waits for {span_ms:d} ms'
+    ' and is pending for {span_ms:d} ms'
 )
 def wait_for_room(context, count, cores, span_ms):
     context.harness.engine.state.notes.take()
--- a/waxwingford/scheduling/tests/fault_steps.py
+++ b/waxwingford/scheduling/tests/fault_steps.py
@@ -123,7 +123,7 @@
         context.harness.add(cores, labels=())
 
 
-@given('a lasting job of 1 task that runs and requires the label')
+@given('a running long-running job of 1 task that requires the label')
 def labelled_job(context):
     context.harness.long_running = True
     context.harness.submit(step(long_running=True, label='r1'))
@@ -185,7 +185,7 @@
 
 
 @when(
-    'a lasting job of {count:d} tasks is submitted,'
+    'a long-running job of {count:d} tasks is submitted,'
     ' whose tasks all fail at once for {span_s:d} s'
 )
 def lasting_tasks_fail(context, count, span_s):
--- a/waxwingford/scheduling/tests/pressure_steps.py
+++ b/waxwingford/scheduling/tests/pressure_steps.py
@@ -15,8 +15,8 @@
 LONG_MS = 30_000
 
 
-@given('a lasting job of {count:d} task of {cores:d} cores that runs')
-@given('a lasting job of {count:d} tasks of {cores:d} cores that runs')
+@given('a running long-running job of {count:d} task of {cores:d} cores')
+@given('a running long-running job of {count:d} tasks of {cores:d} cores')
 def run_long_running(context, count, cores):
     context.harness.long_running = True
     context.harness.submit(step(count, cores, long_running=True))
@@ -25,7 +25,9 @@
     context.run = context.harness.planned_runs[0]
 
 
-@when('a lasting job of 1 task of {cores:d} cores waits for {span_s:d} s')
+@when(
+    'a long-running job of 1 task of {cores:d} cores is pending for {span_s:d} s'
+)
 def one_long_running_pending(context, cores, span_s):
     steps = (step(1, cores, long_running=True),)
     spec = JobSpec(SECOND, 'queue', 'payload', steps, terms=QUEUE)
@@ -34,7 +36,8 @@
 
 
 @when(
-    'a lasting job of {count:d} tasks of {cores:d} cores waits for {span_s:d} s'
+    'a long-running job of {count:d} tasks of {cores:d} cores'
+    ' is pending for {span_s:d} s'
 )
 def long_running_pending(context, count, cores, span_s):
     submit_long_running(
@@ -43,7 +46,7 @@
     context.harness.pass_ms(span_s * 1000)
 
 
-@when('a lasting job of 1 task of {cores:d} cores comes besides')
+@when('another long-running job of 1 task of {cores:d} cores is submitted')
 def add_long_running(context, cores):
     submit_long_running(
         context.harness, THIRD, step(1, cores, long_running=True)
@@ -51,8 +54,8 @@
 
 
 @when(
-    'a lasting job of 1 task of {cores:d} cores and {memory_mb:d} MB'
-    ' comes besides'
+    'another long-running job of 1 task of {cores:d} cores'
+    ' and {memory_mb:d} MB is submitted'
 )
 def add_large_long_running(context, cores, memory_mb):
     needs = Resources(cores * 1000, memory_mb, 0)
@@ -70,13 +73,13 @@
 )
 def run_long_task(context, kind, cores, memory_mb, span_s):
     needs = Resources(cores * 1000, memory_mb, 0)
-    long = StepSpec(1, needs, span_s * 1000, best_effort=kind == 'fill')
+    long = StepSpec(1, needs, span_s * 1000, best_effort=kind == 'best-effort')
     context.harness.submit(long)
     context.harness.poll()
     assert len(context.harness.planned_runs) == 1
 
 
-@then('that one is planned within {span_s:d} s')
+@then('the other long-running job is planned within {span_s:d} s')
 def third_job_planned(context, span_s):
     harness = context.harness
 
@@ -88,20 +91,19 @@
 
 
 @when(
-    'urgent tasks of 1 core and {length_ms:d} ms come,'
-    ' twice what there is room for'
+    'urgent tasks of 1 core and {length_ms:d} ms need twice the cores there are'
 )
 def overload(context, length_ms):
     overload_between(context, length_ms, length_ms)
 
 
 @when(
-    'urgent tasks of 1 core and {least_ms:d} to {most_ms:d} ms come,'
-    ' twice what there is room for'
+    'urgent tasks of 1 core and {min_ms:d} to {max_ms:d} ms'
+    ' need twice the cores there are'
 )
-def overload_between(context, least_ms, most_ms):
-    context.length_ms = least_ms
-    context.spread_ms = most_ms - least_ms
+def overload_between(context, min_ms, max_ms):
+    context.length_ms = min_ms
+    context.spread_ms = max_ms - min_ms
     context.pressed = 0
     run_overloaded(context, 3000, until=bool)
 
@@ -157,7 +159,7 @@
     harness.poll()
 
 
-@when('the run of the lasting task ends as stopped')
+@when('the run of the long-running task ends as stopped')
 def stop_long_running(context):
     context.harness.end(context.run, EndKind.stopped)
 
@@ -180,7 +182,7 @@
     assert elapsed_ms <= span_s * 1000, elapsed_ms
 
 
-@then('short tasks were planned all the while')
+@then('short tasks were planned throughout')
 def short_tasks_planned(context):
     count = len(context.harness.planned_runs) - context.planned_before
     # Two of three servers run 16 tasks every 0.75 s.
@@ -188,6 +190,6 @@
     assert count >= least, (count, least)
 
 
-@then('all {cores:d} cores beside the lasting tasks are in use')
+@then('all {cores:d} cores beside the long-running tasks are in use')
 def remaining_cores_used(context, cores):
     assert len(short_runs(context.harness)) == cores
--- a/waxwingford/scheduling/tests/succession.feature
+++ b/waxwingford/scheduling/tests/succession.feature
@@ -12,10 +12,10 @@
     When the server lists it as stopped
     Then the task is planned on the other server
 
-  Scenario: the next owner stops a lasting run that isn't ready
-    # Guards against the same for lasting runs.
+  Scenario: the next owner stops the run of a long-running task that isn't ready
+    # Guards against the same for long-running tasks.
     Given an engine with 2 servers of 8 cores
-    And a lasting job of 1 task that runs
+    And a running long-running job of 1 task
     When it makes no progress for 1 s
     And the owner changes
     And it makes no progress until a stop is ordered, for 10 s at most
@@ -96,10 +96,10 @@
     And 1 s pass in the engine
     Then no stop is ordered
 
-  Scenario: the waiting time of a lasting task survives a change of owner
+  Scenario: the pending time of a long-running task survives a change of owner
     # Guards against a wait that starts anew with each owner.
     Given an engine with 1 servers of 8 cores
-    And a lasting job of 1 task that runs
+    And a running long-running job of 1 task
     When its run is stopped while no server accepts starts
     And 1 s pass in the engine
     And the owner changes
@@ -107,10 +107,10 @@
     And the owner changes
     Then it has waited for 2 to 3 s
 
-  Scenario: differing clocks of owners bound the waiting time
-    # Guards against waiting times that are negative or hours long.
+  Scenario: differing clocks of owners bound the pending time
+    # Guards against pending times that are negative or hours long.
     Given an engine with 1 servers of 8 cores
-    And a lasting job of 1 task that runs
+    And a running long-running job of 1 task
     When its run is stopped while no server accepts starts
     And 1 s pass in the engine
     And the owner changes to one whose clock is 5000 s behind
--- a/waxwingford/scheduling/tests/succession_steps.py
+++ b/waxwingford/scheduling/tests/succession_steps.py
@@ -51,10 +51,10 @@
 @when('the owner changes')
 def change_owner(context):
     harness = context.harness
-    former = harness.engine
-    engine = new_engine(former.orders.token + 1, harness.now_ms)
+    previous = harness.engine
+    engine = new_engine(previous.orders.token + 1, harness.now_ms)
     engine.restore(dict(harness.rows))
-    for job in former.state.job_by_id.values():
+    for job in previous.state.job_by_id.values():
         engine.submit(job.spec, harness.now_ms)
     engine.inherit(harness.now_ms, harness.wall_ms)
     harness.engine = engine
--- a/waxwingford/shard/_drivers.py
+++ b/waxwingford/shard/_drivers.py
@@ -21,8 +21,8 @@
 POLL_WAIT_MS = 1000
 #: Polls within the length of a lease, at least: each poll extends the lease.
 MIN_POLLS_PER_LEASE = 4
-#: Bounds of the hold time where fill tasks share servers with serving tasks, in
-#: ms, as loads change within seconds. The hold time grows with the number of such
+#: Bounds of the hold time where best-effort tasks share servers with serving
+#: tasks, in ms, as loads change within seconds. The hold time grows with the number of such
 #: servers, to limit the polls per second of all of them. The upper bound is the
 #: window that a reported tail latency covers.
 COLOCATED_WAIT_MS = 250
@@ -32,8 +32,8 @@
 #: task runs alone on the server, in ms.
 UNRESOLVED_WAIT_MS = 60
 #: Gap between two polls, in ms, so that one poll reports runs that end close
-#: together. The gap delays each step of a job, so it is longer where only fill
-#: tasks and lasting tasks run.
+#: together. The gap delays each step of a job, so it is longer where only
+#: best-effort and long-running tasks run.
 POLL_GAP_MS = 25
 BACKGROUND_GAP_MS = 120
 #: The gap between polls is lengthened by this multiple of the event loop lag in
--- a/waxwingford/shard/_lease_bounds.py
+++ b/waxwingford/shard/_lease_bounds.py
@@ -15,7 +15,7 @@
 
 #: Greatest age of the newest proof of ownership, in ms, at which leases are
 #: extended. A successor waits for this age plus the lease before it restarts
-#: lasting tasks of an unreachable server, which must take less than 9 s.
+#: long-running tasks of an unreachable server, which must take less than 9 s.
 MAX_PROOF_AGE_MS = 2600
 #: Largest ratio between the rates of the clocks of VMs and servers.
 MAX_CLOCK_DRIFT = 1.04
--- a/waxwingford/shard/tests/capacities.feature
+++ b/waxwingford/shard/tests/capacities.feature
@@ -9,7 +9,7 @@
     And 0.1 s pass
     And all servers shrink to 2 cores
     And 12 s pass
-    Then nothing was breached
+    Then no invariant was violated
 
   Scenario: a server shrinks while the record of a start can't be stored
     # Guards against a start whose record is stored only after the capacity has shrunk.
@@ -20,7 +20,7 @@
     And 0.5 s pass
     And all servers shrink to 2 cores
     And 12 s pass
-    Then nothing was breached
+    Then no invariant was violated
 
   Scenario: a server that has shrunk grows again
     # Guards against regained capacity that stays unused.
@@ -34,7 +34,7 @@
     When all servers grow to 8 cores
     And 1 s pass
     Then 8 tasks of the job are running
-    And nothing was breached
+    And no invariant was violated
 
   Scenario: tasks that are being stopped count towards the capacity
     # Guards against starts on capacity that stopping tasks still use.
@@ -45,4 +45,4 @@
     And the job is cancelled, and a job of 8 tasks of 30 s is submitted immediately
     And 2 s pass
     Then 8 tasks of the job are running
-    And nothing was breached
+    And no invariant was violated
--- a/waxwingford/shard/tests/claims.feature
+++ b/waxwingford/shard/tests/claims.feature
@@ -18,10 +18,10 @@
     Then the claim that got no answer was sent
     And there is one owner
     When 10 s pass
-    Then the job is shown as completed by every daemon
+    Then every daemon reports the job as completed
     And each task was started at most once
     And the owner has changed once
-    And nothing was breached
+    And no invariant was violated
 
     Examples:
       | first           | applied     |
--- a/waxwingford/shard/tests/crashes.feature
+++ b/waxwingford/shard/tests/crashes.feature
@@ -5,8 +5,8 @@
     Given a shard with 3 daemons and 6 servers
     When a job of 3 tasks is submitted whose first task crashes each server
     And 30 s pass
-    Then nothing was breached
-    And the job is shown as failed by every daemon
+    Then no invariant was violated
+    And every daemon reports the job as failed
     And the job has crashed at most 2 servers
 
   Scenario: a task crashes servers while the shard changes owners
@@ -14,28 +14,28 @@
     Given a shard with 4 daemons and 6 servers
     When a job of 3 tasks is submitted whose first task crashes each server
     And 40 s pass while the owner is killed after each crash
-    Then nothing was breached
-    And the job is shown as failed by every daemon
+    Then no invariant was violated
+    And every daemon reports the job as failed
     And the job has crashed at most 3 servers
 
   Scenario: servers crash repeatedly on their own
     # Guards against failing a healthy task that was lost with several servers.
     Given a shard with 3 daemons and 6 servers
-    When a lasting job is submitted
-    And servers of the lasting job crash 8 times on their own, 4 s apart
+    When a long-running job is submitted
+    And servers of the long-running job crash 8 times on their own, 4 s apart
     And 12 s pass
     Then all 4 tasks of the job run
-    And nothing was breached
+    And no invariant was violated
 
   Scenario: healthy jobs run beside a task that crashes servers
     # Guards against failing or delaying jobs for the crashes of another job's task.
     Given a shard with 3 daemons and 3 servers
     When 12 jobs of 2 steps are submitted over 6 s, and one whose first task crashes servers
     And 30 s pass
-    Then the job is shown as failed by every daemon
+    Then every daemon reports the job as failed
     And all jobs without a crashing task are completed
     And the job has crashed at most 2 servers
-    And nothing was breached
+    And no invariant was violated
 
   Scenario Outline: random faults, crashing tasks and shrinking servers
     # Guards against failing healthy jobs, restarting crashing tasks without limit, and
@@ -43,7 +43,7 @@
     When a shard with crashing tasks and shrinking servers is simulated for 60 s with seed <seed>
     Then all jobs are completed
     And all jobs with a crashing task have failed
-    And nothing was breached
+    And no invariant was violated
 
     Examples:
       | seed |
@@ -67,13 +67,13 @@
     Given a shard with 3 daemons and 6 servers
     When a <kind> job is submitted whose first task crashes each server
     And 40 s pass
-    Then nothing was breached
-    And the job is shown as failed by every daemon
+    Then no invariant was violated
+    And every daemon reports the job as failed
     And the job has crashed at most 2 servers
 
     Examples:
       | kind     |
       | gang     |
-      | lasting  |
+      | long-running |
       | repeated |
-      | filling  |
+      | best-effort |
--- a/waxwingford/shard/tests/crashes_steps.py
+++ b/waxwingford/shard/tests/crashes_steps.py
@@ -61,9 +61,9 @@
 def submit_crashing_job_of_kind(context, kind):
     step_by_kind = {
         'gang': {'gang': True},
-        'lasting': {'long_running': True},
+        'long-running': {'long_running': True},
         'repeated': {},
-        'filling': {
+        'best-effort': {
             'best_effort': True,
             'writes_checkpoints': True,
             'image': 'batch',
@@ -113,7 +113,7 @@
 
 
 @when(
-    'servers of the lasting job crash {times:d} times on their own,'
+    'servers of the long-running job crash {times:d} times on their own,'
     ' {span_s:d} s apart'
 )
 def crash_repeatedly(context, times, span_s):
@@ -148,11 +148,11 @@
 
 def shrink_temporarily(shard):
     server = shard.random.choice(list(shard.servers.server_by_id.values()))
-    former = server.capacity
-    reduced = Resources(*(have // SHRINK_FACTOR for have in former))
+    previous = server.capacity
+    reduced = Resources(*(have // SHRINK_FACTOR for have in previous))
     shard.call(functools.partial(server.capacities.change, reduced))
     shard.loop.call_later(
-        shard.random.uniform(1, 8), server.capacities.change, former
+        shard.random.uniform(1, 8), server.capacities.change, previous
     )
 
 
--- a/waxwingford/shard/tests/mixed_steps.py
+++ b/waxwingford/shard/tests/mixed_steps.py
@@ -12,12 +12,12 @@
 )
 from waxwingford.shard.tests.virtual_shard import step
 
-LASTING_TASKS = 2
+LONG_RUNNING_TASKS = 2
 
 
 @when(
-    'a shard with jobs of all kinds is played for {span_s:d} s'
-    ' under seed {seed:d}'
+    'a shard with jobs of all kinds is simulated for {span_s:d} s'
+    ' with seed {seed:d}'
 )
 def simulate_mixed(context, span_s, seed):
     shard = start_faulty_shard(context, seed)
@@ -34,7 +34,7 @@
 
 def take_mixed_action(context, shard):
     kind = shard.random.choices(
-        ('repeated', 'gang', 'lasting', 'cancel', 'hang', 'ask', 'others'),
+        ('repeated', 'gang', 'long_running', 'cancel', 'hang', 'ask', 'others'),
         (10, 10, 5, 5, 5, 10, 55),
     )[0]
     daemon = shard.random.choice(shard.living())
@@ -46,8 +46,8 @@
         case 'gang':
             steps = (step(3, gang=True), step(1, after=(0,)))
             submit(shard, daemon, context.jobs, steps)
-        case 'lasting':
-            steps = (step(LASTING_TASKS, long_running=True),)
+        case 'long_running':
+            steps = (step(LONG_RUNNING_TASKS, long_running=True),)
             submit(shard, daemon, context.long_running, steps)
         case 'cancel' if context.long_running:
             cancel(context, daemon)
@@ -90,19 +90,19 @@
         context.denied_jobs.append((daemon.daemon_id, job_id))
 
 
-@then('all lasting tasks run, but for those of cancelled jobs')
+@then('all long-running tasks are running, except those of cancelled jobs')
 def check_lasting_tasks(context):
     counts = {
         job_id: len(context.shard.running(job_id))
         for job_id in context.long_running + context.cancelled
     }
-    expected = dict.fromkeys(context.long_running, LASTING_TASKS)
+    expected = dict.fromkeys(context.long_running, LONG_RUNNING_TASKS)
     expected |= dict.fromkeys(context.cancelled, 0)
     assert counts == expected, (counts, expected)
     phases = {context.shard.phase(job_id) for job_id in context.cancelled}
     assert phases <= {'cancelled'}, phases
 
 
-@then('no job was denied')
+@then('no stored job was reported as unknown')
 def check_no_denied_jobs(context):
     assert not context.denied_jobs, context.denied_jobs
--- a/waxwingford/shard/tests/overload.feature
+++ b/waxwingford/shard/tests/overload.feature
@@ -4,10 +4,10 @@
     # Guards against late heartbeats and polls under overload, which let leases expire
     # and the shard change owners repeatedly.
     Given a shard with 4 daemons and 48 servers
-    And a lasting task runs on each server
+    And a long-running task runs on each server
     And each call to a server takes <work_ms> ms of the daemon's processor
     When urgent jobs of 24 tasks are submitted for 20 s, one every <every_s> s
-    Then the shard has never changed hands
+    Then the owner has never changed
     And no run has lost its lease
     And the owner has logged "owner.strained", at most once per second
 
--- a/waxwingford/shard/tests/overload_steps.py
+++ b/waxwingford/shard/tests/overload_steps.py
@@ -25,7 +25,7 @@
     context.first_owner = context.shard.owners[0]
 
 
-@given('a lasting task runs on each server')
+@given('a long-running task runs on each server')
 def run_lasting_task_everywhere(context):
     count = len(context.shard.servers.server_by_id)
     long_running = step(count, long_running=True, max_per_server=1)
--- a/waxwingford/shard/tests/owner_change_steps.py
+++ b/waxwingford/shard/tests/owner_change_steps.py
@@ -174,7 +174,7 @@
     assert isinstance(outcome, ClaimFailed), outcome
 
 
-@then('the shard has never changed hands')
+@then('the owner has never changed')
 def check_never_changed(context):
     assert context.shard.owners == [context.first_owner]
     assert len(claims(context.shard)) == 1
--- a/waxwingford/shard/tests/records.feature
+++ b/waxwingford/shard/tests/records.feature
@@ -13,9 +13,9 @@
     And 5 s pass
     Then there is one owner
     And the owner has changed once
-    And the job is shown as completed by every daemon
+    And every daemon reports the job as completed
     And each owner logs once that the record can't be decoded
-    And nothing was breached
+    And no invariant was violated
 
     Examples:
       | topic   | key                     | content         |
@@ -37,7 +37,7 @@
     And 4 s pass
     Then nothing of the job was started again
     And each owner logs once that the record can't be decoded
-    And nothing was breached
+    And no invariant was violated
 
     Examples:
       | content                    |
@@ -55,4 +55,4 @@
     And a job of 2 steps is submitted
     And 5 s pass
     Then there is one owner
-    And the job is shown as completed by every daemon
+    And every daemon reports the job as completed
--- a/waxwingford/shard/tests/shard.feature
+++ b/waxwingford/shard/tests/shard.feature
@@ -4,8 +4,8 @@
     Given a shard with 3 daemons and 4 servers
     When a job of 2 steps is submitted
     And 6 s pass
-    Then the job is shown as completed by every daemon
-    And nothing was breached
+    Then every daemon reports the job as completed
+    And no invariant was violated
 
   Scenario: the last task ends on a server are acknowledged
     # Guards against task ends that an idle server keeps listing because no
@@ -13,7 +13,7 @@
     Given a shard with 3 daemons and 4 servers
     When a job of 2 steps is submitted
     And 6 s pass
-    Then the job is shown as completed by every daemon
+    Then every daemon reports the job as completed
     And all ends have been acknowledged
 
   Scenario: the owner is killed while tasks run
@@ -26,9 +26,9 @@
     And 4 s pass
     Then there is one owner
     When 6 s pass
-    Then the job is shown as completed by every daemon
+    Then every daemon reports the job as completed
     And each task was started at most once
-    And nothing was breached
+    And no invariant was violated
 
   Scenario: a task hangs on its server, and its owner is killed
     # Guards against a successor that never detects a hung task because it does
@@ -39,8 +39,8 @@
     And 0.4 s pass
     And the owner is killed
     And 20 s pass
-    Then the job is shown as completed by every daemon
-    And nothing was breached
+    Then every daemon reports the job as completed
+    And no invariant was violated
 
   Scenario: a daemon with an outdated copy is asked while the shard has no owner
     # Guards against a daemon that takes the result of a single read for
@@ -49,13 +49,13 @@
     When a job of 2 steps is submitted
     And 4 s pass
     And the owner is killed
-    Then the job is shown as completed by every daemon
+    Then every daemon reports the job as completed
     When 5 s pass
     And 6 jobs of 2 steps are submitted over 6 s
     And 4 s pass
     And the store returns at most 5 records per read
     And the owner is killed
-    Then the job is shown as completed by every daemon
+    Then every daemon reports the job as completed
 
   Scenario: an owner is asked for a job that it has not read yet
     # Guards against an owner that denies an accepted job because one read did
@@ -97,8 +97,8 @@
     And 8 s pass
     Then another daemon owns the shard
     And the owner has changed once
-    And the job is shown as completed by every daemon
-    And nothing was breached
+    And every daemon reports the job as completed
+    And no invariant was violated
 
   Scenario: the store refuses the daemon that a caller asks
     # Guards against a job that is refused although other daemons reach the
@@ -107,7 +107,7 @@
     When the store refuses a standby's calls
     And a job of 2 steps is submitted through that standby
     And 6 s pass
-    Then the job is shown as completed by every daemon
+    Then every daemon reports the job as completed
 
   Scenario: the logs show the history of a job across a failover
     # Guards against a decision about a job that is not logged, or is logged
@@ -152,7 +152,7 @@
     Given a shard with 3 daemons and 4 servers
     When a standby's claim fails and it resigns
     And 3 s pass
-    Then the shard has never changed hands
+    Then the owner has never changed
 
   Scenario: the owner resigns during its takeover
     # Guards against an owner that goes on with the takeover after it has
@@ -182,13 +182,13 @@
     # Guards against tasks that run on because the successor reads the
     # cancellation before the rows of the job.
     Given a shard with 3 daemons and 4 servers
-    When a lasting job is submitted
+    When a long-running job is submitted
     And 1 s pass
     And the owner is killed just before the job is cancelled
     And 5 s pass
     Then nothing of the job runs
-    And the job is shown as cancelled by every daemon
-    And nothing was breached
+    And every daemon reports the job as cancelled
+    And no invariant was violated
 
   Scenario: the owner is cut off from the store and its servers
     # Guards against an owner that still starts tasks after it has been deposed.
@@ -197,8 +197,8 @@
     And the owner is cut off from the store for 5 s
     And 6 s pass
     Then there is one owner
-    And the job is shown as completed by every daemon
-    And nothing was breached
+    And every daemon reports the job as completed
+    And no invariant was violated
 
   Scenario: the owner is cut off from most servers but not from the store
     # Guards against an owner that stays, while leases expire on servers that
@@ -210,9 +210,9 @@
     And 4 s pass
     Then another daemon owns the shard
     When 12 s pass
-    Then the job is shown as completed by every daemon
+    Then every daemon reports the job as completed
     And each task was started at most once
-    And nothing was breached
+    And no invariant was violated
 
   Scenario: an owner gets no answer to its reads of the intake
     # Guards against an owner that waits for the intake without a limit, while
@@ -225,9 +225,9 @@
     And 6 s pass
     Then another daemon owns the shard
     When 14 s pass
-    Then the job is shown as completed by every daemon
+    Then every daemon reports the job as completed
     And the owner has changed twice
-    And nothing was breached
+    And no invariant was violated
 
   Scenario: an owner that could not read the intake leaves the shard to others
     # Guards against a daemon that claims the shard again right after it
@@ -259,10 +259,10 @@
     And 1 s pass
     And a server with tasks is cut off
     And 3 s pass
-    Then nothing was breached
+    Then no invariant was violated
     When 30 s pass
-    Then the job is shown as completed by every daemon
-    And nothing was breached
+    Then every daemon reports the job as completed
+    And no invariant was violated
 
   Scenario Outline: tasks are placed on idle servers that have vanished
     # Guards against waiting for a lease to expire although the start order was
@@ -270,10 +270,10 @@
     Given a shard with 3 daemons and 6 servers
     When 2 s pass
     And 3 idle servers vanish and connections to them fail after <connect_s> s
-    And a lasting job is submitted
+    And a long-running job is submitted
     And <span_s> s pass
     Then all 4 tasks of the job run on servers that are not cut off
-    And nothing was breached
+    And no invariant was violated
 
     Examples:
       | connect_s | span_s |
@@ -286,47 +286,47 @@
     Given a shard with 3 daemons and 1 servers
     When 2 s pass
     And the next 2 starts are not sent
-    And a lasting job is submitted
+    And a long-running job is submitted
     And 1.5 s pass
     Then all 4 tasks of the job run on servers that are not cut off
-    And nothing was breached
+    And no invariant was violated
 
   Scenario: a server is cut off, and then its owner is killed
     # Guards against a successor that waits for the longest possible lease
     # although the previous owner had stopped extending this one.
     Given a shard with 3 daemons and 6 servers
-    When a lasting job is submitted
+    When a long-running job is submitted
     And 1 s pass
     And a server with tasks is cut off
     And 2 s pass
     And the owner is killed
     And 10 s pass
     Then all 4 tasks of the job run on servers that are not cut off
-    And nothing was breached
+    And no invariant was violated
 
   Scenario: a server leaves while nobody owns the shard
     # Guards against a wait for leases that restarts with each claim, although
     # only owners that sent heartbeats can have granted leases.
     Given a shard with 4 daemons and 6 servers
-    When a lasting job is submitted
+    When a long-running job is submitted
     And 1 s pass
     And a server with tasks leaves and the owner is killed
     And the next 2 owners are killed as soon as they have claimed
     And 9 s have passed since the server left
     Then all 4 tasks of the job run on servers that are not cut off
-    And nothing was breached
+    And no invariant was violated
 
   Scenario Outline: owners are killed just after their first heartbeat
     # Guards against a first heartbeat that restarts the wait for leases
     # although its sender has extended none.
     Given a shard with 4 daemons and 6 servers
-    When a lasting job is submitted
+    When a long-running job is submitted
     And 1 s pass
     And a server with tasks leaves and the owner is killed
     And the next 2 owners are killed <later_s> s after their first heartbeat
     And 9 s have passed since the server left
     Then all 4 tasks of the job run on servers that are not cut off
-    And nothing was breached
+    And no invariant was violated
 
     Examples:
       | later_s |
@@ -338,18 +338,18 @@
     # Guards against a task that runs twice because leases are extended before
     # the heartbeat that says so is stored.
     Given a shard with 4 daemons and 6 servers
-    When a lasting job is submitted
+    When a long-running job is submitted
     And 1 s pass
     And the owner is killed, and the next one loses the store 0.04 s after its first heartbeat and alone reaches a server
     And 12 s pass
-    Then nothing was breached
+    Then no invariant was violated
     And there is one owner
 
   Scenario: a server is silent while owners follow each other
     # Guards against a successor that does not learn which leases the previous
     # owner had stopped extending.
     Given a shard with 4 daemons and 6 servers
-    When a lasting job is submitted
+    When a long-running job is submitted
     And 1 s pass
     And a server with tasks is cut off
     And 2 s pass
@@ -358,13 +358,13 @@
     And the owner is killed
     And 9 s have passed since the server left
     Then all 4 tasks of the job run on servers that are not cut off
-    And nothing was breached
+    And no invariant was violated
 
   Scenario: a silent server answers again just before its owner is killed
     # Guards against extending a lease that the newest heartbeat reports as
     # about to expire.
     Given a shard with 4 daemons and 6 servers
-    When a lasting job is submitted
+    When a long-running job is submitted
     And 1 s pass
     And a server with tasks is cut off
     And 2.5 s pass
@@ -372,19 +372,19 @@
     And the owner is killed
     And 12 s pass
     Then all 4 tasks of the job run on servers that are not cut off
-    And nothing was breached
+    And no invariant was violated
 
   Scenario: a deposed owner still extends leases on a server that only it reaches
     # Guards against a successor that waits for the lease only, and not for the
     # greatest age of a proof of ownership.
     Given a shard with 4 daemons and 6 servers
-    When a lasting job is submitted
+    When a long-running job is submitted
     And 1 s pass
     And a server with tasks is cut off from all daemons but the owner
     And the owner is cut off from the store for 10 s
     And 3 s pass
     Then all 4 tasks of the job run on servers that are not cut off
-    And nothing was breached
+    And no invariant was violated
 
   Scenario: the owner loses the store while starts are queued
     # Guards against a start that is sent without a recent proof of ownership,
@@ -395,7 +395,7 @@
     And 0.1 s pass
     And the owner loses the store, the others lose the server, and another server joins
     And 14 s pass
-    Then nothing was breached
+    Then no invariant was violated
 
   Scenario: tickets expire while starts are queued
     # Guards against checking a ticket when a run is planned, and not when the
@@ -424,7 +424,7 @@
   Scenario: an owner logs which servers it waits for
     # Guards against a wait for leases that is logged only once it is over.
     Given a shard with 3 daemons and 6 servers
-    When a lasting job is submitted
+    When a long-running job is submitted
     And 1 s pass
     And a server with tasks leaves and the owner is killed
     And 3 s pass
@@ -438,7 +438,7 @@
     And 6 jobs of 2 steps are submitted over 6 s
     And 60 s pass
     Then all jobs are completed
-    And nothing was breached
+    And no invariant was violated
 
   Scenario: answers of the store are lost
     # Guards against taking an append without an answer for stored, or for not
@@ -448,13 +448,13 @@
     And 6 jobs of 2 steps are submitted over 6 s
     And 60 s pass
     Then all jobs are completed
-    And nothing was breached
+    And no invariant was violated
 
   Scenario Outline: random faults
     # Guards against decisions that rest on an outcome that is not known.
     When a shard runs for 60 s with random faults from seed <seed>
     Then all jobs are completed
-    And nothing was breached
+    And no invariant was violated
 
     Examples:
       | seed |
@@ -469,11 +469,11 @@
 
   Scenario Outline: random faults, with gangs, repetitions and hanging servers
     # Guards against jobs and timers that a successor loses.
-    When a shard with jobs of all kinds is played for 60 s under seed <seed>
+    When a shard with jobs of all kinds is simulated for 60 s with seed <seed>
     Then all jobs are completed
-    And all lasting tasks run, but for those of cancelled jobs
-    And no job was denied
-    And nothing was breached
+    And all long-running tasks are running, except those of cancelled jobs
+    And no stored job was reported as unknown
+    And no invariant was violated
 
     Examples:
       | seed |
--- a/waxwingford/shard/tests/shard_steps.py
+++ b/waxwingford/shard/tests/shard_steps.py
@@ -41,7 +41,7 @@
     submit(context, (step(4), step(3, after=(0,))))
 
 
-@when('a lasting job is submitted')
+@when('a long-running job is submitted')
 def submit_lasting(context):
     submit(context, (step(4, long_running=True),))
 
@@ -285,7 +285,7 @@
     shard.store.lost_share = 0
 
 
-@then('the job is shown as {phase} by every daemon')
+@then('every daemon reports the job as {phase}')
 def check_phase_everywhere(context, phase):
     for daemon in context.shard.living():
         found = context.shard.phase(context.jobs[-1], daemon)
@@ -327,8 +327,8 @@
     assert not context.shard.running(context.jobs[-1])
 
 
-@then('nothing was breached')
-def check_no_breach(context):
+@then('no invariant was violated')
+def check_no_violation(context):
     assert not context.shard.servers.violations, (
         context.shard.servers.violations
     )
