--- a/waxwingford/platform/tests/foreign_steps.py
+++ b/waxwingford/platform/tests/foreign_steps.py
@@ -46,8 +46,8 @@
 CONFIGURATION = {'version': 3, 'routes': [], 'services': []}
 PLACEHOLDERS = (None, -1, 0.5, 10**20, '', 'text', [], {}, True, [[]])
 MOST_DRAWS = 300
-#: Seed of the mutated responses. Without it, hypothesis would derive another one
-#: from each change of the source text.
+#: Seed of the mutated responses. Without it, hypothesis would derive another
+#: one from each change of the source text.
 RESPONSES_SEED = int(
     '29962528569878799855947553509039657806814948934553807527797358799413'
     '430885850858202212838247352137566861804961896073'
--- a/waxwingford/scheduling/_backend_client.py
+++ b/waxwingford/scheduling/_backend_client.py
@@ -60,7 +60,8 @@
 
     :ivar run: key of the run.
     :ivar checkpoint: newest checkpoint, empty for none.
-    :ivar percent: progress in percent; for a long-running task, 100 means ready.
+    :ivar percent: progress in percent; for a long-running task, 100 means
+        ready.
     :ivar measured_value: tail latency in ms for a serving task, CPU usage in
         thousandths of a core for others, each over the last half second.
     """
@@ -121,8 +122,8 @@
     """Poll that extends the lease of a server and lists its runs and ends.
 
     :ivar fencing_token: fencing token of the shard's owner.
-    :ivar acknowledged_end: highest acknowledged end; the server may discard the ends up
-        to this number.
+    :ivar acknowledged_end: highest acknowledged end; the server may discard the
+        ends up to this number.
     :ivar lease_until_ms: new end of the lease in ms of the server's clock;
         ``None`` leaves the lease unchanged.
     :ivar wait_ms: how long in ms the server may delay its answer until a run
@@ -190,7 +191,8 @@
     """No complete answer arrived; the order may still be carried out.
 
     :ivar reason: error of the call.
-    :ivar connection_lost: whether the connection was closed, as happens in a crash.
+    :ivar connection_lost: whether the connection was closed, as happens in a
+        crash.
     """
 
     reason: str
--- a/waxwingford/scheduling/_engine.py
+++ b/waxwingford/scheduling/_engine.py
@@ -28,7 +28,10 @@
 )
 from waxwingford.scheduling._placing import Placer
 from waxwingford.scheduling._recovery import InheritedLeases, StateRecovery
-from waxwingford.scheduling._rows import INTERFERENCE_KEY, OBSOLETE_HARM_KEY
+from waxwingford.scheduling._rows import (
+    INTERFERENCE_KEY,
+    OBSOLETE_INTERFERENCE_KEY,
+)
 from waxwingford.scheduling._servers import Server, ServerEntry
 from waxwingford.scheduling._settle import Settler
 from waxwingford.scheduling._shard_state import ShardState
@@ -90,7 +93,7 @@
         self._migrator = Migrator(self.state, self._placer)
         self._cancelled: set[str] = set()
         self._maintained_ms = 0
-        self._harm_stored_ms = 0
+        self._interference_stored_ms = 0
         self._outlived_marked_ms = 0
         self._jobs_to_release: dict[str, Job] = {}
         self._timed_job_by_id: dict[str, Job] = {}
@@ -138,7 +141,7 @@
 
         :param rows: newest rows by key.
         """
-        rows.pop(OBSOLETE_HARM_KEY, None)
+        rows.pop(OBSOLETE_INTERFERENCE_KEY, None)
         harm = rows.pop(INTERFERENCE_KEY, None)
         if harm is not None:
             try:
@@ -190,8 +193,11 @@
             return
         self._harm.learn(server, now_ms)
         if self.pacer.needs_frequent_polls(server):
-            if now_ms - self._harm_stored_ms >= STORE_INTERFERENCE_INTERVAL_MS:
-                self._harm_stored_ms = now_ms
+            if (
+                now_ms - self._interference_stored_ms
+                >= STORE_INTERFERENCE_INTERVAL_MS
+            ):
+                self._interference_stored_ms = now_ms
                 self.state.interference_row = self._harm.encode()
             self.pacer.adjust_paces(server, now_ms)
 
@@ -200,8 +206,8 @@
     ) -> None:
         """Apply the outcome of a start order.
 
-        A best-effort task starts at full speed; if it is known to harm the tasks on its
-        server, it is slowed at once instead of after the next poll.
+        A best-effort task starts at full speed; if it is known to harm the
+        tasks on its server, it is slowed at once instead of after the next poll.
 
         :param server: server that the order was sent to.
         :param run: run to start.
--- a/waxwingford/scheduling/_pacing.py
+++ b/waxwingford/scheduling/_pacing.py
@@ -40,8 +40,8 @@
 class Pacer:
     """Sets the paces of best-effort runs, server by server.
 
-    :ivar watched_servers: number of servers that need frequent polls, as of the last
-        ``count``.
+    :ivar watched_servers: number of servers that need frequent polls, as of the
+        last ``count``.
     """
 
     def __init__(self, state: ShardState, model: InterferenceModel) -> None:
--- a/waxwingford/scheduling/_rows.py
+++ b/waxwingford/scheduling/_rows.py
@@ -25,7 +25,7 @@
 INTERFERENCE_KEY = 'effects'
 #: Key used by older versions, which store these values in another unit. They must
 #: not be read: they would make harmful pairs of images look harmless.
-OBSOLETE_HARM_KEY = 'harm'
+OBSOLETE_INTERFERENCE_KEY = 'harm'
 
 
 #: Maximum waiting time that a task carries over from previous owners, in ms. It
@@ -186,8 +186,8 @@
         adopted=True,
     )
     if task.best_effort:
-        # Only best-effort runs have a pace. An unknown pace exempts a run from stall
-        # detection, so it must not be set for other tasks.
+        # Only best-effort runs have a pace. An unknown pace exempts a run from
+        # stall detection, so it must not be set for other tasks.
         run.pace = None
     return run
 
--- a/waxwingford/scheduling/_servers.py
+++ b/waxwingford/scheduling/_servers.py
@@ -58,25 +58,30 @@
     :ivar unanswered: runs whose start was sent and not confirmed.
     :ivar used: resources reserved by runs, without the CPU of best-effort runs.
     :ivar free_resources: free resources: capacity less ``used``.
-    :ivar best_effort_milli: CPU requested by best-effort tasks, in thousandths of a core.
-    :ivar long_running_milli: CPU reserved by long-running tasks, in thousandths of a core.
-    :ivar clock_offset_ms: offset of the server's clock from the owner's, ``None``
-        before the first answer.
+    :ivar best_effort_milli: CPU requested by best-effort tasks, in thousandths
+        of a core.
+    :ivar long_running_milli: CPU reserved by long-running tasks, in thousandths
+        of a core.
+    :ivar clock_offset_ms: offset of the server's clock from the owner's,
+        ``None`` before the first answer.
     :ivar clock_updated_ms: when this offset was determined.
     :ivar latest_clock_ms: server clock of its latest answer.
     :ivar lease_until_ms: end of the longest lease that was sent, server clock.
     :ivar processed_end: highest sequence number of a processed end.
     :ivar acknowledged_end: highest sequence number of a stored end.
     :ivar polled_ms: when the newest answered poll was sent, -1 for none.
-    :ivar failing_since_ms: since when calls have failed, ``None`` if it answers.
+    :ivar failing_since_ms: since when calls have failed, ``None`` if it
+        answers.
     :ivar connection_lost_ms: when a connection was first closed since the last
         answer, ``None`` if none was.
     :ivar replaced: whether another incarnation answered in its place.
     :ivar inherited_lease_until_ms: latest end of leases of previous owners.
-    :ivar unknown_runs: unknown runs that the server lists, with the time at which
-        their stop was last sent.
-    :ivar refusal_backoff_until_ms: until when it gets no starts because it refused one.
-    :ivar excluded_until_ms: until when it gets no starts because of failed runs.
+    :ivar unknown_runs: unknown runs that the server lists, with the time at
+        which their stop was last sent.
+    :ivar refusal_backoff_until_ms: until when it gets no starts because it
+        refused one.
+    :ivar excluded_until_ms: until when it gets no starts because of failed
+        runs.
     :ivar penalty: decaying score of runs that failed or made no progress.
     :ivar penalty_updated_ms: when the decay of this score was last applied.
     :ivar change_count: number of runs added or removed so far.
--- a/waxwingford/scheduling/_shard_state.py
+++ b/waxwingford/scheduling/_shard_state.py
@@ -43,8 +43,8 @@
     :ivar server_by_id: backend servers by id of their incarnation.
     :ivar pending_by_key: tasks that wait for a server.
     :ivar orders: orders that can be sent without storing a record first.
-    :ivar interference_row: learned interference of best-effort tasks, to be stored with the next
-        batch; ``None`` for no change.
+    :ivar interference_row: learned interference of best-effort tasks, to be
+        stored with the next batch; ``None`` for no change.
     :ivar notes: decisions to be logged.
     :ivar tickets: tickets for steps of advised queues.
     :ivar withheld_servers: servers whose leases are currently not extended.
--- a/waxwingford/scheduling/_specs.py
+++ b/waxwingford/scheduling/_specs.py
@@ -40,9 +40,10 @@
     :ivar image: image that the tasks run, empty if unknown.
     :ivar target_ms: tail latency in ms that a serving task must stay below, 0
         for none.
-    :ivar best_effort: whether the tasks use only CPU that other tasks leave idle.
-    :ivar max_unavailable: maximum number of long-running tasks that the scheduler may
-        interrupt at a time, 0 for no limit; not enforced yet.
+    :ivar best_effort: whether the tasks use only CPU that other tasks leave
+        idle.
+    :ivar max_unavailable: maximum number of long-running tasks that the
+        scheduler may interrupt at a time, 0 for no limit; not enforced yet.
     """
 
     count: int
@@ -68,7 +69,8 @@
 
         Cached because placement compares them with every server.
 
-        :returns: resources that the task requires, without CPU for a best-effort task.
+        :returns: resources that the task requires, without CPU for a
+            best-effort task.
         """
         return (
             self.needs._replace(processors_milli=0)
--- a/waxwingford/scheduling/_state.py
+++ b/waxwingford/scheduling/_state.py
@@ -49,11 +49,11 @@
     :ivar progress_changed_ms: when the progress last changed.
     :ivar measured_value: tail latency or CPU usage that the server listed, see
         ``RunningReport.measured_value``.
-    :ivar pace: pace in percent; ``None`` if it is unknown, because an order got no
-        answer or a previous owner set the pace of this best-effort run.
+    :ivar pace: pace in percent; ``None`` if it is unknown, because an order got
+        no answer or a previous owner set the pace of this best-effort run.
     :ivar paced_ms: when the pace last changed.
-    :ivar over_target_since_ms: since when the tail latency exceeds its target, 0 if it
-        doesn't.
+    :ivar over_target_since_ms: since when the tail latency exceeds its target,
+        0 if it doesn't.
     :ivar stopping: whether the run is to be stopped.
     :ivar stop_sent_ms: when a stop order was last sent, 0 for never.
     :ivar stop_acknowledged_ms: when the server first accepted a stop order, 0
@@ -114,7 +114,8 @@
     :ivar not_before_ms: monotonic time in ms before which the task isn't
         placed.
     :ivar pending_since_ms: monotonic time in ms since when the task is pending.
-    :ivar best_effort: whether the task uses only CPU that other tasks leave idle.
+    :ivar best_effort: whether the task uses only CPU that other tasks leave
+        idle.
     """
 
     key: TaskKey
@@ -177,13 +178,15 @@
     """A job and its progress.
 
     :ivar spec: specification of the job as submitted.
-    :ivar received_ms: monotonic time in ms at which this owner received the job.
-    :ivar critical_path_ms: estimated length of the critical path through its steps,
-        in ms.
+    :ivar received_ms: monotonic time in ms at which this owner received the
+        job.
+    :ivar critical_path_ms: estimated length of the critical path through its
+        steps, in ms.
     :ivar work: estimated work, see ``JobSpec.work``.
     :ivar last_run_ms: monotonic time in ms at which its last run was settled.
     :ivar steps_by_occurrence: steps of each repetition that has begun.
-    :ivar reported_phase: phase reported to callers; only stored phases are reported.
+    :ivar reported_phase: phase reported to callers; only stored phases are
+        reported.
     :ivar ended: final phase that was decided, ``None`` before.
     :ivar blocked: whether no task is started because a row of the job is
         unreadable.
--- a/waxwingford/scheduling/tests/engine_steps.py
+++ b/waxwingford/scheduling/tests/engine_steps.py
@@ -285,18 +285,18 @@
 @when('the advice service grants a ticket for the second server only')
 def grant_ticket(context):
     harness = context.harness
-    advice = harness.engine.state.tickets
-    question = advice.next_request()
-    assert set(question.server_ids) == {'s0', 's1'}, question
+    tickets = harness.engine.state.tickets
+    request = tickets.next_request()
+    assert set(request.server_ids) == {'s0', 's1'}, request
     now_ms = harness.now_ms
-    advice.answered(question, {'s1': 'ticket'}, now_ms, 3000, now_ms)
+    tickets.answered(request, {'s1': 'ticket'}, now_ms, 3000, now_ms)
     harness.decide()
 
 
 @when('the advice service is asked, and the job is cancelled and removed')
 def asked_then_cancelled(context):
     harness = context.harness
-    context.question = harness.engine.state.tickets.next_request()
+    context.request = harness.engine.state.tickets.next_request()
     harness.engine.cancel(JOB)
     harness.decide()
     harness.decide()
@@ -306,9 +306,9 @@
 @when('the advice service grants a ticket for the second server afterwards')
 def grant_ticket_late(context):
     harness = context.harness
-    advice = harness.engine.state.tickets
+    tickets = harness.engine.state.tickets
     now_ms = harness.now_ms
-    advice.answered(context.question, {'s1': 'ticket'}, now_ms, 3000, now_ms)
+    tickets.answered(context.request, {'s1': 'ticket'}, now_ms, 3000, now_ms)
     harness.decide()
 
 
--- a/waxwingford/scheduling/tests/pressure_steps.py
+++ b/waxwingford/scheduling/tests/pressure_steps.py
@@ -26,7 +26,8 @@
 
 
 @when(
-    'a long-running job of 1 task of {cores:d} cores is pending for {span_s:d} s'
+    'a long-running job of 1 task of {cores:d} cores'
+    ' is pending for {span_s:d} s'
 )
 def one_long_running_pending(context, cores, span_s):
     steps = (step(1, cores, long_running=True),)
--- a/waxwingford/shard/_drivers.py
+++ b/waxwingford/shard/_drivers.py
@@ -22,9 +22,9 @@
 #: Polls within the length of a lease, at least: each poll extends the lease.
 MIN_POLLS_PER_LEASE = 4
 #: Bounds of the hold time where best-effort tasks share servers with serving
-#: tasks, in ms, as loads change within seconds. The hold time grows with the number of such
-#: servers, to limit the polls per second of all of them. The upper bound is the
-#: window that a reported tail latency covers.
+#: tasks, in ms, as loads change within seconds. The hold time grows with the
+#: number of such servers, to limit the polls per second of all of them. The
+#: upper bound is the window that a reported tail latency covers.
 COLOCATED_WAIT_MS = 250
 MAX_COLOCATED_WAIT_MS = 500
 COLOCATED_POLLS_PER_S = 65
--- a/waxwingford/shard/_observer.py
+++ b/waxwingford/shard/_observer.py
@@ -27,8 +27,8 @@
         """Log an event and count it.
 
         :param event: name of the event, for example ``shard.claimed``.
-        :param fields: fields of the log line: ids, the inputs of a decision, their
-            ages or versions, and the outcome.
+        :param fields: fields of the log line: ids, the inputs of a decision,
+            their ages or versions, and the outcome.
         """
         _log.info(event, extra=fields)
         self.metrics.count('events_total', event=event)
--- a/waxwingford/shard/_ticket_requests.py
+++ b/waxwingford/shard/_ticket_requests.py
@@ -1,4 +1,4 @@
-"""Requests tickets from the advice service, one question at a time."""
+"""Requests tickets from the advice service, one request at a time."""
 
 import asyncio
 import dataclasses
@@ -10,7 +10,7 @@
 from waxwingford.scheduling import Engine
 from waxwingford.shard._clocks import monotonic_ms
 
-#: Delay after a question that failed, in seconds.
+#: Delay after a request that failed, in seconds.
 RETRY_DELAY_S = 0.2
 
 _log = logbook.Logger('shard')
@@ -54,12 +54,12 @@
 
 
 class TicketRequester:
-    """Passes the engine's questions to the advice service, and answers back."""
+    """Passes requests of the engine to the advice service, and answers back."""
 
     def __init__(self, engine: Engine, advice_client: AdviceClient) -> None:
         """Use an engine and a client of the advice service.
 
-        :param engine: engine whose questions are asked.
+        :param engine: engine whose requests are sent.
         :param advice_client: client of the advice service.
         """
         self._tickets = engine.state.tickets
@@ -67,32 +67,32 @@
         self._wake_event = asyncio.Event()
 
     def wake(self) -> None:
-        """Have pending questions asked without delay."""
+        """Have pending requests sent without delay."""
         self._wake_event.set()
 
     async def run(self, on_answer: Callable[[], None]) -> None:
-        """Ask pending questions until cancelled.
+        """Send pending requests until cancelled.
 
-        :param on_answer: called after each question, also one that failed.
+        :param on_answer: called after each request, also one that failed.
         """
         while True:
             await self._wake_event.wait()
             self._wake_event.clear()
-            question = self._tickets.next_request()
-            if question is None:
+            request = self._tickets.next_request()
+            if request is None:
                 continue
             self._wake_event.set()
             asked_ms = monotonic_ms()
             answer = await self._advice_client.advise(
-                question.step.name, question.server_ids
+                request.step.name, request.server_ids
             )
             match answer:
                 case TicketsIssued(tickets, validity_ms):
                     self._tickets.answered(
-                        question, tickets, asked_ms, validity_ms, monotonic_ms()
+                        request, tickets, asked_ms, validity_ms, monotonic_ms()
                     )
                 case TicketsUnavailable(reason):
-                    log_fields = {'step': question.step.name, 'reason': reason}
+                    log_fields = {'step': request.step.name, 'reason': reason}
                     _log.warning('no advice', extra=log_fields)
                     await asyncio.sleep(RETRY_DELAY_S)
             on_answer()
