--- a/waxwingford/scheduling/__init__.py
+++ b/waxwingford/scheduling/__init__.py
@@ -1,34 +1,34 @@
 """Scheduling decisions of a shard, free of I/O."""
 
-from waxwingford.scheduling._engine import Engine
-from waxwingford.scheduling._notes import Note
-from waxwingford.scheduling._orders import Batch, Order, Pace, Start, Stop
-from waxwingford.scheduling._recovery import InheritedLeases
-from waxwingford.scheduling._rows import (
-    ENDED_PREFIX,
-    decode_end,
-    decode_spec,
-    encode_spec,
-)
-from waxwingford.scheduling._runners import (
+from waxwingford.scheduling._backend_client import (
     Address,
-    Denial,
+    BackendClient,
     EndKind,
     EndReport,
-    Looked,
-    LookOrder,
-    LookOutcome,
-    OrderDenied,
+    OrderAccepted,
     OrderNotSent,
     OrderOutcome,
-    OrderTaken,
-    OrderUnknown,
+    OrderOutcomeUnknown,
+    OrderRefused,
+    PollOrder,
+    PollOutcome,
+    PollResult,
+    RefusalReason,
     RunKey,
     RunningReport,
     ServerReplaced,
     StartOrder,
     TaskKey,
-    TaskRunners,
+)
+from waxwingford.scheduling._engine import Engine
+from waxwingford.scheduling._notes import Note
+from waxwingford.scheduling._orders import Batch, Order, Pace, Start, Stop
+from waxwingford.scheduling._recovery import InheritedLeases
+from waxwingford.scheduling._rows import (
+    ENDED_PREFIX,
+    decode_end,
+    decode_spec,
+    encode_spec,
 )
 from waxwingford.scheduling._servers import Server, ServerEntry
 from waxwingford.scheduling._specs import JobSpec, QueueTerms, StepSpec, Terms
@@ -38,23 +38,23 @@
     'Address',
     'Batch',
     'ENDED_PREFIX',
-    'Denial',
+    'RefusalReason',
     'EndKind',
     'EndReport',
     'Engine',
     'InheritedLeases',
     'JobPhase',
     'JobSpec',
-    'LookOrder',
-    'LookOutcome',
-    'Looked',
+    'PollOrder',
+    'PollOutcome',
+    'PollResult',
     'Note',
     'Order',
-    'OrderDenied',
+    'OrderRefused',
     'OrderNotSent',
     'OrderOutcome',
-    'OrderTaken',
-    'OrderUnknown',
+    'OrderAccepted',
+    'OrderOutcomeUnknown',
     'Pace',
     'QueueTerms',
     'Run',
@@ -69,7 +69,7 @@
     'StepSpec',
     'Stop',
     'TaskKey',
-    'TaskRunners',
+    'BackendClient',
     'Terms',
     'decode_end',
     'decode_spec',
--- a/waxwingford/shard/_lease_bounds.py
+++ b/waxwingford/shard/_lease_bounds.py
@@ -10,12 +10,12 @@
 from typing import NamedTuple
 
 from waxwingford.scheduling import Engine, InheritedLeases
+from waxwingford.shard._clocks import monotonic_ms
 from waxwingford.shard._journal import OwnerRecord
-from waxwingford.shard._times import steady_ms
 
 #: Greatest age of the newest proof of ownership, in ms, at which leases are
 #: extended. A successor waits for this age plus the lease before it restarts
-#: lasting tasks of an unreachable server, which must take less than 9 s.
+#: long-running tasks of an unreachable server, which must take less than 9 s.
 MAX_PROOF_AGE_MS = 2600
 #: Largest ratio between the rates of the clocks of VMs and servers.
 MAX_CLOCK_DRIFT = 1.04
@@ -163,9 +163,11 @@
 
         :returns: lease fields of the next heartbeat.
         """
-        now_ms = steady_ms()
+        now_ms = monotonic_ms()
         if self._engine is not None:
-            return LeaseReport(self._engine.withholding.name_silent(now_ms))
+            return LeaseReport(
+                self._engine.lease_withholding.withhold_silent(now_ms)
+            )
         if self.first_stored.is_set():
             bounds, read_to = self.inherited, None
         else:
@@ -190,8 +192,8 @@
         """
         if not self.first_stored.is_set():
             self.inherited = bound_leases(
-                self._predecessor, end, steady_ms(), self._lease_ms
+                self._predecessor, end, monotonic_ms(), self._lease_ms
             )
             self.first_stored.set()
         if self._engine is not None and report.rest_ms is None:
-            self._engine.withholding.stored(report.silent)
+            self._engine.lease_withholding.heartbeat_stored(report.silent)
--- a/waxwingford/shard/_observer.py
+++ b/waxwingford/shard/_observer.py
@@ -23,23 +23,23 @@
         """
         self.metrics = metrics
 
-    def tell(self, event: str, **inputs: object) -> None:
+    def record_event(self, event: str, **fields: object) -> None:
         """Log an event and count it.
 
         :param event: name of the event, for example ``shard.claimed``.
-        :param inputs: fields of the log line: ids, the inputs of a decision, their
-            ages or versions, and the outcome.
+        :param fields: fields of the log line: ids, the inputs of a decision,
+            their ages or versions, and the outcome.
         """
-        _log.info(event, extra=inputs)
+        _log.info(event, extra=fields)
         self.metrics.count('events_total', event=event)
 
-    def tell_all(self, notes: Iterable[Note]) -> None:
+    def record_notes(self, notes: Iterable[Note]) -> None:
         """Log and count the notes of an engine.
 
         :param notes: notes, oldest first.
         """
         for note in notes:
-            self.tell(note.event, subject=note.subject, **note.inputs)
+            self.record_event(note.event, subject=note.subject, **note.fields)
             if note.event == 'run.planned':
-                waited_ms = float(str(note.inputs['waited_ms']))
+                waited_ms = float(str(note.fields['waited_ms']))
                 self.metrics.latency('run_wait', waited_ms)
--- a/waxwingford/shard/_fleet.py
+++ b/waxwingford/shard/_server_drivers.py
@@ -10,8 +10,8 @@
     Start,
     Stop,
 )
+from waxwingford.shard._clocks import monotonic_ms
 from waxwingford.shard._drivers import DriverPorts, ServerDriver
-from waxwingford.shard._times import steady_ms
 
 #: An owner is cut off if more than half of the servers that have tasks have not
 #: answered for this time, in ms, which is shorter than a lease. With fewer servers
@@ -20,7 +20,7 @@
 UNREACHABLE_AFTER_MS = 1200
 
 
-class ServerDirectory(Protocol):
+class RegistrationSource(Protocol):
     """Source of the registrations of backend servers."""
 
     async def entries(self) -> tuple[ServerEntry, ...] | None:
@@ -31,14 +31,14 @@
         ...
 
 
-class Fleet:
+class ServerDrivers:
     """Keeps a driver for each backend server that the engine knows."""
 
     def __init__(
         self,
         engine: Engine,
         ports: DriverPorts,
-        directory: ServerDirectory,
+        directory: RegistrationSource,
     ) -> None:
         """Start without drivers.
 
@@ -60,17 +60,17 @@
 
         :returns: whether most servers that have tasks don't answer.
         """
-        now_ms = steady_ms()
+        now_ms = monotonic_ms()
         with_tasks = [
             server
-            for server in self._engine.book.server_by_id.values()
-            if server.listed and server.run_by_key
+            for server in self._engine.state.server_by_id.values()
+            if server.registered and server.run_by_key
         ]
         unreachable = [
             server
             for server in with_tasks
-            if server.failing_ms is not None
-            and now_ms - server.failing_ms >= UNREACHABLE_AFTER_MS
+            if server.failing_since_ms is not None
+            and now_ms - server.failing_since_ms >= UNREACHABLE_AFTER_MS
         ]
         return (
             len(with_tasks) >= MIN_SERVERS_WITH_TASKS
@@ -82,8 +82,8 @@
         entries = await self._directory.entries()
         if entries is None:
             return
-        self._engine.register(entries, steady_ms())
-        for server_id, server in self._engine.book.server_by_id.items():
+        self._engine.register(entries, monotonic_ms())
+        for server_id, server in self._engine.state.server_by_id.items():
             has_driver = server_id in self._driver_by_server
             if not has_driver and server.entry.endpoint:
                 self._driver_by_server[server_id] = ServerDriver(
@@ -92,7 +92,7 @@
 
     def send_orders(self) -> None:
         """Send orders that need no stored record, and close unused drivers."""
-        for order in self._engine.book.take_orders():
+        for order in self._engine.state.take_orders():
             driver = self._driver_by_server.get(order.server_id)
             match order:
                 case Stop(_, key) if driver is not None:
@@ -100,10 +100,10 @@
                 case Pace() if driver is not None:
                     driver.pace(order)
         for server_id in list(self._driver_by_server):
-            if server_id not in self._engine.book.server_by_id:
+            if server_id not in self._engine.state.server_by_id:
                 self._driver_by_server.pop(server_id).close()
 
-    def act_on(self, batch: Batch, starts: list[Start]) -> None:
+    def send_starts(self, batch: Batch, starts: list[Start]) -> None:
         """Send the starts of a stored batch, and resume polls that wait for it.
 
         :param batch: batch that is stored.
--- a/waxwingford/shard/_advice_asker.py
+++ b/waxwingford/shard/_ticket_requests.py
@@ -1,4 +1,4 @@
-"""Requests tickets from the advice service, one question at a time."""
+"""Requests tickets from the advice service, one request at a time."""
 
 import asyncio
 import dataclasses
@@ -8,16 +8,16 @@
 import logbook
 
 from waxwingford.scheduling import Engine
-from waxwingford.shard._times import steady_ms
+from waxwingford.shard._clocks import monotonic_ms
 
-#: Delay after a question that failed, in seconds.
+#: Delay after a request that failed, in seconds.
 RETRY_DELAY_S = 0.2
 
 _log = logbook.Logger('shard')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Advised:
+class TicketsIssued:
     """Answer of the advice service.
 
     :ivar ticket_by_server: start ticket of each eligible server.
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotAdvised:
+class TicketsUnavailable:
     """The advice service gave no answer.
 
     :ivar reason: cause of the failure.
@@ -38,12 +38,12 @@
     reason: str
 
 
-class Advisor(Protocol):
+class AdviceClient(Protocol):
     """Client of the advice service."""
 
     async def advise(
         self, step_name: str, server_ids: tuple[str, ...]
-    ) -> Advised | NotAdvised:
+    ) -> TicketsIssued | TicketsUnavailable:
         """Ask which servers may run a step.
 
         :param step_name: name of the step.
@@ -53,46 +53,46 @@
         ...
 
 
-class AdviceAsker:
-    """Passes the engine's questions to the advice service, and answers back."""
+class TicketRequester:
+    """Passes requests of the engine to the advice service, and answers back."""
 
-    def __init__(self, engine: Engine, advisor: Advisor) -> None:
+    def __init__(self, engine: Engine, advice_client: AdviceClient) -> None:
         """Use an engine and a client of the advice service.
 
-        :param engine: engine whose questions are asked.
-        :param advisor: client of the advice service.
+        :param engine: engine whose requests are sent.
+        :param advice_client: client of the advice service.
         """
-        self._book = engine.book.advice
-        self._advisor = advisor
+        self._tickets = engine.state.tickets
+        self._advice_client = advice_client
         self._wake_event = asyncio.Event()
 
     def wake(self) -> None:
-        """Have pending questions asked without delay."""
+        """Have pending requests sent without delay."""
         self._wake_event.set()
 
     async def run(self, on_answer: Callable[[], None]) -> None:
-        """Ask pending questions until cancelled.
+        """Send pending requests until cancelled.
 
-        :param on_answer: called after each question, also one that failed.
+        :param on_answer: called after each request, also one that failed.
         """
         while True:
             await self._wake_event.wait()
             self._wake_event.clear()
-            question = self._book.next_question()
-            if question is None:
+            request = self._tickets.next_request()
+            if request is None:
                 continue
             self._wake_event.set()
-            asked_ms = steady_ms()
-            answer = await self._advisor.advise(
-                question.step.name, question.server_ids
+            asked_ms = monotonic_ms()
+            answer = await self._advice_client.advise(
+                request.step.name, request.server_ids
             )
             match answer:
-                case Advised(tickets, validity_ms):
-                    self._book.answered(
-                        question, tickets, asked_ms, validity_ms, steady_ms()
+                case TicketsIssued(tickets, validity_ms):
+                    self._tickets.answered(
+                        request, tickets, asked_ms, validity_ms, monotonic_ms()
                     )
-                case NotAdvised(reason):
-                    log_fields = {'step': question.step.name, 'reason': reason}
+                case TicketsUnavailable(reason):
+                    log_fields = {'step': request.step.name, 'reason': reason}
                     _log.warning('no advice', extra=log_fields)
                     await asyncio.sleep(RETRY_DELAY_S)
             on_answer()
--- a/waxwingford/shard/tests/crashes_steps.py
+++ b/waxwingford/shard/tests/crashes_steps.py
@@ -9,11 +9,11 @@
 from waxwingford.shard import Stored
 from waxwingford.shard.tests.crashing_tasks import crash_and_restart
 from waxwingford.shard.tests.shard_steps import (
-    CALM_S,
-    act,
-    begin_faults,
-    calm,
+    RECOVERY_S,
     kill_owner,
+    start_faulty_shard,
+    stop_faults,
+    take_random_action,
 )
 from waxwingford.shard.tests.virtual_shard import step
 
@@ -61,9 +61,13 @@
 def submit_crashing_job_of_kind(context, kind):
     step_by_kind = {
         'gang': {'gang': True},
-        'lasting': {'lasting': True},
+        'long-running': {'long_running': True},
         'repeated': {},
-        'filling': {'fills': True, 'saves': True, 'image': 'batch'},
+        'best-effort': {
+            'best_effort': True,
+            'writes_checkpoints': True,
+            'image': 'batch',
+        },
     }
     schedule = {'first_due_ms': 1, 'every_ms': 1, 'times': 3}
     job_id, outcome = submit_crashing(
@@ -109,7 +113,7 @@
 
 
 @when(
-    'servers of the lasting job crash {times:d} times on their own,'
+    'servers of the long-running job crash {times:d} times on their own,'
     ' {span_s:d} s apart'
 )
 def crash_repeatedly(context, times, span_s):
@@ -124,7 +128,7 @@
     ' {span_s:d} s with seed {seed:d}'
 )
 def simulate_crashing(context, span_s, seed):
-    shard = begin_faults(context, seed)
+    shard = start_faulty_shard(context, seed)
     for server in list(shard.servers.server_by_id.values())[::2]:
         server.enforces_capacity = False
     context.crashing = []
@@ -136,19 +140,19 @@
                 context.crashing.append(job_id)
         if shard.random.random() < SHRINK_PROBABILITY:
             shrink_temporarily(shard)
-        act(context, shard)
+        take_random_action(context, shard)
         shard.run(shard.random.uniform(0.2, 1.5))
-    calm(shard)
-    shard.run(CALM_S)
+    stop_faults(shard)
+    shard.run(RECOVERY_S)
 
 
 def shrink_temporarily(shard):
     server = shard.random.choice(list(shard.servers.server_by_id.values()))
-    former = server.capacity
-    reduced = Resources(*(have // SHRINK_FACTOR for have in former))
+    previous = server.capacity
+    reduced = Resources(*(have // SHRINK_FACTOR for have in previous))
     shard.call(functools.partial(server.capacities.change, reduced))
     shard.loop.call_later(
-        shard.random.uniform(1, 8), server.capacities.change, former
+        shard.random.uniform(1, 8), server.capacities.change, previous
     )
 
 
--- a/waxwingford/shard/tests/mixed_steps.py
+++ b/waxwingford/shard/tests/mixed_steps.py
@@ -5,36 +5,36 @@
 from waxwingford.shard import Stored
 from waxwingford.shard._peers import JobNotKnown
 from waxwingford.shard.tests.shard_steps import (
-    CALM_S,
-    act,
-    begin_faults,
-    calm,
+    RECOVERY_S,
+    start_faulty_shard,
+    stop_faults,
+    take_random_action,
 )
 from waxwingford.shard.tests.virtual_shard import step
 
-LASTING_TASKS = 2
+LONG_RUNNING_TASKS = 2
 
 
 @when(
-    'a shard with jobs of all kinds is played for {span_s:d} s'
-    ' under seed {seed:d}'
+    'a shard with jobs of all kinds is simulated for {span_s:d} s'
+    ' with seed {seed:d}'
 )
 def simulate_mixed(context, span_s, seed):
-    shard = begin_faults(context, seed)
-    context.lasting = []
+    shard = start_faulty_shard(context, seed)
+    context.long_running = []
     context.cancelled = []
     context.denied_jobs = []
-    shard.store.most_read = 20
+    shard.store.max_records_per_read = 20
     while shard.loop.time() < span_s:
-        take_random_action(context, shard)
+        take_mixed_action(context, shard)
         shard.run(shard.random.uniform(0.1, 1))
-    calm(shard)
-    shard.run(CALM_S)
+    stop_faults(shard)
+    shard.run(RECOVERY_S)
 
 
-def take_random_action(context, shard):
+def take_mixed_action(context, shard):
     kind = shard.random.choices(
-        ('repeated', 'gang', 'lasting', 'cancel', 'hang', 'ask', 'others'),
+        ('repeated', 'gang', 'long_running', 'cancel', 'hang', 'ask', 'others'),
         (10, 10, 5, 5, 5, 10, 55),
     )[0]
     daemon = shard.random.choice(shard.living())
@@ -46,17 +46,17 @@
         case 'gang':
             steps = (step(3, gang=True), step(1, after=(0,)))
             submit(shard, daemon, context.jobs, steps)
-        case 'lasting':
-            steps = (step(LASTING_TASKS, lasting=True),)
-            submit(shard, daemon, context.lasting, steps)
-        case 'cancel' if context.lasting:
+        case 'long_running':
+            steps = (step(LONG_RUNNING_TASKS, long_running=True),)
+            submit(shard, daemon, context.long_running, steps)
+        case 'cancel' if context.long_running:
             cancel(context, daemon)
         case 'hang':
             hang_server(shard)
         case 'ask' if context.jobs:
             query_phase(context, daemon)
         case _:
-            act(context, shard)
+            take_random_action(context, shard)
 
 
 def submit(shard, daemon, jobs, steps, **more):
@@ -67,7 +67,7 @@
 
 def cancel(context, daemon):
     shard = context.shard
-    job_id = context.lasting.pop(0)
+    job_id = context.long_running.pop(0)
     if isinstance(shard.cancel(job_id, daemon), Stored):
         context.cancelled.append(job_id)
     else:
@@ -90,19 +90,19 @@
         context.denied_jobs.append((daemon.daemon_id, job_id))
 
 
-@then('all lasting tasks run, but for those of cancelled jobs')
+@then('all long-running tasks are running, except those of cancelled jobs')
 def check_lasting_tasks(context):
     counts = {
         job_id: len(context.shard.running(job_id))
-        for job_id in context.lasting + context.cancelled
+        for job_id in context.long_running + context.cancelled
     }
-    expected = dict.fromkeys(context.lasting, LASTING_TASKS)
+    expected = dict.fromkeys(context.long_running, LONG_RUNNING_TASKS)
     expected |= dict.fromkeys(context.cancelled, 0)
     assert counts == expected, (counts, expected)
     phases = {context.shard.phase(job_id) for job_id in context.cancelled}
     assert phases <= {'cancelled'}, phases
 
 
-@then('no job was denied')
+@then('no stored job was reported as unknown')
 def check_no_denied_jobs(context):
     assert not context.denied_jobs, context.denied_jobs
--- a/waxwingford/shard/tests/overload_steps.py
+++ b/waxwingford/shard/tests/overload_steps.py
@@ -9,7 +9,7 @@
 from waxwingford.scheduling import EndKind
 from waxwingford.shard import Stored
 from waxwingford.shard.tests.virtual_shard import (
-    MS_IN_S,
+    MS_PER_S,
     VirtualShard,
     step,
 )
@@ -21,15 +21,15 @@
 
 @given("each call to a server takes {work_ms:g} ms of the daemon's processor")
 def set_call_cpu_time(context, work_ms):
-    context.shard.servers.call_cpu_s = work_ms / MS_IN_S
+    context.shard.servers.call_cpu_s = work_ms / MS_PER_S
     context.first_owner = context.shard.owners[0]
 
 
-@given('a lasting task runs on each server')
+@given('a long-running task runs on each server')
 def run_lasting_task_everywhere(context):
     count = len(context.shard.servers.server_by_id)
-    lasting = step(count, lasting=True, most_per_server=1)
-    job_id, outcome = context.shard.submit((lasting,))
+    long_running = step(count, long_running=True, max_per_server=1)
+    job_id, outcome = context.shard.submit((long_running,))
     assert isinstance(outcome, Stored), outcome
     context.shard.run(3)
     running = context.shard.running(job_id)
@@ -56,7 +56,7 @@
 async def _submit(shard, tasks):
     deadline_s = shard.loop.time() + 3
     spec = shard.new_spec((step(tasks, TASK_MS),))
-    await shard.daemons[-1].desk.submit(spec, deadline_s)
+    await shard.daemons[-1].frontend.submit(spec, deadline_s)
 
 
 @then('no run has lost its lease')
--- a/waxwingford/shard/tests/servers_way.py
+++ b/waxwingford/shard/tests/virtual_server_client.py
@@ -3,16 +3,16 @@
 import asyncio
 
 from waxwingford.scheduling import (
-    Looked,
+    OrderAccepted,
     OrderNotSent,
-    OrderTaken,
-    OrderUnknown,
+    OrderOutcomeUnknown,
+    PollResult,
     ServerReplaced,
 )
-from waxwingford.shard import Advised
+from waxwingford.shard import TicketsIssued
 from waxwingford.shard.tests.virtual_servers import (
     ANSWER_S,
-    MS_IN_S,
+    MS_PER_S,
     TIMEOUT_S,
     VirtualServer,
     VirtualServers,
@@ -38,13 +38,13 @@
         return tuple(
             server.entry
             for server in self._fleet.server_by_id.values()
-            if server.listed
+            if server.registered
         )
 
     async def start(self, address, order):
         server = self._fleet.server_by_id[address.server_id]
-        if server.starts_unsent:
-            server.starts_unsent -= 1
+        if server.starts_to_fail:
+            server.starts_to_fail -= 1
             return OrderNotSent('no connection')
         return await self._order(address, VirtualServer.start, order)
 
@@ -55,35 +55,39 @@
 
     async def pace(self, address, run, percent, fencing_token):
         await asyncio.sleep(ANSWER_S)
-        return OrderTaken(0)
+        return OrderAccepted(0)
 
-    async def look(self, address, order):
+    async def poll(self, address, order):
         if self._fleet.call_cpu_s:
-            timeout_s = order.wait_ms / MS_IN_S + TIMEOUT_S
+            timeout_s = order.wait_ms / MS_PER_S + TIMEOUT_S
             return await self._call_with_cpu_time(
-                self._look(address, order), timeout_s
+                self._poll(address, order), timeout_s
             )
-        return await self._look(address, order)
+        return await self._poll(address, order)
 
-    async def _look(self, address, order):
+    async def _poll(self, address, order):
         server = self._fleet.server_by_id[address.server_id]
         server.poll_count += 1
         failure = await self._connect(server)
         if failure is not None:
             return failure
         end_count = len(server.ends)
-        answer = server.look(order)
-        if order.wait_ms and isinstance(answer, Looked) and not answer.ended:
+        answer = server.poll(order)
+        if (
+            order.wait_ms
+            and isinstance(answer, PollResult)
+            and not answer.ended
+        ):
             try:
                 await asyncio.wait_for(
-                    server.changed.wait(), order.wait_ms / MS_IN_S
+                    server.changed.wait(), order.wait_ms / MS_PER_S
                 )
             except TimeoutError:
                 end_count = len(server.ends)
             if not await self._is_reachable(server):
-                return OrderUnknown('cut')
+                return OrderOutcomeUnknown('cut')
             if end_count != len(server.ends) or server.run_by_task:
-                answer = server.look(order)
+                answer = server.poll(order)
         return answer
 
     async def advise(self, step_name, server_ids):
@@ -94,7 +98,7 @@
             server_id: self._fleet.issue_ticket(server_id, step_name)
             for server_id in server_ids
         }
-        return Advised(tickets, self._fleet.ticket_ms)
+        return TicketsIssued(tickets, self._fleet.ticket_validity_ms)
 
     async def _call_with_cpu_time(self, call, timeout_s):
         """Make a call that takes processor time of the daemon.
@@ -110,7 +114,7 @@
         await asyncio.sleep(0)
         loop.stall(self._fleet.call_cpu_s)
         if loop.time() - sent_s > timeout_s:
-            return OrderUnknown('read too late')
+            return OrderOutcomeUnknown('read too late')
         return outcome
 
     async def _order(self, address, order_method, *order_args):
@@ -132,8 +136,8 @@
                 delay_s, _apply_late, server, order_method, order_args
             )
             await asyncio.sleep(TIMEOUT_S)
-            return OrderUnknown('late')
-        await asyncio.sleep(self._fleet.order_s)
+            return OrderOutcomeUnknown('late')
+        await asyncio.sleep(self._fleet.order_delay_s)
         return order_method(server, *order_args)
 
     async def _connect(self, server):
@@ -143,10 +147,10 @@
         """
         if server.replaced and await self._is_successor_reachable(server):
             return ServerReplaced()
-        if server.connect_s is not None:
+        if server.connect_timeout_s is not None:
             return await _fail_to_connect(server)
         if not await self._is_reachable(server):
-            return OrderUnknown('cut')
+            return OrderOutcomeUnknown('cut')
         return None
 
     async def _is_successor_reachable(self, server):
@@ -166,7 +170,7 @@
 
 
 async def _fail_to_connect(server):
-    await asyncio.sleep(server.connect_s)
+    await asyncio.sleep(server.connect_timeout_s)
     return OrderNotSent('no connection')
 
 
