--- a/waxwingford_bench/capacity/__init__.py
+++ b/waxwingford_bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity at the two-year size, from measured slopes."""
+"""Measured cost of a daemon by size of its failure domain."""
--- a/waxwingford_bench/capacity/__main__.py
+++ b/waxwingford_bench/capacity/__main__.py
@@ -1,8 +1,8 @@
-"""Slopes of a real daemon's control cost, for docs/CAPACITY.md.
+"""Measures the control cost of a daemon process for docs/CAPACITY.md.
 
-Starts one failure domain of stand-ins and daemons at several sizes, lets it
-settle without callers, and reads processor time, memory and bytes of one
-daemon process from the operating system.  Run it with nothing else running::
+Starts a failure domain of daemons and simulated backend servers at several
+sizes, without callers, and reads processor time, memory and TCP bytes of one
+daemon from the operating system.  Run it on an otherwise idle machine::
 
     python -m waxwingford_bench.capacity --output FILE
 """
@@ -30,32 +30,32 @@
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 _BUNDLE = _ROOT / 'deployments' / 'qadri' / 'bundle.toml'
 _KIB = 1024
-_SETTLE_S = 8
+_WARM_UP_S = 8
 _POLL_S = 0.25
-_RUNNING_CAP_S = 60
+_SETTLE_TIMEOUT_S = 60
 
 
 class Row(NamedTuple):
     """Cost of one daemon at one size.
 
-    :ivar size: the size.
-    :ivar held: backend servers that the measured daemon held.
-    :ivar processor_ms_per_s: processor time a second, in milliseconds.
-    :ivar control_kb_per_s: TCP payload in both directions, KiB a second.
-    :ivar resident_mb: memory, in mebibytes.
+    :ivar size: size of the failure domain.
+    :ivar held: number of backend servers that the measured daemon held.
+    :ivar cpu_ms_per_s: processor time per second, in milliseconds.
+    :ivar control_kib_per_s: TCP payload in both directions, in KiB per second.
+    :ivar resident_mib: resident memory, in MiB.
     """
 
     size: Size
     held: int
-    processor_ms_per_s: float
-    control_kb_per_s: float
-    resident_mb: float
+    cpu_ms_per_s: float
+    control_kib_per_s: float
+    resident_mib: float
 
 
 def main(argv: Sequence[str] | None = None) -> None:
-    """Measure all roles and print rows and slopes.
+    """Run the selected measurements; print the table and the fitted slopes.
 
-    :param argv: arguments, those of the process by default.
+    :param argv: arguments; those of the process by default.
     """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seconds', type=float, default=15)
@@ -72,7 +72,7 @@
     }
     text = ''.join(
         itertools.chain.from_iterable(
-            _lines(role, rows) for role, rows in rows_by_role.items()
+            _format_table(role, rows) for role, rows in rows_by_role.items()
         )
     )
     sys.stdout.write(text)
@@ -80,7 +80,7 @@
         options.output.write_text(json.dumps(rows_by_role, indent=1))
 
 
-def _lines(role: str, rows: Sequence[Row]) -> list[str]:
+def _format_table(role: str, rows: Sequence[Row]) -> list[str]:
     head = (
         f'\n{role}\n\n'
         '| daemons | servers | tasks a server | held | processor ms/s '
@@ -88,17 +88,17 @@
     )
     body = [
         f'| {row.size.daemons} | {row.size.servers} | {row.size.tasks} '
-        f'| {row.held} | {row.processor_ms_per_s:.2f} '
-        f'| {row.control_kb_per_s:.2f} | {row.resident_mb:.1f} |\n'
+        f'| {row.held} | {row.cpu_ms_per_s:.2f} '
+        f'| {row.control_kib_per_s:.2f} | {row.resident_mib:.1f} |\n'
         for row in rows
     ]
-    return [head, *body, _slopes(rows)]
+    return [head, *body, _format_slopes(rows)]
 
 
-def _slopes(rows: Sequence[Row]) -> str:
-    numbers = [_varying(rows, row) for row in rows]
+def _format_slopes(rows: Sequence[Row]) -> str:
+    sizes = [_varying_size(rows, row) for row in rows]
     fits = [
-        statistics.linear_regression(numbers, [row[field] for row in rows])
+        statistics.linear_regression(sizes, [row[field] for row in rows])
         for field in (2, 3, 4)
     ]
     return (
@@ -115,11 +115,11 @@
     )
 
 
-def _varying(rows: Sequence[Row], row: Row) -> int:
+def _varying_size(rows: Sequence[Row], row: Row) -> int:
     first, last = rows[0].size, rows[-1].size
     field = next(
-        place
-        for place, (low, high) in enumerate(zip(first, last, strict=True))
+        index
+        for index, (low, high) in enumerate(zip(first, last, strict=True))
         if low != high
     )
     return row.size[field]
@@ -131,64 +131,69 @@
         if isinstance(bundle, str):
             sys.exit(bundle)
         local_run = LocalRun(
-            make_deployment(size), bundle, pathlib.Path(directory), _say
+            make_deployment(size),
+            bundle,
+            pathlib.Path(directory),
+            _log_progress,
         )
         try:
-            return await _measured(local_run, size, seconds)
+            return await _measure_run(local_run, size, seconds)
         finally:
             await local_run.stop()
 
 
-async def _measured(local_run: LocalRun, size: Size, seconds: float) -> Row:
+async def _measure_run(local_run: LocalRun, size: Size, seconds: float) -> Row:
     started = await local_run.start()
     if isinstance(started, StartFailed):
         sys.exit(started.reason)
     if size.tasks:
         await Night(local_run, 'capacity').run()
     daemon = local_run.layout.daemons[0]
-    held = await _settled(local_run, daemon.url, size)
-    await asyncio.sleep(_SETTLE_S)
+    held = await _wait_until_settled(local_run, daemon.url, size)
+    await asyncio.sleep(_WARM_UP_S)
     process_id = local_run.processes.process_by_name[daemon.daemon_id].pid
     before = read_process(process_id)
     await asyncio.sleep(seconds)
     after = read_process(process_id)
-    moved = sum(
+    transferred = sum(
         count - before.bytes_by_socket.get(socket, 0)
         for socket, count in after.bytes_by_socket.items()
     )
     row = Row(
         size,
         held,
-        (after.processor_ms - before.processor_ms) / seconds,
-        moved / _KIB / seconds,
-        after.resident_mb,
+        (after.cpu_ms - before.cpu_ms) / seconds,
+        transferred / _KIB / seconds,
+        after.resident_mib,
     )
-    _say(str(row))
+    _log_progress(str(row))
     return row
 
 
-async def _settled(local_run: LocalRun, url: str, size: Size) -> int:
-    """Wait until all servers are held and all tasks run.
+async def _wait_until_settled(local_run: LocalRun, url: str, size: Size) -> int:
+    """Wait until the daemon holds its share of servers and all tasks run.
 
-    :param local_run: what runs.
-    :param url: of the measured daemon.
-    :param size: what should run.
-    :returns: servers that the daemon holds.
+    :param local_run: running processes.
+    :param url: base URL of the measured daemon.
+    :param size: size of the failure domain.
+    :returns: number of servers that the daemon holds.
     """
     wanted = size.tasks * size.servers
-    for _ in range(int(_RUNNING_CAP_S / _POLL_S)):
+    for _ in range(int(_SETTLE_TIMEOUT_S / _POLL_S)):
         _, text = await local_run.switches.get(f'{url}/v1/status')
         status = json.loads(text)
         held = len(status['servers'])
-        fewer = size.servers < size.daemons
-        enough = fewer or held * size.daemons >= size.servers / 2
-        if enough and status['jobs']['running'] >= wanted:
+        has_idle_daemons = size.servers < size.daemons
+        holds_enough = (
+            has_idle_daemons or held * size.daemons >= size.servers / 2
+        )
+        if holds_enough and status['jobs']['running'] >= wanted:
             return held
         await asyncio.sleep(_POLL_S)
-    sys.exit(f'not settled: {text}')
+    sys.exit(f'daemon did not settle within {_SETTLE_TIMEOUT_S} s: {text}')
 
 
-def _say(line: str) -> None:
+def _log_progress(line: str) -> None:
     sys.stderr.write(f'{line}\n')
 
 
--- a/waxwingford_bench/capacity/sizes.py
+++ b/waxwingford_bench/capacity/sizes.py
@@ -1,4 +1,4 @@
-"""Sizes that the capacity benchmark measures, and their deployments."""
+"""Sizes of failure domains to measure, and their deployments."""
 
 from typing import NamedTuple
 
@@ -13,15 +13,15 @@
 
 _DOMAIN = 'gulberg'
 _LONG_RUN_MS = 3_600_000
-_RACK = 24
+_SERVERS_PER_RACK = 24
 
 
 class Size(NamedTuple):
-    """One size to measure.
+    """Size of a failure domain.
 
-    :ivar daemons: daemons of the failure domain.
-    :ivar servers: backend servers of the failure domain.
-    :ivar tasks: batch tasks running on each server.
+    :ivar daemons: number of daemons.
+    :ivar servers: number of backend servers.
+    :ivar tasks: number of batch tasks on each server.
     """
 
     daemons: int
@@ -29,7 +29,7 @@
     tasks: int
 
 
-#: Sizes by role: only one number changes within a role.
+#: Sizes by role; a single field varies within a role.
 SIZES_BY_ROLE: dict[str, tuple[Size, ...]] = {
     'heartbeats, by daemons': (
         Size(2, 1, 0),
@@ -55,14 +55,15 @@
 
 
 def make_deployment(size: Size) -> Deployment:
-    """Make the deployment of a size: one failure domain without callers.
+    """Create a deployment of one failure domain without callers.
+
+    :param size: size of the failure domain.
+    :returns: the deployment.
 
-    :param size: the size.
-    :returns: its plan.
     """
     racks = tuple(
-        min(_RACK, size.servers - start)
-        for start in range(0, size.servers, _RACK)
+        min(_SERVERS_PER_RACK, size.servers - start)
+        for start in range(0, size.servers, _SERVERS_PER_RACK)
     )
     jobs = (
         JobPlan(
--- a/waxwingford_bench/main.py
+++ b/waxwingford_bench/main.py
@@ -1,7 +1,7 @@
-"""Entry of the benchmarks: a small registry of sub-commands.
+"""Command line of the benchmarks.
 
-Each sub-command is a module with ``main(argv) -> int``; it is imported only
-when it is called, so that one needs no library of another.
+Each sub-command is a module with ``main(argv) -> int``. It is imported only
+when it is called, so that it needs no libraries of other sub-commands.
 """
 
 import importlib
@@ -13,7 +13,7 @@
     """A sub-command.
 
     :ivar module: dotted name of the module with ``main``.
-    :ivar summary: one line for the list.
+    :ivar summary: one line for the usage text.
     """
 
     module: str
@@ -36,18 +36,19 @@
     """Run one benchmark.
 
     :param argv: arguments; those of the process by default.
-    :returns: exit code; 2 for an unknown name.
+    :returns: exit code of the benchmark; 2 for an unknown name.
+
     """
     arguments = sys.argv[1:] if argv is None else argv
     benchmark = BENCHMARK_BY_NAME.get(arguments[0]) if arguments else None
     if benchmark is None:
-        _print_names()
+        _print_usage()
         return 2
     module = importlib.import_module(benchmark.module)
     return module.main(arguments[1:])
 
 
-def _print_names() -> None:
+def _print_usage() -> None:
     lines = ['usage: waxwingford-bench NAME [options]', '']
     lines += [
         f'  {name:12}{benchmark.summary}'
--- a/waxwingford_bench/process_cost.py
+++ b/waxwingford_bench/process_cost.py
@@ -1,4 +1,4 @@
-"""Cost of a process, as the operating system tells it."""
+"""Processor time, memory and TCP traffic of a process."""
 
 import os
 import pathlib
@@ -6,33 +6,36 @@
 import subprocess
 from typing import NamedTuple
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 _KIB = 1024
-_TICKS_IN_S = os.sysconf('SC_CLK_TCK')
-_SOCKET = re.compile(
+_TICKS_PER_S = os.sysconf('SC_CLK_TCK')
+_SOCKET_LINE = re.compile(
     r'(\S+:\d+)\s+(\S+:\d+).*?pid=(\d+),'
     r'.*?bytes_sent:(\d+)(?:.*?bytes_received:(\d+))?'
 )
 
 
-class Reading(NamedTuple):
-    """What the operating system says of a process.
+class ProcessUsage(NamedTuple):
+    """Resource usage of a process.
 
-    :ivar processor_ms: processor time since its start, in milliseconds.
-    :ivar resident_mb: resident memory, in mebibytes.
+    :ivar cpu_ms: processor time since its start, in milliseconds.
+    :ivar resident_mib: resident memory, in mebibytes.
     :ivar bytes_by_socket: bytes sent and received, by open TCP socket.
     """
 
-    processor_ms: float
-    resident_mb: float
+    cpu_ms: float
+    resident_mib: float
     bytes_by_socket: dict[str, int]
 
 
-def read_process(process_id: int) -> Reading:
-    """Read a process's cost so far.
+def read_process(process_id: int) -> ProcessUsage:
+    """Read the resource usage of a process from the operating system.
+
+    :param process_id: id of the process.
+    :returns: its usage since it started.
+    :raises OSError: if the process does not exist.
+    :raises subprocess.CalledProcessError: if ``ss`` fails.
 
-    :param process_id: which process.
-    :returns: processor time, memory and bytes on open TCP sockets.
     """
     stat = pathlib.Path(f'/proc/{process_id}/stat').read_text()
     fields = stat.rpartition(') ')[2].split()
@@ -42,13 +45,15 @@
     listing = subprocess.run(
         ('ss', '-tinpOH'), capture_output=True, text=True, check=True
     ).stdout
-    return Reading(
-        ticks * _MS_IN_S / _TICKS_IN_S, resident, _sockets(listing, process_id)
+    return ProcessUsage(
+        ticks * _MS_PER_S / _TICKS_PER_S,
+        resident,
+        _parse_sockets(listing, process_id),
     )
 
 
-def _sockets(listing: str, process_id: int) -> dict[str, int]:
-    matches = map(_SOCKET.search, listing.splitlines())
+def _parse_sockets(listing: str, process_id: int) -> dict[str, int]:
+    matches = map(_SOCKET_LINE.search, listing.splitlines())
     return {
         f'{match[1]} {match[2]}': int(match[4]) + int(match[5] or 0)
         for match in matches
--- a/waxwingford_bench/recovery/__init__.py
+++ b/waxwingford_bench/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Recovery of a daemon: reading a large domain back."""
+"""Recovery of a daemon that restores the state of a large failure domain."""
--- a/waxwingford_bench/recovery/__main__.py
+++ b/waxwingford_bench/recovery/__main__.py
@@ -1,4 +1,4 @@
-"""Measures what batch work costs a daemon, and how soon it recovers.
+"""Measures the cost of batch work to a daemon, and its recovery time.
 
 ``python -m waxwingford_bench.recovery snapshots|fold|ticks|takeover|appends``
 """
@@ -19,20 +19,20 @@
     encode_group,
     snapshot_chunks,
 )
-from waxwingford_bench.recovery.output import write_line
+from waxwingford_bench.recovery.output import print_line
 from waxwingford_bench.recovery.state import (
-    TASKS_IN_JOB,
+    TASKS_PER_JOB,
     make_spec,
     make_state,
 )
 from waxwingford_bench.recovery.ticks import measure_ticks
 from waxwingford_bench.virtual.domain import VirtualDomain
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 
 
 def measure_snapshots() -> None:
-    """Bytes and time of snapshots against live tasks, all of them claimed."""
+    """Measure size and processor time of snapshots by claimed tasks."""
     for tasks in (1000, 10_000, 100_000):
         state = make_state(tasks)
         started = time.process_time()
@@ -42,7 +42,7 @@
         for chunk in chunks:
             assembler.add(chunk)
         read = time.process_time()
-        write_line(
+        print_line(
             f'{tasks} tasks: {len(chunks)} chunks, '
             f'{sum(map(len, chunks))} bytes, '
             f'write {1000 * (written - started):.1f} ms, '
@@ -51,7 +51,7 @@
 
 
 def measure_fold() -> None:
-    """Processor time for each record that is read and folded."""
+    """Measure processor time per record that is decoded and folded."""
     for tasks in (1000, 10_000, 100_000):
         state = make_state(tasks)
         groups = [
@@ -73,7 +73,7 @@
         for payload in payloads:
             state.apply(state.next_offset, decode_group(payload))
         spent = time.process_time() - started
-        write_line(
+        print_line(
             f'{tasks} live tasks: {count} ends in {len(groups)} groups, '
             f'{1e6 * spent / count:.2f} us a record, '
             f'{sum(map(len, payloads)) / count:.0f} bytes a record'
@@ -81,29 +81,32 @@
 
 
 def measure_takeover(seeds: int, servers_held: int) -> None:
-    """Time from a daemon's death until its servers are commanded again.
+    """Measure the time from a daemon's crash until its servers are held again.
 
-    :param seeds: how many deaths.
-    :param servers_held: whose pace is kept; four servers stand for so many.
+    :param seeds: number of crashes, each with its own seed.
+    :param servers_held: servers per daemon to emulate; four servers exchange
+        messages at the rate of this many.
     """
     spans = [_takeover_ms(seed, servers_held) for seed in range(seeds)]
-    write_line(
-        f'{servers_held} servers a daemon, {seeds} deaths: p50 {statistics.median(spans):.0f} ms, '
-        f'most {max(spans)} ms (virtual time)'
+    print_line(
+        f'{servers_held} servers a daemon, {seeds} crashes: p50 {statistics.median(spans):.0f} ms, '
+        f'max {max(spans)} ms (virtual time)'
     )
 
 
 def _takeover_ms(seed: int, servers_held: int) -> int:
-    every_ms = 100 * servers_held // 4
+    interval_ms = 100 * servers_held // 4
     domain = VirtualDomain(
         seed,
         daemons=3,
         servers=12,
-        settings=lambda settings: settings._replace(exchange_every_ms=every_ms),
+        settings=lambda settings: settings._replace(
+            exchange_every_ms=interval_ms
+        ),
     )
     domain.run(8000 + seed * 137)
     for number in range(6):
-        domain.submit('d0', make_spec(number, TASKS_IN_JOB))
+        domain.submit('d0', make_spec(number, TASKS_PER_JOB))
     domain.run(20_000)
     victim = domain.daemon_by_id['d1']
     lost = set(victim.controller.fleet.held(domain.now_ms))
@@ -114,8 +117,8 @@
         domain.time.run(50)
     domain.run(1000)
     if domain.oracle.starts != before:
-        write_line(f'seed {seed}: {domain.oracle.starts - before} started anew')
-    return domain.now_ms - _MS_IN_S - died_ms
+        print_line(f'seed {seed}: {domain.oracle.starts - before} restarted')
+    return domain.now_ms - _MS_PER_S - died_ms
 
 
 def _held_by_others(domain: VirtualDomain) -> set[str]:
@@ -128,15 +131,15 @@
 
 
 def measure_appends() -> None:
-    """Appends a second against starts a second under group commit."""
+    """Measure appends per second by starts per second under group commit."""
     for jobs in (1, 10, 40):
         domain = VirtualDomain(1, daemons=8, servers=40)
         domain.run(8000)
-        entries = domain.network.log.read(
+        first_offset = domain.network.log.read(
             'domain/gulberg', 0, 0, domain.now_ms
         ).next_offset
         starts = domain.oracle.starts
-        began_ms = domain.now_ms
+        started_ms = domain.now_ms
         for number in range(30):
             for index in range(jobs):
                 spec = make_spec(1000 * number + index, 1)
@@ -144,19 +147,19 @@
                 short = msgspec.structs.replace(spec, payload=payload)
                 domain.submit(f'd{index % 8}', short)
             domain.run(1000)
-        span_s = (domain.now_ms - began_ms) / _MS_IN_S
-        head = domain.network.log.read(
+        span_s = (domain.now_ms - started_ms) / _MS_PER_S
+        last_offset = domain.network.log.read(
             'domain/gulberg', 0, 0, domain.now_ms
         ).next_offset
-        write_line(
+        print_line(
             f'{(domain.oracle.starts - starts) / span_s:.1f} starts/s: '
-            f'{(head - entries) / span_s:.1f} appends/s (8 daemons)'
+            f'{(last_offset - first_offset) / span_s:.1f} appends/s (8 daemons)'
         )
 
 
 def main() -> None:
-    """Run the named measurements."""
-    measures: dict[str, Callable[[], None]] = {
+    """Run the selected measurements."""
+    measurements: dict[str, Callable[[], None]] = {
         'snapshots': measure_snapshots,
         'fold': measure_fold,
         'ticks': lambda: measure_ticks('first_fit'),
@@ -165,11 +168,11 @@
         'appends': measure_appends,
     }
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('names', nargs='*', choices=[*measures, []])
+    parser.add_argument('names', nargs='*', choices=[*measurements, []])
     options = parser.parse_args()
-    for name in options.names or measures:
-        write_line(f'-- {name}')
-        measures[name]()
+    for name in options.names or measurements:
+        print_line(f'-- {name}')
+        measurements[name]()
 
 
 #: Used by other benchmarks as well.
--- a/waxwingford_bench/recovery/output.py
+++ b/waxwingford_bench/recovery/output.py
@@ -3,10 +3,10 @@
 import sys
 
 
-def write_line(line: str) -> None:
-    """Write a line at once, so that a long run can be followed.
+def print_line(line: str) -> None:
+    """Print a line and flush it, so that it shows during a long run.
 
-    :param line: without its end.
+    :param line: text without a newline.
     """
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
--- a/waxwingford_bench/recovery/state.py
+++ b/waxwingford_bench/recovery/state.py
@@ -1,4 +1,4 @@
-"""States of a failure domain's batch work, for measurements."""
+"""Jobs and states of a failure domain with many tasks."""
 
 from waxwingford.ports import Resources, TaskKey
 from waxwingford.records import (
@@ -10,17 +10,16 @@
     TasksClaimed,
 )
 
-#: Tasks in each job of a state.
-TASKS_IN_JOB = 10
-_SIZE = Resources(500, 1000)
+TASKS_PER_JOB = 10
+_TASK_RESOURCES = Resources(500, 1000)
 
 
 def make_spec(number: int, count: int) -> JobSpec:
-    """Make a job.
+    """Create a job specification.
 
-    :param number: tells it from others.
-    :param count: its tasks.
-    :returns: as submitted.
+    :param number: number that makes the job id unique.
+    :param count: number of tasks.
+    :returns: the specification as submitted.
     """
     return JobSpec(
         f'qadri.night{number}',
@@ -28,23 +27,23 @@
         f'team{number % 40}',
         'archive_rebuild',
         count,
-        _SIZE,
+        _TASK_RESOURCES,
         240_000,
         payload=f'{{"file":"archive/{number:06d}"}}',
         submitted_wall_ms=1_700_000_000_000 + number,
     )
 
 
-def _groups(tasks: int, holder: str, servers: int) -> list[RecordGroup]:
+def _make_groups(tasks: int, holder: str, servers: int) -> list[RecordGroup]:
     keys = []
     groups = []
-    for number in range(tasks // TASKS_IN_JOB):
-        spec = make_spec(number, TASKS_IN_JOB)
+    for number in range(tasks // TASKS_PER_JOB):
+        spec = make_spec(number, TASKS_PER_JOB)
         record = JobAccepted(spec)
         groups.append(RecordGroup('w#1', number, (record,)))
         keys.extend(
             TaskKey(f'{spec.job_id}/{index}', 1)
-            for index in range(TASKS_IN_JOB)
+            for index in range(TASKS_PER_JOB)
         )
     for index in range(servers):
         claims = tuple(Claim(key) for key in keys[index::servers])
@@ -56,14 +55,14 @@
 def make_state(
     tasks: int, holder: str = 'd0#1', servers: int = 720
 ) -> DomainState:
-    """Make a state in which every task is claimed.
+    """Create a state in which every task is claimed.
 
-    :param tasks: live tasks.
-    :param holder: who claimed them.
-    :param servers: backend servers that they are spread over.
-    :returns: folded state.
+    :param tasks: number of live tasks.
+    :param holder: daemon incarnation that claimed the tasks.
+    :param servers: number of backend servers that the tasks are spread over.
+    :returns: state folded from generated records.
     """
     state = DomainState()
-    for offset, group in enumerate(_groups(tasks, holder, servers)):
+    for offset, group in enumerate(_make_groups(tasks, holder, servers)):
         state.apply(offset, group)
     return state
--- a/waxwingford_bench/recovery/ticks.py
+++ b/waxwingford_bench/recovery/ticks.py
@@ -1,4 +1,4 @@
-"""Processor time and bytes of the controller against servers held."""
+"""Processor time and message bytes of the controller by servers held."""
 
 import time
 
@@ -25,15 +25,15 @@
     VmState,
 )
 from waxwingford.records import DomainState
-from waxwingford_bench.recovery.output import write_line
+from waxwingford_bench.recovery.output import print_line
 from waxwingford_bench.recovery.state import make_state
 
-_MS_IN_S = 1000
-_TASKS_ON_SERVER = 16
+_MS_PER_S = 1000
+_TASKS_PER_SERVER = 16
 _VM_SIZE = Resources(32_000, 125_000, 0)
 
 
-def _vms(count: int) -> tuple[Vm, ...]:
+def _make_vms(count: int) -> tuple[Vm, ...]:
     return tuple(
         Vm(
             f's{index}',
@@ -51,8 +51,8 @@
     )
 
 
-class _Answers:
-    """Answers every exchange at once, as servers that run all claims."""
+class _SimulatedServers:
+    """Answers control requests immediately; all claimed tasks run."""
 
     def __init__(self, state: DomainState) -> None:
         self.reset()
@@ -94,51 +94,51 @@
 
 
 def measure_ticks(policy: str) -> None:
-    """Processor time of the controller against servers held.
+    """Measure processor time and bytes of the controller by servers held.
 
     :param policy: name of the colocation policy.
     """
     for servers in (10, 90, 360):
-        spent, answers = _run_ticks(servers, policy)
+        spent, simulated_servers = _run_ticks(servers, policy)
         seconds = 30
-        sent = answers.bytes_sent / seconds / 1024
-        read = answers.bytes_read / seconds / 1024
-        write_line(
-            f'{servers} servers, {servers * _TASKS_ON_SERVER} tasks: '
+        sent = simulated_servers.bytes_sent / seconds / 1024
+        read = simulated_servers.bytes_read / seconds / 1024
+        print_line(
+            f'{servers} servers, {servers * _TASKS_PER_SERVER} tasks: '
             f'{1000 * spent / seconds:.2f} ms/s, '
-            f'{answers.exchanges / seconds:.1f} exchanges/s, '
+            f'{simulated_servers.exchanges / seconds:.1f} exchanges/s, '
             f'sent {sent:.1f} KiB/s, read {read:.1f} KiB/s (msgpack)'
         )
 
 
-def _run_ticks(servers: int, policy: str) -> tuple[float, _Answers]:
-    tasks = servers * _TASKS_ON_SERVER
+def _run_ticks(servers: int, policy: str) -> tuple[float, _SimulatedServers]:
+    tasks = servers * _TASKS_PER_SERVER
     state = make_state(tasks, servers=servers)
     settings = BatchSettings('d0', '1', 'gulberg')
     controller = DomainController(settings, state, 0)
-    answers = _Answers(state)
+    simulated_servers = _SimulatedServers(state)
     reserved = Resources(8000, 8000)
     spent: float = 0
     messages = [
         BundleSettings({}, {}, {'report_desk': reserved}, policy),
-        VmListRead(VmList(_vms(servers))),
+        VmListRead(VmList(_make_vms(servers))),
         LogEntries((), 1, state.next_offset),
     ]
     for now_ms in range(0, 90_000, 50):
         messages.append(Tick())
-        if now_ms % _MS_IN_S == 0:
+        if now_ms % _MS_PER_S == 0:
             messages.append(LogEntries((), now_ms, state.next_offset))
         if now_ms == 60_000:
             spent = 0
-            answers.reset()
+            simulated_servers.reset()
         while messages:
             message = messages.pop(0)
             started = time.process_time()
             effects = controller.handle(message, now_ms, now_ms)
             spent += time.process_time() - started
             messages.extend(
-                answers.answer(effect, now_ms)
+                simulated_servers.answer(effect, now_ms)
                 for effect in effects
                 if isinstance(effect, Control)
             )
-    return spent, answers
+    return spent, simulated_servers
--- a/waxwingford_bench/storms/submitters.py
+++ b/waxwingford_bench/storms/submitters.py
@@ -10,7 +10,7 @@
 
 #: New jobs are not created while this many submitters wait for an answer.
 MAX_SUBMITTERS = 100
-_TASKS_IN_JOB = 4
+_TASKS_PER_JOB = 4
 _RUN_MS = (45_000, 75_000)
 _MEAN_RUN_MS = 60_000
 _LOST_AFTER_MS = 30_000
@@ -81,7 +81,7 @@
             'qadri',
             'nightly',
             'archive_rebuild',
-            _TASKS_IN_JOB,
+            _TASKS_PER_JOB,
             _TASK_RESOURCES,
             run_ms,
             lost_after_ms=_LOST_AFTER_MS,
--- a/waxwingford_bench/whole_path/__init__.py
+++ b/waxwingford_bench/whole_path/__init__.py
@@ -1,1 +1,1 @@
-"""Whole paths over real processes."""
+"""End-to-end latencies of a deployment of real processes."""
--- a/waxwingford_bench/whole_path/batch.py
+++ b/waxwingford_bench/whole_path/batch.py
@@ -1,4 +1,4 @@
-"""Cases of batch work on the whole path: urgent starts, lost daemons."""
+"""End-to-end cases of batch work: urgent starts and lost daemons."""
 
 import asyncio
 import itertools
@@ -7,131 +7,151 @@
 
 from waxwingford.ports import Resources
 from waxwingford_bench.whole_path.fleet import Fleet
-from waxwingford_bench.whole_path.rows import NotReached, Row, now_ms, until
+from waxwingford_bench.whole_path.rows import (
+    MeasurementFailed,
+    Row,
+    now_ms,
+    wait_until,
+)
 from waxwingford_standins.layout import DaemonPlace
 from waxwingford_standins.server_tasks import Work
 
-_URGENT = 100
+_URGENT_PRIORITY = 100
 _URGENT_WORK = Work(200)
 _REPETITIONS = 12
-_STARTED_S = 30
-#: Runs for the whole measurement.
-_LONG = Work(3_600_000)
-_SHORT = Work(3000)
-_WIDE = Resources(4000, 8000)
-_FILL_S = 8
-_BESIDE_TASKS = 120
-_DEATHS = 10
-_TAKEN_OVER_S = 60
-
-
-class Steps(NamedTuple):
-    """Times of one urgent start since it was sent, in milliseconds."""
+_START_TIMEOUT_S = 30
+#: Outlasts the measurement.
+_LONG_WORK = Work(3_600_000)
+_SHORT_WORK = Work(3000)
+_LARGE_TASK = Resources(4000, 8000)
+_FILL_WAIT_S = 8
+_BACKGROUND_TASKS = 120
+_DAEMON_LOSSES = 10
+_TAKEOVER_TIMEOUT_S = 60
+
+
+class StartLatencies(NamedTuple):
+    """Latencies of one urgent start since submission, in milliseconds.
+
+    :ivar accepted: until the daemon accepted the job.
+    :ivar claimed: until the claim was read back from the log.
+    :ivar server_started: until the attempt ran on the backend server.
+    :ivar recorded: until the holder recorded the start.
+    """
 
     accepted: float
     claimed: float
     server_started: float
-    noted: float
+    recorded: float
 
 
 async def urgent_idle(fleet: Fleet) -> list[Row]:
     """Start urgent tasks on an idle fleet.
 
-    :param fleet: idle.
-    :returns: rows.
+    :param fleet: idle fleet.
+    :returns: rows of the table.
     """
-    return await _urgent(fleet, 'urgent start, idle')
+    return await _measure_urgent_starts(fleet, 'urgent start, idle')
 
 
 async def urgent_shared(fleet: Fleet) -> list[Row]:
     """Start urgent tasks once every daemon holds servers.
 
-    A task waits for its first daemon even while that one holds none; against
-    the case before, this shows what that costs.
+    A task waits for its first daemon even while that one holds no servers; the
+    difference to the idle case is the cost of this wait.
 
-    :param fleet: idle.
-    :returns: rows.
+    :param fleet: idle fleet.
+    :returns: rows of the table.
     """
-    await fleet.share()
-    return await _urgent(fleet, 'urgent start, idle, all daemons hold servers')
+    await fleet.wait_until_shared()
+    return await _measure_urgent_starts(
+        fleet, 'urgent start, idle, all daemons hold servers'
+    )
 
 
-async def urgent_beside(fleet: Fleet) -> list[Row]:
-    """Start urgent tasks while short batch runs and waits.
+async def urgent_with_short_batch(fleet: Fleet) -> list[Row]:
+    """Start urgent tasks while short batch tasks run and wait.
 
-    :param fleet: idle.
-    :returns: rows.
+    :param fleet: idle fleet.
+    :returns: rows of the table.
     """
-    return await _urgent_with(fleet, 'urgent start, short batch beside', _SHORT)
+    return await _urgent_with_background(
+        fleet, 'urgent start, short batch beside', _SHORT_WORK
+    )
 
 
-async def urgent_long(fleet: Fleet) -> list[Row]:
-    """Start urgent tasks while long batch runs and waits.
+async def urgent_with_long_batch(fleet: Fleet) -> list[Row]:
+    """Start urgent tasks while long batch tasks run and wait.
 
-    :param fleet: idle.
-    :returns: rows.
+    :param fleet: idle fleet.
+    :returns: rows of the table.
     """
-    return await _urgent_with(fleet, 'urgent start, long batch beside', _LONG)
+    return await _urgent_with_background(
+        fleet, 'urgent start, long batch beside', _LONG_WORK
+    )
 
 
-async def death(fleet: Fleet) -> list[Row]:
-    """Kill daemons.
+async def daemon_crash(fleet: Fleet) -> list[Row]:
+    """Kill daemons and measure the takeover of their servers.
 
-    :param fleet: idle.
-    :returns: rows.
+    :param fleet: idle fleet.
+    :returns: rows of the table.
     """
-    return await _losses(fleet, 'daemon killed', signal.SIGKILL)
+    return await _measure_daemon_losses(fleet, 'daemon killed', signal.SIGKILL)
 
 
 async def planned_stop(fleet: Fleet) -> list[Row]:
-    """Stop daemons as planned.
+    """Stop daemons gracefully and measure the takeover of their servers.
 
-    :param fleet: idle.
-    :returns: rows.
+    :param fleet: idle fleet.
+    :returns: rows of the table.
     """
-    return await _losses(fleet, 'planned stop', signal.SIGTERM)
+    return await _measure_daemon_losses(fleet, 'planned stop', signal.SIGTERM)
 
 
-async def _urgent_with(fleet: Fleet, case: str, work: Work) -> list[Row]:
+async def _urgent_with_background(
+    fleet: Fleet, case: str, work: Work
+) -> list[Row]:
     before = await _fill(fleet, work)
-    rows = await _urgent(fleet, case)
-    after = await _beside(fleet)
+    rows = await _measure_urgent_starts(fleet, case)
+    after = await _count_background(fleet)
     what = 'attempts running beside in a failure domain, before and after'
     return [Row(case, fleet.leases, what, before + after), *rows]
 
 
 async def _fill(fleet: Fleet, work: Work) -> list[float]:
-    """Submit more batch to every failure domain than may run at once.
+    """Submit more batch work to each failure domain than may run at once.
 
-    :param fleet: idle.
-    :param work: of each task.
-    :returns: attempts running in each failure domain after a while.
+    :param fleet: idle fleet.
+    :param work: work of each task.
+    :returns: attempts running in each failure domain after a fixed wait.
     """
-    for domain in fleet.domains():
+    for domain in fleet.domain_names():
         await fleet.submit(
-            fleet.beside(domain)[0],
+            fleet.daemons_in_domain(domain)[0],
             f'fill-{domain}',
             work,
-            task_count=_BESIDE_TASKS,
-            resources=_WIDE,
+            task_count=_BACKGROUND_TASKS,
+            resources=_LARGE_TASK,
             priority=10,
         )
-    # The policy and quotas, not the servers' size, bound what runs beside.
-    await asyncio.sleep(_FILL_S)
-    return await _beside(fleet)
+    # The policy and the quotas, not the capacity of the servers, limit how
+    # many background tasks run.
+    await asyncio.sleep(_FILL_WAIT_S)
+    return await _count_background(fleet)
 
 
-async def _beside(fleet: Fleet) -> list[float]:
+async def _count_background(fleet: Fleet) -> list[float]:
     running = [run for run in await fleet.attempts() if run.phase == 'running']
     return [
         sum(run.server_id.startswith(domain) for run in running)
-        for domain in fleet.domains()
+        for domain in fleet.domain_names()
     ]
 
 
-async def _urgent(fleet: Fleet, case: str) -> list[Row]:
+async def _measure_urgent_starts(fleet: Fleet, case: str) -> list[Row]:
     steps = [
-        await _urgent_one(
+        await _measure_urgent_start(
             fleet, fleet.daemons[number % len(fleet.daemons)], number
         )
         for number in range(_REPETITIONS)
@@ -148,7 +168,7 @@
             step.server_started - step.claimed for step in steps
         ],
         '- running to task.started at the holder, ms': [
-            step.noted - step.server_started for step in steps
+            step.recorded - step.server_started for step in steps
         ],
     }
     return [
@@ -157,58 +177,69 @@
     ]
 
 
-async def _urgent_one(fleet: Fleet, daemon: DaemonPlace, number: int) -> Steps:
+async def _measure_urgent_start(
+    fleet: Fleet, daemon: DaemonPlace, number: int
+) -> StartLatencies:
     task_id = f'qadri.urgent-{number}/0'
     sent_ms = now_ms()
     await fleet.submit(
         daemon,
         f'urgent-{number}',
         _URGENT_WORK,
-        priority=_URGENT,
+        priority=_URGENT_PRIORITY,
         team='deposits',
         kind='checkout_comparison',
     )
     accepted_ms = now_ms()
 
-    async def _first_run() -> float | None:
+    async def _first_start_ms() -> float | None:
         runs = await fleet.attempts()
         starts = (run.started_ms for run in runs if run.task_id == task_id)
         return min(starts, default=None)
 
-    server_ms = await until(_first_run, _STARTED_S, 0.05)
-    beside = fleet.beside(daemon.failure_domain)
+    started_ms = await wait_until(_first_start_ms, _START_TIMEOUT_S, 0.05)
+    domain_daemons = fleet.daemons_in_domain(daemon.failure_domain)
 
-    async def _noted() -> dict[str, float]:
+    async def _recorded() -> dict[str, float]:
         time_by_kind = {
             event.kind: event.monotonic_ms
-            for event in reversed(await fleet.events(beside))
+            for event in reversed(await fleet.events(domain_daemons))
             if event.subject == f'task:{task_id}'
         }
         complete = {'task.claimed', 'task.started'} <= time_by_kind.keys()
         return time_by_kind if complete else {}
 
-    noted = await until(_noted, _STARTED_S, 0.1)
-    return Steps(
+    recorded = await wait_until(_recorded, _START_TIMEOUT_S, 0.1)
+    return StartLatencies(
         accepted_ms - sent_ms,
-        noted['task.claimed'] - sent_ms,
-        server_ms - sent_ms,
-        noted['task.started'] - sent_ms,
+        recorded['task.claimed'] - sent_ms,
+        started_ms - sent_ms,
+        recorded['task.started'] - sent_ms,
     )
 
 
-async def _losses(fleet: Fleet, case: str, number: signal.Signals) -> list[Row]:
-    for domain in fleet.domains():
+async def _measure_daemon_losses(
+    fleet: Fleet, case: str, number: signal.Signals
+) -> list[Row]:
+    for domain in fleet.domain_names():
         await fleet.submit(
-            fleet.beside(domain)[0], f'long-{domain}', _LONG, task_count=12
+            fleet.daemons_in_domain(domain)[0],
+            f'long-{domain}',
+            _LONG_WORK,
+            task_count=12,
         )
-    wanted = 12 * len(fleet.domains())
+    wanted = 12 * len(fleet.domain_names())
 
     async def _all_run() -> bool:
         return len(await fleet.attempts()) == wanted
 
-    await until(_all_run, _STARTED_S, 0.2)
-    domains = itertools.islice(itertools.cycle(fleet.domains()), _DEATHS)
-    lost = [await _lose(fleet, domain, number) for domain in domains]
+    await wait_until(_all_run, _START_TIMEOUT_S, 0.2)
+    domains = itertools.islice(
+        itertools.cycle(fleet.domain_names()), _DAEMON_LOSSES
+    )
+    lost = [
+        await _measure_daemon_loss(fleet, domain, number) for domain in domains
+    ]
     extra = len(await fleet.attempts()) - wanted
     running = sum(run.phase == 'running' for run in await fleet.attempts())
     figures = {
@@ -227,50 +258,52 @@
     ]
 
 
-async def _lose(
+async def _measure_daemon_loss(
     fleet: Fleet, domain: str, number: signal.Signals
 ) -> tuple[float, float]:
-    """Signal the daemon of a domain that holds the most, and bring it back.
+    """Stop the daemon that holds the most servers of a domain; restart it.
 
-    :param fleet: settled.
-    :param domain: which failure domain.
-    :param number: signal.
-    :returns: time until others command all, longest gap; milliseconds.
+    :param fleet: settled fleet.
+    :param domain: name of the failure domain.
+    :param number: signal to send.
+    :returns: time until other daemons hold all its servers, and the longest
+        time that one of them had no holder, in milliseconds.
     """
     held_by_daemon = {
-        daemon: await fleet.held(daemon) for daemon in fleet.beside(domain)
+        daemon: await fleet.leased_servers(daemon)
+        for daemon in fleet.daemons_in_domain(domain)
     }
     victim = max(held_by_daemon, key=lambda daemon: len(held_by_daemon[daemon]))
     others = [daemon for daemon in held_by_daemon if daemon != victim]
     wanted = held_by_daemon[victim]
     if not wanted:
-        raise NotReached(f'nobody holds servers of {domain}')
+        raise MeasurementFailed(f'no daemon holds servers of {domain}')
     sent_ms = now_ms()
     fleet.run.processes.send(victim.daemon_id, number)
-    gap = _Gap(wanted)
+    gap = _LeaseGap(wanted)
 
     async def _taken_over() -> bool:
-        taken = await fleet.held_by(others)
-        gap.saw(taken | await fleet.held(victim), now_ms())
+        taken = await fleet.servers_leased_by(others)
+        gap.update(taken | await fleet.leased_servers(victim), now_ms())
         return wanted <= taken
 
-    await until(_taken_over, _TAKEN_OVER_S)
+    await wait_until(_taken_over, _TAKEOVER_TIMEOUT_S)
     taken_ms = now_ms() - sent_ms
     await fleet.run.processes.process_by_name[victim.daemon_id].wait()
     await fleet.run.start_daemon(victim.daemon_id)
-    await fleet.settle()
+    await fleet.wait_until_settled()
     return taken_ms, gap.longest_ms
 
 
-class _Gap:
-    """Longest time in which one server had no holder, as polled."""
+class _LeaseGap:
+    """Longest time that one server had no holder, by polling."""
 
     def __init__(self, servers: set[str]) -> None:
         self.longest_ms: float = 0
         self._servers = servers
         self._since_ms_by_server: dict[str, float] = {}
 
-    def saw(self, held: set[str], at_ms: float) -> None:
+    def update(self, held: set[str], at_ms: float) -> None:
         for server in self._servers - held:
             self._since_ms_by_server.setdefault(server, at_ms)
         for server, since_ms in self._since_ms_by_server.items():
--- a/waxwingford_bench/whole_path/control.py
+++ b/waxwingford_bench/whole_path/control.py
@@ -1,4 +1,4 @@
-"""Cases of control on the whole path: bundles and starts."""
+"""End-to-end cases of control: bundle publication and daemon starts."""
 
 import asyncio
 import itertools
@@ -12,42 +12,49 @@
     digest_of,
 )
 from waxwingford_bench.whole_path.fleet import OK, Fleet
-from waxwingford_bench.whole_path.rows import NotReached, Row, now_ms, until
+from waxwingford_bench.whole_path.rows import (
+    MeasurementFailed,
+    Row,
+    now_ms,
+    wait_until,
+)
 from waxwingford_standins.layout import DaemonPlace
 
-_VERSIONS = 20
-_IN_FORCE_S = 30
+_PUBLICATIONS = 20
+_IN_FORCE_TIMEOUT_S = 30
 _STARTS = 12
-_READY_S = 30
+_READY_TIMEOUT_S = 30
 
 
 async def bundle(fleet: Fleet) -> list[Row]:
-    """Publish bundles while every daemon reaches the log.
+    """Publish bundles while all daemons can reach the log.
 
-    :param fleet: settled.
-    :returns: rows.
+    :param fleet: settled fleet.
+    :returns: rows of the table.
     """
-    return await _versions(fleet, 'bundle')
+    return await _measure_publications(fleet, 'bundle')
 
 
 async def bundle_from_peer(fleet: Fleet) -> list[Row]:
-    """Publish bundles while one failure domain reaches the log.
+    """Publish bundles while only one failure domain can reach the log.
 
-    :param fleet: settled.
-    :returns: rows.
+    :param fleet: settled fleet.
+    :returns: rows of the table.
     """
-    await fleet.run.switches.cut_log_off(*fleet.domains()[1:])
-    return await _versions(fleet, 'bundle, 6 of 8 daemons without the log')
+    await fleet.run.switches.cut_log_off(*fleet.domain_names()[1:])
+    return await _measure_publications(
+        fleet, 'bundle, 6 of 8 daemons without the log'
+    )
 
 
 async def empty_start(fleet: Fleet) -> list[Row]:
-    """Start daemons that know nothing.
+    """Restart daemons with empty state.
 
-    :param fleet: settled.
-    :returns: rows.
+    :param fleet: settled fleet.
+    :returns: rows of the table.
     """
     daemons = itertools.islice(itertools.cycle(fleet.daemons), _STARTS)
-    times = [await _start(fleet, daemon) for daemon in daemons]
+    times = [await _measure_start(fleet, daemon) for daemon in daemons]
     return [
         Row(
             'empty start',
@@ -64,13 +71,13 @@
     ]
 
 
-async def _versions(fleet: Fleet, case: str) -> list[Row]:
+async def _measure_publications(fleet: Fleet, case: str) -> list[Row]:
     current = fleet.bundle
-    from_call, from_return = [], []
-    for _ in range(_VERSIONS):
+    since_call_ms, since_return_ms = [], []
+    for _ in range(_PUBLICATIONS):
         current = _next_version(current)
         called_ms = now_ms()
-        seen = asyncio.gather(
+        in_force = asyncio.gather(
             *(
                 _in_force(fleet, daemon, current.version)
                 for daemon in fleet.daemons
@@ -79,23 +86,23 @@
         outcome = await fleet.run.publish(current)
         returned_ms = now_ms()
         if not isinstance(outcome, Published):
-            seen.cancel()
-            raise NotReached(str(outcome))
-        latest_ms = max(await seen)
-        from_call.append(latest_ms - called_ms)
-        from_return.append(max(latest_ms - returned_ms, 0))
+            in_force.cancel()
+            raise MeasurementFailed(str(outcome))
+        latest_ms = max(await in_force)
+        since_call_ms.append(latest_ms - called_ms)
+        since_return_ms.append(max(latest_ms - returned_ms, 0))
     return [
         Row(
             case,
             fleet.leases,
             'publish acknowledged to in force in all 8, ms',
-            from_return,
+            since_return_ms,
         ),
         Row(
             case,
             fleet.leases,
             'publish called to in force in all 8, ms',
-            from_call,
+            since_call_ms,
         ),
     ]
 
@@ -113,11 +120,13 @@
         status = await fleet.status(daemon)
         return bool(status) and status['bundle']['version'] >= version
 
-    await until(_has, _IN_FORCE_S)
+    await wait_until(_has, _IN_FORCE_TIMEOUT_S)
     return now_ms()
 
 
-async def _start(fleet: Fleet, daemon: DaemonPlace) -> tuple[float, float]:
+async def _measure_start(
+    fleet: Fleet, daemon: DaemonPlace
+) -> tuple[float, float]:
     process = fleet.run.processes.process_by_name[daemon.daemon_id]
     fleet.run.processes.send(daemon.daemon_id, signal.SIGTERM)
     await process.wait()
@@ -128,12 +137,12 @@
         code, _ = await fleet.run.switches.get(f'{daemon.url}/readyz')
         return code == OK
 
-    await until(_ready, _READY_S)
+    await wait_until(_ready, _READY_TIMEOUT_S)
     ready_ms = now_ms() - began_ms
     listens_ms = next(
         event.monotonic_ms - began_ms
         for event in await fleet.events([daemon])
         if event.kind == 'daemon.started'
     )
-    await fleet.settle()
+    await fleet.wait_until_settled()
     return ready_ms, listens_ms
--- a/waxwingford_bench/whole_path/fleet.py
+++ b/waxwingford_bench/whole_path/fleet.py
@@ -1,4 +1,4 @@
-"""A running deployment of real processes, as the whole path measures it."""
+"""A running deployment of real processes."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,11 @@
 from waxwingford.ports import Resources
 from waxwingford.settings import Leases
 from waxwingford.timeline import Event
-from waxwingford_bench.whole_path.rows import MS_IN_S, NotReached, until
+from waxwingford_bench.whole_path.rows import (
+    MS_PER_S,
+    MeasurementFailed,
+    wait_until,
+)
 from waxwingford_standins.configs import LOCAL_LEASES, RunOptions
 from waxwingford_standins.deployment import Deployment, load_deployment
 from waxwingford_standins.layout import DaemonPlace
@@ -28,79 +32,78 @@
 
 OK = 200
 LEASES_BY_NAME = {'production': Leases(), 'local': LOCAL_LEASES}
-_SOURCE = (
+_DEPLOYMENT_DIRECTORY = (
     pathlib.Path(__file__).resolve().parent.parent / 'deployments' / 'qadri'
 )
 _MEMBER = 'qadri'
 _TEAM = 'archive'
 _KIND = 'archive_rebuild'
-_SETTLED_S = 60
-#: Characters of a log.
-_SHOWN = 2000
+_SETTLE_TIMEOUT_S = 60
+_OUTPUT_TAIL_CHARS = 2000
 _events_decoder = msgspec.json.Decoder(list[Event])
 
 
 class Fleet:
-    """Polls and changes a running deployment.
+    """Queries and controls a running deployment.
 
-    :ivar run: the processes.
-    :ivar bundle: first bundle.
+    :ivar run: running processes.
+    :ivar bundle: initial bundle.
     :ivar leases: name of the lease settings.
-    :ivar refused: calls that were refused.
+    :ivar refusals: number of refused service calls.
     """
 
     def __init__(self, run: LocalRun, bundle: Bundle, leases: str) -> None:
-        """Wrap.
+        """Create an interface to running processes.
 
-        :param run: started processes.
-        :param bundle: first bundle.
+        :param run: running processes.
+        :param bundle: initial bundle.
         :param leases: name of the lease settings.
         """
         self.run = run
         self.bundle = bundle
         self.leases = leases
-        self.refused = 0
+        self.refusals = 0
         self._operator = Operator(run)
 
     @property
     def daemons(self) -> tuple[DaemonPlace, ...]:
-        """All daemons.
+        """All daemons of the deployment.
 
-        :returns: their places.
+        :returns: their places in the layout.
         """
         return self.run.layout.daemons
 
-    def domains(self) -> list[str]:
+    def domain_names(self) -> list[str]:
         """List failure domains.
 
-        :returns: their names.
+        :returns: names of the failure domains.
         """
         return [domain.name for domain in self.run.deployment.failure_domains]
 
-    def beside(self, domain: str) -> list[DaemonPlace]:
+    def daemons_in_domain(self, domain: str) -> list[DaemonPlace]:
         """List the daemons of a failure domain.
 
-        :param domain: its name.
-        :returns: their places.
+        :param domain: name of the failure domain.
+        :returns: places of its daemons in the layout.
         """
         return [
             daemon for daemon in self.daemons if daemon.failure_domain == domain
         ]
 
     async def status(self, daemon: DaemonPlace) -> dict[str, Any]:
-        """Ask a daemon for its status.
+        """Fetch the status of a daemon.
 
-        :param daemon: which.
-        :returns: the answer, empty without one.
+        :param daemon: the daemon.
+        :returns: the decoded status; empty if the request failed.
         """
         code, text = await self.run.switches.get(f'{daemon.url}/v1/status')
         return json.loads(text) if code == OK else {}
 
-    async def held(self, daemon: DaemonPlace) -> set[str]:
-        """Ask which servers a daemon commands.
+    async def leased_servers(self, daemon: DaemonPlace) -> set[str]:
+        """Fetch the servers that a daemon holds.
 
-        :param daemon: which.
-        :returns: server ids under a lease that has not run out.
+        :param daemon: the daemon.
+        :returns: ids of servers whose lease has not expired.
         """
         status = await self.status(daemon)
         return {
@@ -109,43 +112,53 @@
             if server['lease_left_ms'] > 0
         }
 
-    async def held_by(self, daemons: Iterable[DaemonPlace]) -> set[str]:
-        """Ask which servers some daemons command together.
+    async def servers_leased_by(
+        self, daemons: Iterable[DaemonPlace]
+    ) -> set[str]:
+        """Fetch the servers that any of several daemons holds.
 
-        :param daemons: which.
-        :returns: server ids.
+        :param daemons: the daemons.
+        :returns: ids of servers whose lease has not expired.
         """
-        return set().union(*await asyncio.gather(*map(self.held, daemons)))
+        return set().union(
+            *await asyncio.gather(*map(self.leased_servers, daemons))
+        )
 
-    async def settle(self) -> None:
-        """Wait until all daemons are ready and all servers commanded."""
+    async def wait_until_settled(self) -> None:
+        """Wait until all daemons are ready and all servers are held."""
         all_servers = {vm.server_id for vm in self.run.layout.vms}
 
         async def _is_settled() -> bool:
             is_ready = not await self.run.unready()
-            return is_ready and await self.held_by(self.daemons) == all_servers
+            return (
+                is_ready
+                and await self.servers_leased_by(self.daemons) == all_servers
+            )
 
-        await until(_is_settled, _SETTLED_S, 0.1)
+        await wait_until(_is_settled, _SETTLE_TIMEOUT_S, 0.1)
 
-    async def share(self) -> None:
-        """Wait until every daemon commands some servers."""
+    async def wait_until_shared(self) -> None:
+        """Wait until every daemon holds at least one server."""
 
         async def _all_hold() -> bool:
-            return all(await asyncio.gather(*map(self.held, self.daemons)))
+            return all(
+                await asyncio.gather(*map(self.leased_servers, self.daemons))
+            )
 
-        await until(_all_hold, _SETTLED_S, 0.1)
+        await wait_until(_all_hold, _SETTLE_TIMEOUT_S, 0.1)
 
     async def submit(
         self, daemon: DaemonPlace, job_id: str, work: Work, **fields: Any
     ) -> None:
         """Submit a job.
 
-        :param daemon: where to.
-        :param job_id: unique.
-        :param work: what each task does.
-        :param fields: of JobFields that differ from one small task.
+        :param daemon: daemon to submit to.
+        :param job_id: unique id, without the prefix of the member.
+        :param work: work of each task.
+        :param fields: fields of ``JobFields`` that override the defaults.
+        :raises MeasurementFailed: if the daemon does not accept the job.
         """
-        usual = {
+        defaults = {
             'job_id': f'{_MEMBER}.{job_id}',
             'member': _MEMBER,
             'team': _TEAM,
@@ -157,30 +170,32 @@
             'finish_by_wall_ms': 0,
             'lost_after_ms': 0,
             'payload': encode_json(work).decode(),
-            'submitted_wall_ms': int(time.time() * MS_IN_S),
+            'submitted_wall_ms': int(time.time() * MS_PER_S),
         }
         status, text = await self._operator.post(
             _MEMBER,
             daemon,
             '/v1/jobs',
-            encode_json(JobFields(**usual | fields)),
+            encode_json(JobFields(**defaults | fields)),
         )
         if status not in {OK, 201, 202}:
-            raise NotReached(f'{job_id} was not taken: {status} {text}')
+            raise MeasurementFailed(
+                f'job {job_id} was not accepted: {status} {text}'
+            )
 
     async def attempts(self) -> list[AttemptRun]:
-        """Ask the backend servers what ran.
+        """Fetch the attempts of all backend servers.
 
-        :returns: every attempt so far.
+        :returns: running and ended attempts.
         """
         servers = await read_servers(self.run)
         return [run for server in servers for run in server.attempts]
 
     async def events(self, daemons: Iterable[DaemonPlace]) -> list[Event]:
-        """Read time lines.
+        """Fetch the timelines of daemons.
 
-        :param daemons: whose.
-        :returns: events, of all together.
+        :param daemons: the daemons.
+        :returns: events of all daemons that answered.
         """
         events: list[Event] = []
         for daemon in daemons:
@@ -192,31 +207,36 @@
         return events
 
 
-def qadri() -> tuple[Deployment, Bundle]:
-    """Read the deployment.
+def load_qadri() -> tuple[Deployment, Bundle]:
+    """Load the deployment ``qadri``.
 
-    :returns: it, and its first bundle.
-    :raises NotReached: if its files are wrong.
+    :returns: the deployment and its initial bundle.
+    :raises MeasurementFailed: if one of its files is invalid.
     """
-    deployment = load_deployment(_SOURCE / 'deployment.toml')
-    bundle = open_bundle(_SOURCE / 'bundle.toml')
+    deployment = load_deployment(_DEPLOYMENT_DIRECTORY / 'deployment.toml')
+    bundle = open_bundle(_DEPLOYMENT_DIRECTORY / 'bundle.toml')
     if isinstance(deployment, tuple) or isinstance(bundle, str):
-        raise NotReached(f'{deployment} {bundle}')
+        raise MeasurementFailed(f'{deployment} {bundle}')
     return deployment, bundle
 
 
 @contextlib.asynccontextmanager
-async def started(
-    leases: str, say: Callable[[str], None], median_ms: float | None = None
+async def run_fleet(
+    leases: str,
+    log_progress: Callable[[str], None],
+    median_ms: float | None = None,
 ) -> AsyncIterator[Fleet]:
-    """Run the deployment.
+    """Run the deployment ``qadri``.
 
     :param leases: name of the lease settings.
-    :param say: takes progress lines.
-    :param median_ms: fixed time of the service, None for the deployment's.
+    :param log_progress: called with each progress line.
+    :param median_ms: fixed response time of the service in milliseconds, or
+        None for the distribution of the deployment.
     :yields: the settled fleet.
+    :raises MeasurementFailed: if the deployment does not start or settle.
+
     """
-    deployment, bundle = qadri()
+    deployment, bundle = load_qadri()
     if median_ms is not None:
         update = {'median_ms': median_ms, 'sigma': 0}
         service = deployment.service.model_copy(update=update)
@@ -224,24 +244,28 @@
     options = RunOptions(LEASES_BY_NAME[leases])
     with tempfile.TemporaryDirectory() as directory:
         run = LocalRun(
-            deployment, bundle, pathlib.Path(directory), say, options
+            deployment, bundle, pathlib.Path(directory), log_progress, options
         )
         try:
-            yield await _settled(run, bundle, leases)
+            yield await _start_fleet(run, bundle, leases)
         finally:
             await run.stop()
 
 
-async def _settled(run: LocalRun, bundle: Bundle, leases: str) -> Fleet:
+async def _start_fleet(run: LocalRun, bundle: Bundle, leases: str) -> Fleet:
     outcome = await run.start()
     if isinstance(outcome, StartFailed):
-        raise NotReached(f'{outcome.reason}\n{_last_lines(run)}')
+        raise MeasurementFailed(
+            f'{outcome.reason}\n{_output_of_ended_processes(run)}'
+        )
     fleet = Fleet(run, bundle, leases)
-    await fleet.settle()
+    await fleet.wait_until_settled()
     return fleet
 
 
-def _last_lines(run: LocalRun) -> str:
-    # The directory goes with the run, and with it why a process ended.
+def _output_of_ended_processes(run: LocalRun) -> str:
+    # The output files are deleted together with the directory of the run.
     names = (line.partition(' ')[0] for line in run.processes.ended())
-    return ''.join(run.processes.output(name)[-_SHOWN:] for name in names)
+    return ''.join(
+        run.processes.output(name)[-_OUTPUT_TAIL_CHARS:] for name in names
+    )
--- a/waxwingford_bench/whole_path/requests.py
+++ b/waxwingford_bench/whole_path/requests.py
@@ -1,4 +1,4 @@
-"""Case of the whole path of a request: latency and processor time."""
+"""End-to-end case of requests: latency and processor time."""
 
 import asyncio
 import itertools
@@ -8,39 +8,39 @@
 from waxwingford.adapters import encode_json
 from waxwingford_bench.process_cost import read_process
 from waxwingford_bench.whole_path.fleet import OK, Fleet
-from waxwingford_bench.whole_path.rows import NotReached, Row, now_ms
+from waxwingford_bench.whole_path.rows import MeasurementFailed, Row, now_ms
 from waxwingford_standins.layout import DaemonPlace
 from waxwingford_standins.server_service import ServiceEcho
 
 _Call = Callable[[], Awaitable[float]]
 _PAIRS = 300
 _CALLS = 2000
-_AT_ONCE = 8
+_CONCURRENCY = 8
 _IDLE_S = 5
 _DEADLINE_MS = 5000
-_TRIES = 50
-_REFUSED = 503
-_REFUSED_S = 0.2
+_MAX_ATTEMPTS = 50
+_SERVICE_UNAVAILABLE = 503
+_RETRY_DELAY_S = 0.2
 _BACKENDS = 'backends'
 
 
 async def request_cost(fleet: Fleet) -> list[Row]:
-    """Compare requests through a daemon with requests to its servers.
+    """Compare routed requests with direct requests to the backend servers.
 
-    :param fleet: idle, with a fixed time of the service.
-    :returns: rows.
+    :param fleet: idle fleet with a fixed response time of the service.
+    :returns: rows of the table.
     """
-    # One without servers hands every request to a peer: another path.
-    await fleet.share()
+    # A daemon without servers would forward every request to a peer.
+    await fleet.wait_until_shared()
     daemon = fleet.daemons[0]
     tokens = map(str, itertools.count(1))
-    direct = _direct(fleet, daemon, tokens)
-    through = _through(fleet, daemon, tokens)
+    direct = _direct_call(fleet, daemon, tokens)
+    through = _routed_call(fleet, daemon, tokens)
     figures = await _latencies(direct, through)
-    figures[f'refused and tried again, of {2 * _PAIRS}'] = [fleet.refused]
-    fleet.refused = 0
-    figures |= await _processor_figures(fleet, direct, through)
-    figures[f'refused and tried again, of {2 * _CALLS}'] = [fleet.refused]
+    figures[f'refused and tried again, of {2 * _PAIRS}'] = [fleet.refusals]
+    fleet.refusals = 0
+    figures |= await _measure_cpu(fleet, direct, through)
+    figures[f'refused and tried again, of {2 * _CALLS}'] = [fleet.refusals]
     return [
         Row('request', fleet.leases, what, samples)
         for what, samples in figures.items()
@@ -48,11 +48,11 @@
 
 
 async def _latencies(direct: _Call, through: _Call) -> dict[str, list[float]]:
-    """Call in turn, one at a time, and compare the sorted latencies.
+    """Alternate direct and routed calls and compare the sorted latencies.
 
-    :param direct: makes one call past the daemons.
+    :param direct: makes one call to a backend server.
     :param through: makes one call through a daemon.
-    :returns: samples by what they measure.
+    :returns: samples by name of the measurement.
     """
     pairs = [(await direct(), await through()) for _ in range(_PAIRS)]
     straight = sorted(pair[0] for pair in pairs)
@@ -66,13 +66,15 @@
     }
 
 
-async def _processor_figures(
+async def _measure_cpu(
     fleet: Fleet, direct: _Call, through: _Call
 ) -> dict[str, list[float]]:
-    idle = await _processor_ms(fleet, asyncio.sleep(_IDLE_S))
+    idle = await _cpu_ms_during(fleet, asyncio.sleep(_IDLE_S))
     idle_ms_per_s = {name: used / _IDLE_S for name, used in idle.items()}
-    _, alone_ms = await _burst(fleet, direct, idle_ms_per_s)
-    daemons_ms, servers_ms = await _burst(fleet, through, idle_ms_per_s)
+    _, alone_ms = await _cpu_ms_per_request(fleet, direct, idle_ms_per_s)
+    daemons_ms, servers_ms = await _cpu_ms_per_request(
+        fleet, through, idle_ms_per_s
+    )
     ratio = (daemons_ms + servers_ms) / alone_ms
     return {
         'processor of all daemons a request, ms': [daemons_ms],
@@ -82,13 +84,15 @@
     }
 
 
-def _direct(fleet: Fleet, daemon: DaemonPlace, tokens: Iterator[str]) -> _Call:
-    """Prepare calls to the backend servers of a daemon's failure domain.
+def _direct_call(
+    fleet: Fleet, daemon: DaemonPlace, tokens: Iterator[str]
+) -> _Call:
+    """Create a function that calls the backend servers of a domain in turn.
 
-    :param fleet: settled.
-    :param daemon: whose domain.
-    :param tokens: unique texts.
-    :returns: makes one call, and gives its latency in milliseconds.
+    :param fleet: settled fleet.
+    :param daemon: daemon in the failure domain of the servers.
+    :param tokens: unique request bodies.
+    :returns: makes one call and returns its latency in milliseconds.
     """
     service = fleet.run.deployment.service.name
     urls = itertools.cycle(
@@ -97,24 +101,26 @@
         if vm.failure_domain == daemon.failure_domain
     )
 
-    async def _one() -> float:
+    async def _call() -> float:
         token = next(tokens)
         headers = {
             'Waxwingford-Request-Id': token,
             'Waxwingford-Deadline-Ms': str(_DEADLINE_MS),
         }
-        return await _timed(fleet, next(urls), token, headers)
+        return await _time_call(fleet, next(urls), token, headers)
 
-    return _one
+    return _call
 
 
-def _through(fleet: Fleet, daemon: DaemonPlace, tokens: Iterator[str]) -> _Call:
-    """Prepare calls through a daemon.
+def _routed_call(
+    fleet: Fleet, daemon: DaemonPlace, tokens: Iterator[str]
+) -> _Call:
+    """Create a function that calls the service through a daemon.
 
-    :param fleet: settled.
-    :param daemon: which.
-    :param tokens: unique texts.
-    :returns: makes one call, and gives its latency in milliseconds.
+    :param fleet: settled fleet.
+    :param daemon: daemon that routes the calls.
+    :param tokens: unique request bodies.
+    :returns: makes one call and returns its latency in milliseconds.
     """
     service = fleet.run.deployment.service.name
     headers = {
@@ -124,27 +130,27 @@
         'Waxwingford-Idempotent': 'true',
     }
 
-    async def _one() -> float:
+    async def _call() -> float:
         url = f'{daemon.url}/v1/services/{service}/check-in'
-        return await _timed(fleet, url, next(tokens), headers)
+        return await _time_call(fleet, url, next(tokens), headers)
 
-    return _one
+    return _call
 
 
-async def _timed(
+async def _time_call(
     fleet: Fleet, url: str, token: str, headers: dict[str, str]
 ) -> float:
-    """Make one call, again after each refusal, and time its last try.
-
-    :param fleet: settled; its refusals are counted.
-    :param url: where to.
-    :param token: body.
-    :param headers: of the call.
-    :returns: latency of the try that was answered, in milliseconds.
-    :raises NotReached: for another answer, or after many refusals.
+    """Make one call, retried after each refusal, and time its last attempt.
+
+    :param fleet: settled fleet; its refusals are counted.
+    :param url: URL to call.
+    :param token: token in the body.
+    :param headers: headers of the call.
+    :returns: latency of the successful attempt, in milliseconds.
+    :raises MeasurementFailed: if the call fails or is refused too often.
     """
     body = encode_json(ServiceEcho(token=token, key=''))
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         began_ms = now_ms()
         async with fleet.run.switches.client.post(
             url, data=body, headers=headers
@@ -152,33 +158,34 @@
             text = await answer.read()
         if answer.status == OK:
             return now_ms() - began_ms
-        if answer.status != _REFUSED:
+        if answer.status != _SERVICE_UNAVAILABLE:
             break
-        fleet.refused += 1
-        await asyncio.sleep(_REFUSED_S)
-    raise NotReached(f'{url}: {answer.status} {text[:200]!r}')
+        fleet.refusals += 1
+        await asyncio.sleep(_RETRY_DELAY_S)
+    raise MeasurementFailed(f'{url}: {answer.status} {text[:200]!r}')
 
 
-async def _burst(
+async def _cpu_ms_per_request(
     fleet: Fleet,
     call: _Call,
     idle_ms_per_s: dict[str, float],
 ) -> tuple[float, float]:
-    """Make many calls, some at once, and read the processor time.
+    """Make concurrent calls and measure the processor time per call.
 
-    :param fleet: settled.
+    :param fleet: settled fleet.
     :param call: makes one call.
-    :param idle_ms_per_s: of each process without calls.
-    :returns: of all daemons and of the backend servers, ms a request.
+    :param idle_ms_per_s: processor time of each process when idle.
+    :returns: processor time of all daemons and of the backend servers, in
+        milliseconds per request.
     """
 
-    async def _share() -> None:
-        for _ in range(_CALLS // _AT_ONCE):
+    async def _worker() -> None:
+        for _ in range(_CALLS // _CONCURRENCY):
             await call()
 
     began_s = time.monotonic()
-    used = await _processor_ms(
-        fleet, asyncio.gather(*(_share() for _ in range(_AT_ONCE)))
+    used = await _cpu_ms_during(
+        fleet, asyncio.gather(*(_worker() for _ in range(_CONCURRENCY)))
     )
     elapsed_s = time.monotonic() - began_s
     extra = {
@@ -189,15 +196,15 @@
     return sum(extra.values()) / _CALLS, servers_ms / _CALLS
 
 
-async def _processor_ms(
+async def _cpu_ms_during(
     fleet: Fleet, work: Awaitable[object]
 ) -> dict[str, float]:
     names = [_BACKENDS, *(daemon.daemon_id for daemon in fleet.daemons)]
-    before = {name: _used_ms(fleet, name) for name in names}
+    before = {name: _cpu_ms(fleet, name) for name in names}
     await work
-    return {name: _used_ms(fleet, name) - before[name] for name in names}
+    return {name: _cpu_ms(fleet, name) - before[name] for name in names}
 
 
-def _used_ms(fleet: Fleet, name: str) -> float:
+def _cpu_ms(fleet: Fleet, name: str) -> float:
     process = fleet.run.processes.process_by_name[name]
-    return read_process(process.pid).processor_ms
+    return read_process(process.pid).cpu_ms
--- a/waxwingford_bench/whole_path/rows.py
+++ b/waxwingford_bench/whole_path/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the table of whole paths, and how conditions are awaited."""
+"""Rows of the result table, and polling of conditions."""
 
 import asyncio
 import statistics
@@ -6,15 +6,15 @@
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
 
-MS_IN_S = 1000
+MS_PER_S = 1000
 
 
 class Row(NamedTuple):
-    """One line of the table.
+    """One row of the result table.
 
     :ivar case: name of the case.
-    :ivar leases: which lease settings.
-    :ivar what: what was measured, with its unit.
+    :ivar leases: name of the lease settings.
+    :ivar what: name of the measurement, with its unit.
     :ivar samples: all samples, in that unit.
     """
 
@@ -23,10 +23,10 @@
     what: str
     samples: list[float]
 
-    def line(self) -> str:
-        """Write the line.
+    def format_line(self) -> str:
+        """Format the row as a line of a Markdown table.
 
-        :returns: a line of a markdown table, without its end.
+        :returns: the line, without a newline.
         """
         figures = '- | -'
         if self.samples:
@@ -38,42 +38,44 @@
         )
 
 
-class NotReached(Exception):
-    """A condition did not come about before its cap."""
+class MeasurementFailed(Exception):
+    """The deployment did not reach a state that the measurement needs."""
 
 
-async def until(
-    check: Callable[[], Any], cap_s: float, every_s: float = 0.02
+async def wait_until(
+    check: Callable[[], Any], timeout_s: float, interval_s: float = 0.02
 ) -> Any:
-    """Poll until something true comes back.
+    """Poll until a condition returns something true.
 
-    :param check: coroutine function.
-    :param cap_s: give up after this time, in seconds.
-    :param every_s: pause between polls, in seconds.
-    :returns: what came back.
-    :raises NotReached: at the cap.
+    :param check: coroutine function to poll.
+    :param timeout_s: timeout in seconds.
+    :param interval_s: pause between polls, in seconds.
+    :returns: first true result.
+    :raises MeasurementFailed: after the timeout.
     """
-    until_s = time.monotonic() + cap_s
-    while time.monotonic() < until_s:
+    deadline_s = time.monotonic() + timeout_s
+    while time.monotonic() < deadline_s:
         found = await check()
         if found:
             return found
-        await asyncio.sleep(every_s)
-    raise NotReached(f'{check.__qualname__}: not within {cap_s} s')
+        await asyncio.sleep(interval_s)
+    raise MeasurementFailed(
+        f'{check.__qualname__}: not true within {timeout_s} s'
+    )
 
 
 def now_ms() -> float:
     """Read the monotonic clock that all processes of a machine share.
 
-    :returns: milliseconds.
+    :returns: time in milliseconds.
     """
-    return time.monotonic() * MS_IN_S
+    return time.monotonic() * MS_PER_S
 
 
-def spread(samples: Sequence[float]) -> list[float]:
-    """Round samples for the raw output.
+def round_samples(samples: Sequence[float]) -> list[float]:
+    """Round samples for the JSON output.
 
-    :param samples: any.
-    :returns: to two places.
+    :param samples: samples in any unit.
+    :returns: samples rounded to two decimal places.
     """
     return [round(sample, 2) for sample in samples]
