--- a/waxwingford_bench/capacity/__main__.py
+++ b/waxwingford_bench/capacity/__main__.py
@@ -190,7 +190,7 @@
         if holds_enough and status['jobs']['running'] >= wanted:
             return held
         await asyncio.sleep(_POLL_S)
-    sys.exit(f'daemon did not settle within {_SETTLE_TIMEOUT_S} s: {text}')
+    sys.exit(f'daemon did not settle before the timeout: {text}')
 
 
 def _log_progress(line: str) -> None:
--- a/waxwingford_bench/storms/__main__.py
+++ b/waxwingford_bench/storms/__main__.py
@@ -55,29 +55,29 @@
     case = case_by_name[name]
     domain.run(_WARM_UP_MS)
     baseline = _run_steadily(domain)
-    began_s = domain.now_ms // _MS_PER_S
-    steady_rate = domain.meter.rate(_steady_from_s(), began_s)
-    not_calm_s = _run_fault(domain, case, baseline)
-    ended_s = domain.now_ms // _MS_PER_S
+    fault_start_s = domain.now_ms // _MS_PER_S
+    steady_rate = domain.meter.rate(_steady_from_s(), fault_start_s)
+    disturbed_s = _run_fault(domain, case, baseline)
+    fault_end_s = domain.now_ms // _MS_PER_S
     recovered_s = _run_until_recovered(domain, baseline, steady_rate)
     until_s = domain.now_ms // _MS_PER_S
-    steady_s = _steady_again_s(domain, steady_rate, (ended_s, until_s))
-    burst = (began_s, until_s)
+    steady_s = _steady_again_s(domain, steady_rate, (fault_end_s, until_s))
+    burst = (fault_start_s, until_s)
     _drain(domain)
     return Report(
         name,
         servers,
         seed,
-        _measure_load(domain, (_steady_from_s(), began_s)),
+        _measure_load(domain, (_steady_from_s(), fault_start_s)),
         _measure_load(domain, burst),
         _longest_above_budget(domain, burst, 'spent'),
         _longest_above_budget(domain, burst, 'bytes'),
-        _elapsed_s(steady_s, ended_s),
-        _elapsed_s(recovered_s, ended_s),
-        not_calm_s,
+        _elapsed_s(steady_s, fault_end_s),
+        _elapsed_s(recovered_s, fault_end_s),
+        disturbed_s,
         [
             domain.meter.worst_spread(
-                kind, began_s * _MS_PER_S, until_s * _MS_PER_S
+                kind, fault_start_s * _MS_PER_S, until_s * _MS_PER_S
             )
             for kind in domain.meter.retry_kinds()
         ],
@@ -89,11 +89,11 @@
 
 
 def _run_steadily(domain: StormDomain) -> tuple[int, int]:
-    seen = []
+    samples = []
     for _ in range(_STEADY_MS // _MS_PER_S):
         domain.run(_MS_PER_S)
-        seen.append((domain.waiting_tasks(), domain.submitters.active))
-    waiting, submitters = zip(*seen, strict=True)
+        samples.append((domain.waiting_tasks(), domain.submitters.active))
+    waiting, submitters = zip(*samples, strict=True)
     return max(waiting), max(submitters)
 
 
@@ -110,12 +110,12 @@
         live server has no valid lease.
     """
     case.begin(domain)
-    not_calm_s = 0
+    disturbed_s = 0
     for _ in range(case.duration_ms // _MS_PER_S):
         domain.run(_MS_PER_S)
-        not_calm_s += not _is_at_baseline(domain, baseline)
+        disturbed_s += not _is_at_baseline(domain, baseline)
     case.end(domain)
-    return not_calm_s
+    return disturbed_s
 
 
 def _is_at_baseline(domain: StormDomain, baseline: tuple[int, int]) -> bool:
@@ -139,7 +139,7 @@
     :returns: second since which all live servers are leased and the baseline
         is not exceeded, or -1 on timeout.
     """
-    ended_s = domain.now_ms // _MS_PER_S
+    fault_end_s = domain.now_ms // _MS_PER_S
     recovered_s = _NOT_REACHED
     for _ in range(_RECOVERY_TIMEOUT_S):
         domain.run(_MS_PER_S)
@@ -148,7 +148,7 @@
             recovered_s = _NOT_REACHED
         elif recovered_s == _NOT_REACHED:
             recovered_s = now_s
-        steady_s = _steady_again_s(domain, steady_rate, (ended_s, now_s))
+        steady_s = _steady_again_s(domain, steady_rate, (fault_end_s, now_s))
         is_stable = now_s - recovered_s >= _STEADY_WINDOW_S
         has_recovered = recovered_s != _NOT_REACHED and steady_s != _NOT_REACHED
         if has_recovered and is_stable:
@@ -176,8 +176,10 @@
     domain.oracle.check_finished(domain.fold)
 
 
-def _elapsed_s(reached_s: int, ended_s: int) -> int:
-    return _NOT_REACHED if reached_s == _NOT_REACHED else reached_s - ended_s
+def _elapsed_s(reached_s: int, fault_end_s: int) -> int:
+    return (
+        _NOT_REACHED if reached_s == _NOT_REACHED else reached_s - fault_end_s
+    )
 
 
 def _measure_load(domain: StormDomain, span: tuple[int, int]) -> Load:
--- a/waxwingford_bench/tests/storms_steps.py
+++ b/waxwingford_bench/tests/storms_steps.py
@@ -21,17 +21,17 @@
 
 
 @when(
-    'its log is unavailable for {outage_s:d} s and available for {after_s:d} s'
+    'its log is unavailable for {outage_s:d} s and available for {recovery_s:d} s'
 )
-def run_log_outage(context, outage_s, after_s):
+def run_log_outage(context, outage_s, recovery_s):
     domain = context.domain
-    context.began_ms = domain.now_ms
+    context.outage_start_ms = domain.now_ms
     domain.network.log_down = True
     for _ in range(outage_s):
         domain.run(1000)
     domain.network.log_down = False
-    context.ended_ms = domain.now_ms
-    for _ in range(after_s):
+    context.outage_end_ms = domain.now_ms
+    for _ in range(recovery_s):
         domain.run(1000)
 
 
@@ -39,7 +39,7 @@
 def reads_are_spread(context, most):
     meter = context.domain.meter
     fullest = meter.max_retries_in_slot(
-        'read', context.began_ms, context.ended_ms
+        'read', context.outage_start_ms, context.outage_end_ms
     )
     assert 0 < fullest <= most, fullest
 
@@ -49,22 +49,25 @@
 )
 def lease_requests_are_spread(context, most):
     spread = context.domain.meter.worst_spread(
-        'lease', context.began_ms, context.ended_ms
+        'lease', context.outage_start_ms, context.outage_end_ms
     )
     assert spread.retries and spread.share <= most / 100, spread
 
 
 @then(
     'the message rate is within {most:d}% of steady state over {span_s:d} s, '
-    'at most {after_s:d} s after the outage'
+    'at most {recovery_s:d} s after the outage'
 )
-def message_rate_recovers(context, most, span_s, after_s):
+def message_rate_recovers(context, most, span_s, recovery_s):
     meter = context.domain.meter
-    began_s, ended_s = context.began_ms // 1000, context.ended_ms // 1000
-    steady = meter.rate(began_s - STEADY_MS // 1000, began_s)
+    outage_start_s, outage_end_s = (
+        context.outage_start_ms // 1000,
+        context.outage_end_ms // 1000,
+    )
+    steady = meter.rate(outage_start_s - STEADY_MS // 1000, outage_start_s)
     rates = [
         meter.rate(start_s, start_s + span_s)
-        for start_s in range(ended_s, ended_s + after_s)
+        for start_s in range(outage_end_s, outage_end_s + recovery_s)
     ]
     assert any(abs(rate - steady) <= steady * most / 100 for rate in rates), (
         steady,
--- a/waxwingford_bench/whole_path/batch.py
+++ b/waxwingford_bench/whole_path/batch.py
@@ -197,7 +197,9 @@
         starts = (run.started_ms for run in runs if run.task_id == task_id)
         return min(starts, default=None)
 
-    started_ms = await wait_until(_first_start_ms, _START_TIMEOUT_S, 0.05)
+    server_started_ms = await wait_until(
+        _first_start_ms, _START_TIMEOUT_S, 0.05
+    )
     domain_daemons = fleet.daemons_in_domain(daemon.failure_domain)
 
     async def _recorded() -> dict[str, float]:
@@ -213,7 +215,7 @@
     return StartLatencies(
         accepted_ms - sent_ms,
         recorded['task.claimed'] - sent_ms,
-        started_ms - sent_ms,
+        server_started_ms - sent_ms,
         recorded['task.started'] - sent_ms,
     )
 
--- a/waxwingford_bench/whole_path/control.py
+++ b/waxwingford_bench/whole_path/control.py
@@ -130,7 +130,7 @@
     process = fleet.run.processes.process_by_name[daemon.daemon_id]
     fleet.run.processes.send(daemon.daemon_id, signal.SIGTERM)
     await process.wait()
-    began_ms = now_ms()
+    started_ms = now_ms()
     await fleet.run.start_daemon(daemon.daemon_id)
 
     async def _ready() -> bool:
@@ -138,9 +138,9 @@
         return code == OK
 
     await wait_until(_ready, _READY_TIMEOUT_S)
-    ready_ms = now_ms() - began_ms
+    ready_ms = now_ms() - started_ms
     listens_ms = next(
-        event.monotonic_ms - began_ms
+        event.monotonic_ms - started_ms
         for event in await fleet.events([daemon])
         if event.kind == 'daemon.started'
     )
--- a/waxwingford_bench/whole_path/fleet.py
+++ b/waxwingford_bench/whole_path/fleet.py
@@ -180,7 +180,7 @@
         )
         if status not in {OK, 201, 202}:
             raise MeasurementFailed(
-                f'job {job_id} was not accepted: {status} {text}'
+                f'{job_id} was not accepted: {status} {text}'
             )
 
     async def attempts(self) -> list[AttemptRun]:
--- a/waxwingford_bench/whole_path/requests.py
+++ b/waxwingford_bench/whole_path/requests.py
@@ -151,13 +151,13 @@
     """
     body = encode_json(ServiceEcho(token=token, key=''))
     for _ in range(_MAX_ATTEMPTS):
-        began_ms = now_ms()
+        started_ms = now_ms()
         async with fleet.run.switches.client.post(
             url, data=body, headers=headers
         ) as answer:
             text = await answer.read()
         if answer.status == OK:
-            return now_ms() - began_ms
+            return now_ms() - started_ms
         if answer.status != _SERVICE_UNAVAILABLE:
             break
         fleet.refusals += 1
@@ -183,11 +183,11 @@
         for _ in range(_CALLS // _CONCURRENCY):
             await call()
 
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     used = await _cpu_ms_during(
         fleet, asyncio.gather(*(_worker() for _ in range(_CONCURRENCY)))
     )
-    elapsed_s = time.monotonic() - began_s
+    elapsed_s = time.monotonic() - started_s
     extra = {
         name: used_ms - idle_ms_per_s[name] * elapsed_s
         for name, used_ms in used.items()
