--- a/waxwingford_bench/storms/cases.py
+++ b/waxwingford_bench/storms/cases.py
@@ -33,7 +33,7 @@
 def _fail_rack(domain: StormDomain) -> None:
     for server_id in list(domain.server_by_id)[:_RACK_SERVERS]:
         domain.server_by_id[server_id].die(domain.now_ms)
-        domain.dead_since_ms[server_id] = domain.now_ms
+        domain.failed_ms_by_server[server_id] = domain.now_ms
         domain.network.cut.update(
             frozenset((daemon_id, server_id))
             for daemon_id in domain.daemon_by_id
@@ -42,7 +42,7 @@
 
 def _restore_rack(domain: StormDomain) -> None:
     domain.network.cut.clear()
-    domain.dead_since_ms.clear()
+    domain.failed_ms_by_server.clear()
 
 
 def _leave_failed(domain: StormDomain) -> None:
--- a/waxwingford_bench/storms/daemon.py
+++ b/waxwingford_bench/storms/daemon.py
@@ -23,7 +23,7 @@
 from waxwingford_bench.virtual.daemon import VirtualDaemon
 from waxwingford_bench.virtual.network import SNAPSHOTS, STREAM
 
-#: As in :mod:`waxwingford.peers`.
+#: Same as in :mod:`waxwingford.peers`.
 _HEARTBEAT_TIMEOUT_MS = 3500
 _LONG_POLL_MS = 1000
 _RECHECK_MS = 10
--- a/waxwingford_bench/storms/domain.py
+++ b/waxwingford_bench/storms/domain.py
@@ -26,7 +26,7 @@
     :ivar pauses: pauses of the daemons' loops.
     :ivar submitters: clients that submit jobs.
     :ivar is_vm_list_unavailable: whether reads of the platform's VM list fail.
-    :ivar dead_since_ms: virtual time of failure by id of each failed server.
+    :ivar failed_ms_by_server: virtual time of failure by id of failed server.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._tick_ms = tick_ms
         self.pauses = pauses
         self.is_vm_list_unavailable = False
-        self.dead_since_ms: dict[str, int] = {}
+        self.failed_ms_by_server: dict[str, int] = {}
         self.network = MeteredNetwork(
             self.time, self.random, self.oracle, self.server_by_id
         )
@@ -67,7 +67,8 @@
             server.vm
             for server_id, server in self.server_by_id.items()
             if self.now_ms
-            < self.dead_since_ms.get(server_id, self.now_ms) + _LIST_LAG_MS
+            < self.failed_ms_by_server.get(server_id, self.now_ms)
+            + _LIST_LAG_MS
         )
 
     def register_submission(self, job: JobSpec) -> int:
@@ -123,7 +124,9 @@
             )
             if server.lease.is_valid(self.now_ms)
         }
-        return len(self.server_by_id.keys() - held - self.dead_since_ms.keys())
+        return len(
+            self.server_by_id.keys() - held - self.failed_ms_by_server.keys()
+        )
 
     def start_daemon(self, daemon: StormDaemon) -> None:
         """Boot a daemon and schedule its ticks and heartbeats.
