--- a/waxwingford/platform/_adapter.py
+++ b/waxwingford/platform/_adapter.py
@@ -42,12 +42,6 @@
     """Ports to the platform, and the HTTP API for its clients."""
 
     def __init__(self, store_address: str, advice_address: str) -> None:
-        """Create the adapter; no connection is opened yet.
-
-        :param store_address: IP address and port of the platform's store.
-        :param advice_address: IP address and port of the advice service, empty
-            if there is none.
-        """
         self._http_client = HttpClient()
         self.advice_client = PlatformAdviceClient(
             self._http_client, advice_address
@@ -106,7 +100,6 @@
     async def serve(self, frontend: ShardFrontend, endpoint: str) -> None:
         """Start the HTTP server for clients.
 
-        :param frontend: executes the requests.
         :param endpoint: IP address and port to listen on.
         """
         self._client_api = ClientApi(frontend)
@@ -148,6 +141,5 @@
     :param store_address: IP address and port of the platform's store.
     :param advice_address: IP address and port of the advice service, empty if
         there is none.
-    :returns: the adapter.
     """
     return UsersPlatform(store_address, advice_address)
--- a/waxwingford/platform/_advice.py
+++ b/waxwingford/platform/_advice.py
@@ -29,7 +29,6 @@
     def __init__(self, http_client: HttpClient, address: str) -> None:
         """Create the client; no connection is opened yet.
 
-        :param http_client: sends the requests.
         :param address: IP address and port of the service, empty if there is
             none.
         """
@@ -41,7 +40,6 @@
     ) -> TicketsIssued | TicketsUnavailable:
         """Request the servers that may run a step.
 
-        :param step_name: name of the step.
         :param server_ids: ids of the candidate servers.
         :returns: tickets by server, or the reason why there are none.
         """
--- a/waxwingford/platform/_client_api.py
+++ b/waxwingford/platform/_client_api.py
@@ -40,10 +40,6 @@
     """Translates between HTTP and the operations of the desk."""
 
     def __init__(self, frontend: ShardFrontend) -> None:
-        """Create the API without a configuration.
-
-        :param frontend: executes the requests.
-        """
         self.configuration: Configuration | None = None
         self.closing = False
         self._frontend = frontend
@@ -51,7 +47,6 @@
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Handle one request.
 
-        :param request: request of a client.
         :returns: the response, with status 503 until a configuration is set.
         """
         response = await self._dispatch(request)
--- a/waxwingford/platform/_http_client.py
+++ b/waxwingford/platform/_http_client.py
@@ -23,7 +23,6 @@
 class HttpResponse:
     """A complete response.
 
-    :ivar status: HTTP status code.
     :ivar body: undecoded response body.
     """
 
@@ -82,10 +81,7 @@
         """Send a GET request.
 
         :param address: IP address and port of the server.
-        :param path: URL path.
-        :param query: URL query parameters.
         :param timeout_s: timeout for the complete response, in seconds.
-        :returns: the response, or the reason why there is none.
         """
         return await self._request(
             'GET', address, path, query, None, {}, timeout_s
@@ -102,11 +98,7 @@
         """Send a POST request with a binary body.
 
         :param address: IP address and port of the server.
-        :param path: URL path.
-        :param query: URL query parameters.
-        :param body: request body.
         :param timeout_s: timeout for the complete response, in seconds.
-        :returns: the response, or the reason why there is none.
         """
         return await self._request(
             'POST', address, path, query, body, {}, timeout_s
@@ -123,11 +115,9 @@
         """Send a POST request with a JSON body.
 
         :param address: IP address and port of the server.
-        :param path: URL path.
         :param content: object to encode as the request body.
         :param headers: headers in addition to the content type.
         :param timeout_s: timeout for the complete response, in seconds.
-        :returns: the response, or the reason why there is none.
         """
         all_headers = {'Content-Type': 'application/json', **headers}
         body = _json_encoder.encode(content)
--- a/waxwingford/platform/_records.py
+++ b/waxwingford/platform/_records.py
@@ -65,7 +65,6 @@
 
     :ivar host: host name in the ``Host`` header.
     :ivar prefix: path prefix, followed by the job id.
-    :ivar queue: name of the queue.
     :ivar timeout_ms: maximum time for one request, 0 for no limit.
     """
 
@@ -114,7 +113,6 @@
     """Body of a submission.
 
     :ivar spec: opaque text that is passed to the tasks unchanged.
-    :ivar steps: steps of the job.
     :ivar start_at_ms: earliest start, in ms of Unix time.
     :ivar interval_ms: time between repetitions, in ms.
     :ivar repeat_count: number of repetitions, 0 for none.
@@ -127,10 +125,7 @@
     repeat_count: int = 0
 
     def step_specs(self) -> tuple[StepSpec, ...]:
-        """Convert the steps to the scheduler's types.
-
-        :returns: specifications of the steps, in order.
-        """
+        """Convert the steps to the scheduler's types."""
         return tuple(map(_step_spec, self.steps))
 
 
@@ -143,7 +138,6 @@
     """Decode a configuration.
 
     :param raw: JSON as stored by the operator.
-    :returns: the configuration.
     :raises msgspec.MsgspecError: if it is no valid configuration.
     """
     config = _config_decoder.decode(raw)
@@ -180,7 +174,6 @@
 
     :param server_id: id of the worker, the key of the record.
     :param raw: JSON as stored by the worker.
-    :returns: the registration.
     :raises ValueError: if it is no valid registration, or its port is out of
         range.
     """
@@ -209,7 +202,6 @@
     """Decode a submission.
 
     :param raw: body of the request, JSON.
-    :returns: the submission.
     :raises msgspec.MsgspecError: if it is no valid submission.
     """
     return _submission_decoder.decode(raw)
--- a/waxwingford/platform/_registrations.py
+++ b/waxwingford/platform/_registrations.py
@@ -23,14 +23,12 @@
     """Decodes registrations and caches the result; skips invalid ones."""
 
     def __init__(self) -> None:
-        """Create an empty cache."""
         self._cached_by_id: dict[str, _CachedEntry] = {}
 
     def read(self, raw_by_id: Mapping[str, bytes]) -> tuple[ServerEntry, ...]:
         """Decode all registrations.
 
         :param raw_by_id: undecoded registrations by server id.
-        :returns: the valid registrations.
         """
         self._cached_by_id = {
             server_id: self._decode_cached(server_id, raw)
--- a/waxwingford/platform/_store.py
+++ b/waxwingford/platform/_store.py
@@ -102,7 +102,6 @@
     def __init__(self, http_client: HttpClient, address: str) -> None:
         """Create the client; no connection is opened yet.
 
-        :param http_client: sends the requests.
         :param address: IP address and port of the store.
         """
         self._http_client = http_client
@@ -126,10 +125,7 @@
     ) -> AppendOutcome:
         """Append records atomically.
 
-        :param topic: name of the topic.
-        :param records: records to append.
         :param fence: conditions of the append, ``None`` for none.
-        :returns: whether the records were stored, were not, or may have been.
         """
         query = {
             'topic': _TOPIC_PREFIX + topic,
@@ -156,10 +152,7 @@
     ) -> ReadOutcome:
         """Read records.
 
-        :param topic: name of the topic.
-        :param from_offset: offset of the first record to read.
         :param wait_ms: time for which the store may wait for a record, in ms.
-        :returns: the records, or the reason why there are none.
         """
         query = {
             'topic': _TOPIC_PREFIX + topic,
@@ -191,9 +184,7 @@
     async def read_newest(self, topic: str, after_key: str) -> NewestOutcome:
         """Read a page of the newest records, ordered by key.
 
-        :param topic: name of the topic.
         :param after_key: last key of the previous page, empty for the first.
-        :returns: the page, or the reason why there is none.
         """
         query = {'topic': _TOPIC_PREFIX + topic, 'part': _PARTITION}
         if after_key:
@@ -294,8 +285,6 @@
     Some topics have other writers, so a malformed record must not prevent the
     following ones from being read.
 
-    :param offset: offset of the record.
-    :param body: encoded record.
     :returns: the record; if it is empty, one that deletes the empty key; bytes
         of the key that are not UTF-8 are replaced.
     """
--- a/waxwingford/platform/_workers.py
+++ b/waxwingford/platform/_workers.py
@@ -81,19 +81,10 @@
     """Client of all workers of the platform."""
 
     def __init__(self, http_client: HttpClient) -> None:
-        """Create the client; no connection is opened yet.
-
-        :param http_client: sends the requests.
-        """
         self._http_client = http_client
 
     async def start(self, address: Address, order: StartOrder) -> OrderOutcome:
-        """Send an order to start a run, without retries.
-
-        :param address: address and id of the server.
-        :param order: run to start, with its lease and fencing token.
-        :returns: whether the order was accepted, rejected or lost.
-        """
+        """Send an order to start a run, without retries."""
         content = {
             'task': str(order.run.task),
             'run-id': order.run.run,
@@ -112,10 +103,7 @@
     ) -> OrderOutcome:
         """Stop a run; the server rejects a later start of the same run.
 
-        :param address: address and id of the server.
-        :param run: run to stop.
         :param fencing_token: fencing token of the shard's owner.
-        :returns: whether the order was accepted, rejected or lost.
         """
         content = {
             'task': str(run.task),
@@ -129,11 +117,8 @@
     ) -> OrderOutcome:
         """Limit the speed of a run.
 
-        :param address: address and id of the server.
-        :param run: run to limit.
         :param percent: share of its full speed, 0 to 100.
         :param fencing_token: fencing token of the shard's owner.
-        :returns: whether the order was accepted, rejected or lost.
         """
         content = {
             'task': str(run.task),
@@ -146,7 +131,6 @@
     async def poll(self, address: Address, order: PollOrder) -> PollOutcome:
         """Extend the lease of a server and list its runs.
 
-        :param address: address and id of the server.
         :param order: lease, last acknowledged end, and long-poll time.
         :returns: the running and ended runs, or the reason why there are none.
         """
@@ -205,7 +189,6 @@
     """Parse the name of a task.
 
     :param name: job id, repetition, step and index, separated by dots.
-    :returns: the key.
     :raises ValueError: if the name has another form.
     """
     job_id, occurrence, step, index = name.split('.')
--- a/waxwingford/platform/tests/faulty_worker_steps.py
+++ b/waxwingford/platform/tests/faulty_worker_steps.py
@@ -100,7 +100,6 @@
     """Listen with a full backlog, so that new connections hang.
 
     :param context: scenario context that closes the sockets.
-    :returns: address of the listener.
     """
     listener = socket.create_server((HOST, 0), backlog=0)
     context.add_cleanup(listener.close)
--- a/waxwingford/scheduler/_daemon.py
+++ b/waxwingford/scheduler/_daemon.py
@@ -44,10 +44,7 @@
     """A daemon: API for clients, membership in the shard, readiness."""
 
     def __init__(self, settings: SchedulerSettings) -> None:
-        """Assemble the daemon; nothing is started yet.
-
-        :param settings: validated settings.
-        """
+        """Assemble the daemon; nothing is started yet."""
         load_plugins([settings.store.adapter])
         open_platform = scheduler_platforms.get(settings.store.adapter)
         self._settings = settings
@@ -129,10 +126,7 @@
         _log.info('settings kept: they are read at the start only')
 
     def apply_terms(self, terms: Terms) -> None:
-        """Apply a configuration and record that the store has responded.
-
-        :param terms: configuration as read from the store.
-        """
+        """Apply a configuration and record that the store has responded."""
         self._last_read_s = asyncio.get_running_loop().time()
         if self._store_lost:
             self._store_lost = False
--- a/waxwingford/scheduler/_logs.py
+++ b/waxwingford/scheduler/_logs.py
@@ -34,10 +34,7 @@
     """Writes lines to a descriptor without blocking."""
 
     def __init__(self, descriptor: int) -> None:
-        """Make a descriptor non-blocking and write to it.
-
-        :param descriptor: file descriptor of the output.
-        """
+        """Make a descriptor non-blocking and write to it."""
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._buffer = bytearray()
@@ -73,12 +70,6 @@
     def __init__(
         self, settings: Logging, daemon_id: str, writer: NonBlockingWriter
     ):
-        """Create the handler.
-
-        :param settings: logging settings, with the minimum level.
-        :param daemon_id: id of the daemon, written in each line.
-        :param writer: writes the lines.
-        """
         super().__init__(level=settings.level.upper())
         self._daemon_id = daemon_id
         self._writer = writer
@@ -151,6 +142,5 @@
     :param settings: logging settings, with the minimum level.
     :param daemon_id: id of the daemon, written in each line.
     :param descriptor: file descriptor of the output.
-    :returns: handler that writes JSON lines.
     """
     return JsonLineHandler(settings, daemon_id, NonBlockingWriter(descriptor))
