--- a/waxwingford/shard/_claims.py
+++ b/waxwingford/shard/_claims.py
@@ -49,7 +49,6 @@
 
         :param writer: writer of the journal under the epoch of the claim.
         :param journal: complete copy from which the claim was decided.
-        :param record: the new owner.
         """
         self._writer = writer
         self._journal = journal
--- a/waxwingford/shard/_clocks.py
+++ b/waxwingford/shard/_clocks.py
@@ -22,7 +22,5 @@
     The age of a proof of ownership is measured with it: by the event loop's
     clock a daemon that resumes would extend leases that its successor takes
     for expired.
-
-    :returns: milliseconds since the VM booted.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NS_IN_MS
--- a/waxwingford/shard/_commits.py
+++ b/waxwingford/shard/_commits.py
@@ -20,7 +20,6 @@
     ) -> None:
         """Create a committer without pending work.
 
-        :param engine: engine whose decisions are stored.
         :param writer: writer of the journal under the owner's epoch.
         :param fleet: carries out stored decisions.
         """
@@ -60,7 +59,6 @@
     """Split the rows of a batch by the size limit of an append.
 
     :param rows: rows of one batch, which is carried out once all are stored.
-    :returns: rows of each append.
     """
     part: list[KeyedRecord] = []
     part_bytes = 0
--- a/waxwingford/shard/_drivers.py
+++ b/waxwingford/shard/_drivers.py
@@ -57,13 +57,10 @@
 class DriverPorts:
     """Dependencies that all drivers of an owner share.
 
-    :ivar backend_client: client of the backend servers.
     :ivar ownership_proven: returns whether ownership of the shard is proven
         recently enough to grant leases.
-    :ivar wait_until_proven: waits until ownership is proven.
     :ivar on_answer: called after an answer to a start, a stop or a poll.
     :ivar on_task_done: done callback of each asyncio task of a driver.
-    :ivar loop_lag_s: returns the lag of the event loop, in seconds.
     """
 
     backend_client: BackendClient
@@ -83,12 +80,7 @@
     def __init__(
         self, server: Server, engine: Engine, ports: DriverPorts
     ) -> None:
-        """Start polling a server.
-
-        :param server: state of the server in the engine.
-        :param engine: engine that handles the answers.
-        :param ports: dependencies that all drivers share.
-        """
+        """Start polling a server."""
         self.server = server
         self._engine = engine
         self._backend_client = ports.backend_client
@@ -123,18 +115,12 @@
         self.wake()
 
     def stop(self, key: RunKey) -> None:
-        """Send an order to stop a run.
-
-        :param key: key of the run.
-        """
+        """Send an order to stop a run."""
         self._spawn(self._stop(key))
         self.wake()
 
     def pace(self, order: Pace) -> None:
-        """Send a change of pace.
-
-        :param order: run and its new pace.
-        """
+        """Send a change of pace."""
         self._spawn(self._pace(order))
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
@@ -159,7 +145,6 @@
         granted without a proof of ownership could outlast the time that a
         successor waits, and the task would run twice.
 
-        :param run: run whose record is stored.
         :returns: whether the start was sent or is no longer needed.
         """
         # Before the check: if the VM is suspended in between, the lease is
@@ -260,11 +245,6 @@
                 break
 
     async def _wait_for_wake(self, timeout_s: float) -> bool:
-        """Wait until ``wake`` is called.
-
-        :param timeout_s: longest wait, in seconds.
-        :returns: whether it was called in time.
-        """
         self._wake_event.clear()
         try:
             await asyncio.wait_for(self._wake_event.wait(), timeout_s)
--- a/waxwingford/shard/_frontend.py
+++ b/waxwingford/shard/_frontend.py
@@ -52,13 +52,6 @@
         link: OwnerLink,
         observer: Observer,
     ) -> None:
-        """Serve callers of a shard.
-
-        :param log: shared log that stores the shard.
-        :param member: this daemon's membership in the shard.
-        :param link: connection to the owner on another daemon.
-        :param observer: log and metrics of the daemon.
-        """
         self._member = member
         self._intake = Intake(log)
         self._link = link
@@ -69,9 +62,7 @@
     async def submit(self, spec: JobSpec, deadline_s: float) -> IntakeOutcome:
         """Store a job.
 
-        :param spec: job as submitted.
         :param deadline_s: loop time at which the caller's request times out.
-        :returns: whether the job is stored.
         """
         started_ms = monotonic_ms()
         outcome = await self._store(JobRow(encode_spec(spec)), deadline_s)
@@ -83,7 +74,6 @@
     ) -> IntakeOutcome | CancelNotKnown | NotAnswered:
         """Store the cancellation of a job that exists.
 
-        :param job_id: id of the job.
         :param deadline_s: loop time at which the caller's request times out.
         :returns: whether the cancellation is stored, or that there is no such
             job, or that this could not be determined.
@@ -96,7 +86,6 @@
     async def phase(self, job_id: str) -> JobAnswer:
         """Look up the phase of a job.
 
-        :param job_id: id of the job.
         :returns: answer of the owner, or of the store if the owner gives none.
         """
         final = self._final_phase_by_job.get(job_id)
@@ -120,7 +109,6 @@
     async def pending(self, queue: str) -> int | None:
         """Count the jobs of a queue that have not started.
 
-        :param queue: name of the queue.
         :returns: number of jobs, ``None`` if neither owner nor store answers.
         """
         count = self.local_pending(queue)
@@ -132,11 +120,7 @@
         return count
 
     async def local_phase(self, job_id: str) -> JobAnswer:
-        """Look up the phase of a job if this daemon owns the shard.
-
-        :param job_id: id of the job.
-        :returns: answer of the local owner.
-        """
+        """Look up the phase of a job if this daemon owns the shard."""
         owner = self._member.owner
         if owner is None or not owner.ready:
             return NotAnswered('this daemon does not own the shard')
@@ -145,7 +129,6 @@
     def local_pending(self, queue: str) -> int | None:
         """Count the jobs that have not started if this daemon owns the shard.
 
-        :param queue: name of the queue.
         :returns: number of jobs, ``None`` if another daemon is the owner.
         """
         owner = self._member.owner
@@ -158,9 +141,7 @@
     ) -> IntakeOutcome:
         """Append a job or a cancellation to the intake from this daemon.
 
-        :param row: job or cancellation to store.
         :param deadline_s: loop time at which the caller's request times out.
-        :returns: whether the row is stored.
         """
         outcome = await self._intake.store(row, deadline_s)
         owner = self._member.owner
@@ -187,10 +168,6 @@
         The owner batches the rows of all daemons into one append and need not
         read them back. A row that is stored both ways counts once, as rows are
         keyed by job.
-
-        :param row: job or cancellation to store.
-        :param deadline_s: loop time at which the caller's request times out.
-        :returns: whether the row is stored.
         """
         match self._member.intake_route:
             case IntakeRoute.none:
--- a/waxwingford/shard/_heartbeats.py
+++ b/waxwingford/shard/_heartbeats.py
@@ -38,10 +38,8 @@
     ) -> None:
         """Create a sender; ``run`` sends the heartbeats.
 
-        :param log: the store.
         :param record: record of the owner, completed in each heartbeat.
         :param since_boot_ms: clock in ms that includes time in suspension.
-        :param ledger: provides the lease fields of heartbeats.
         """
         self._since_boot_ms = since_boot_ms
         self._ledger = ledger
--- a/waxwingford/shard/_intake.py
+++ b/waxwingford/shard/_intake.py
@@ -37,20 +37,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotStored:
-    """The row is not stored and will not be.
-
-    :ivar reason: cause of the failure.
-    """
+    """The row is not stored and will not be."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MayBeStored:
-    """The row may or may not be stored.
-
-    :ivar reason: why the outcome is unknown.
-    """
+    """The row may or may not be stored."""
 
     reason: str
 
@@ -70,10 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelRow:
-    """A cancellation to append to the intake.
-
-    :ivar job_id: id of the job to cancel.
-    """
+    """A cancellation to append to the intake."""
 
     job_id: str
 
@@ -98,10 +89,6 @@
     """
 
     def __init__(self, log: SharedLog) -> None:
-        """Use a shared log.
-
-        :param log: shared log that holds the intake.
-        """
         self._log = log
         self._waiting: list[_PendingRow] = []
         self._flush_task: asyncio.Task[None] | None = None
@@ -109,9 +96,7 @@
     async def store(self, row: IntakeRow, deadline_s: float) -> IntakeOutcome:
         """Store a job or a cancellation.
 
-        :param row: job or cancellation to store.
         :param deadline_s: loop time at which the caller's request times out.
-        :returns: whether the row is stored.
         """
         if not self._log.responsive:
             # An attempt could end with an unknown outcome. Without one the
@@ -154,12 +139,7 @@
     def _entries_to_retry(
         self, batch: list[_PendingRow], outcome: AppendOutcome
     ) -> list[_PendingRow]:
-        """Record a failed attempt and resolve rows that are not retried.
-
-        :param batch: rows of the append.
-        :param outcome: outcome of the append.
-        :returns: rows to retry.
-        """
+        """Record a failed attempt and resolve rows that are not retried."""
         to_retry: list[_PendingRow] = []
         retry_at_s = asyncio.get_running_loop().time() + RETRY_DELAY_S
         for entry in batch:
--- a/waxwingford/shard/_intake_cleaner.py
+++ b/waxwingford/shard/_intake_cleaner.py
@@ -22,11 +22,6 @@
     """Deletes jobs, and their cancellations, once the journal has their end."""
 
     def __init__(self, log: SharedLog, engine: Engine) -> None:
-        """Use a shared log and an engine.
-
-        :param log: shared log that holds the intake.
-        :param engine: engine that knows which jobs have ended.
-        """
         self._log = log
         self._engine = engine
         self._deleted: set[str] = set()
--- a/waxwingford/shard/_intake_reader.py
+++ b/waxwingford/shard/_intake_reader.py
@@ -27,10 +27,6 @@
     """Reads the intake and follows what is appended to it."""
 
     def __init__(self, log: SharedLog) -> None:
-        """Use a shared log.
-
-        :param log: shared log that holds the intake.
-        """
         self._log = log
         self._mirror = Mirror(log, INTAKE_TOPIC)
 
@@ -80,7 +76,6 @@
     ) -> None:
         """Apply new rows to an engine until cancelled.
 
-        :param engine: engine that takes jobs and cancellations.
         :param on_change: called after each read that returned rows.
         """
         while True:
@@ -97,7 +92,6 @@
         It is independent of ``follow``, which reads the same rows again; the
         engine skips jobs that it knows.
 
-        :param engine: engine that takes jobs and cancellations.
         :returns: whether the end was reached.
         """
         mirror = Mirror(self._log, INTAKE_TOPIC)
--- a/waxwingford/shard/_journal.py
+++ b/waxwingford/shard/_journal.py
@@ -42,12 +42,10 @@
 class OwnerRecord(msgspec.Struct, frozen=True, omit_defaults=True):
     """Owner of a shard, as stored in the journal and sent as heartbeat.
 
-    :ivar daemon_id: id of the owner's daemon.
     :ivar epoch: epoch of its appends; also its fencing token at servers.
     :ivar endpoint: IP address and port at which it answers other daemons.
     :ivar beat: number of the heartbeat within the epoch.
     :ivar resigned: whether it has stopped, so that a successor need not wait.
-    :ivar failure_domain: failure domain of its daemon.
     :ivar cut_off: whether it resigned because it could not reach most servers
         or could not read the intake.
     :ivar silent: unresponsive servers, with the time in ms for which tasks may
@@ -86,20 +84,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimFailed:
-    """The claim was rejected, or its outcome is unknown.
-
-    :ivar reason: cause, for the log.
-    """
+    """The claim was rejected, or its outcome is unknown."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimOvertaken:
-    """Another daemon has claimed the shard since the claim was decided.
-
-    :ivar epoch: epoch of that daemon.
-    """
+    """Another daemon has claimed the shard since the claim was decided."""
 
     epoch: int
 
@@ -119,7 +111,6 @@
 def encode_owner(record: OwnerRecord) -> bytes:
     """Encode the record of an owner.
 
-    :param record: the record.
     :returns: its MessagePack encoding.
     """
     return _encoder.encode(record)
@@ -148,7 +139,6 @@
 def next_epoch(highest_seen: int) -> int:
     """Choose an epoch for a claim.
 
-    :param highest_seen: highest epoch seen.
     :returns: a higher epoch, which other daemons are unlikely to choose.
     """
     count = (highest_seen >> EPOCH_RANDOM_BITS) + 1
@@ -159,12 +149,6 @@
     """Appends to a topic under an epoch, one append at a time."""
 
     def __init__(self, log: SharedLog, topic: str, epoch: int) -> None:
-        """Create a writer before its first append.
-
-        :param log: the store.
-        :param topic: name of the topic.
-        :param epoch: epoch of the owner.
-        """
         self._log = log
         self._topic = topic
         self._epoch = epoch
@@ -179,8 +163,6 @@
         Every call is an attempt of the same append: at most one is stored.
 
         :param expected_end: offset at which the topic ended when it was read.
-        :param record: the new owner.
-        :returns: outcome of this attempt.
         """
         rows = (KeyedRecord(OWNER_KEY, encode_owner(record)),)
         fence = Fence(self._epoch, CLAIM_SEQUENCE, expected_end)
@@ -196,7 +178,6 @@
     async def append(self, rows: tuple[KeyedRecord, ...]) -> Appended | Deposed:
         """Append, and retry until the outcome is known.
 
-        :param rows: records to append.
         :returns: whether they are stored or this owner was deposed.
         """
         # An append that was cancelled in flight may have been applied. With the
--- a/waxwingford/shard/_lease_bounds.py
+++ b/waxwingford/shard/_lease_bounds.py
@@ -48,13 +48,7 @@
 
 
 class LeaseReport(NamedTuple):
-    """Fields of a heartbeat that describe leases, see ``OwnerRecord``.
-
-    :ivar silent: remaining time of leases on unresponsive servers, in ms.
-    :ivar rest_ms: remaining time of leases on all other servers, in ms, while
-        the owner has not begun to extend leases.
-    :ivar read_to: offset of the heartbeats from which that was computed.
-    """
+    """Fields of a heartbeat that describe leases, see ``OwnerRecord``."""
 
     silent: dict[str, int]
     rest_ms: int | None = None
@@ -70,7 +64,6 @@
     :param first_end: offset after the new owner's first heartbeat, from which
         on the store refuses heartbeats of previous owners.
     :param now_ms: monotonic time at which that heartbeat was acknowledged.
-    :param lease_ms: duration of leases.
     :returns: bounds in this daemon's monotonic time.
     """
     record = predecessor.record
@@ -118,11 +111,6 @@
     """
 
     def __init__(self, predecessor: Predecessor, lease_ms: int) -> None:
-        """Create a ledger before the first heartbeat.
-
-        :param predecessor: newest heartbeat that was read before the claim.
-        :param lease_ms: duration of leases.
-        """
         self.first_stored = asyncio.Event()
         self.extending = asyncio.Event()
         self.inherited = InheritedLeases(0, {})
@@ -131,10 +119,7 @@
         self._engine: Engine | None = None
 
     async def wait_first_stored(self, stopped: asyncio.Event) -> None:
-        """Wait until previous owners cannot extend leases, or until stopped.
-
-        :param stopped: set when this owner has stopped.
-        """
+        """Wait until previous owners cannot extend leases, or until stopped."""
         waits = [
             asyncio.ensure_future(event.wait())
             for event in (self.first_stored, stopped)
@@ -160,8 +145,6 @@
 
         From this call on, leases on the servers reported as silent are not
         extended.
-
-        :returns: lease fields of the next heartbeat.
         """
         now_ms = monotonic_ms()
         if self._engine is not None:
@@ -187,7 +170,6 @@
     def heartbeat_stored(self, report: LeaseReport, end: int) -> None:
         """Process the acknowledgement of a heartbeat.
 
-        :param report: lease fields of the heartbeat.
         :param end: offset after the heartbeat.
         """
         if not self.first_stored.is_set():
--- a/waxwingford/shard/_log_port.py
+++ b/waxwingford/shard/_log_port.py
@@ -23,7 +23,6 @@
     """A record as read from a topic.
 
     :ivar offset: position in the topic.
-    :ivar key: key of the record.
     :ivar payload: content; ``None`` if the key was deleted.
     """
 
@@ -168,10 +167,7 @@
     ) -> AppendOutcome:
         """Append records atomically.
 
-        :param topic: name of the topic.
-        :param records: records to append.
         :param fence: conditions, ``None`` for an unconditional append.
-        :returns: the outcome, as far as it is known.
         """
         ...
 
@@ -180,18 +176,13 @@
     ) -> ReadOutcome:
         """Read records in offset order.
 
-        :param topic: name of the topic.
-        :param from_offset: first offset to read.
         :param wait_ms: long poll: time that the store may wait for a record.
-        :returns: the records, or why there are none.
         """
         ...
 
     async def read_newest(self, topic: str, after_key: str) -> NewestOutcome:
         """Read a page of the newest records in key order.
 
-        :param topic: name of the topic.
         :param after_key: last key of the previous page, empty for the first.
-        :returns: the page, or why there is none.
         """
         ...
--- a/waxwingford/shard/_loop_lag.py
+++ b/waxwingford/shard/_loop_lag.py
@@ -23,13 +23,9 @@
 
 
 class LoopLag:
-    """Moving average of the lag of the event loop.
-
-    :ivar mean_s: mean lag, in seconds.
-    """
+    """Moving average of the lag of the event loop."""
 
     def __init__(self) -> None:
-        """Start without lag."""
         self.mean_s: float = 0
 
     @property
@@ -59,7 +55,6 @@
     def __init__(self, observer: Observer, cores: float) -> None:
         """Use an observer.
 
-        :param observer: log of the daemon.
         :param cores: processor capacity of the owner's VM, in standard cores.
         """
         self._observer = observer
@@ -70,7 +65,6 @@
         """Log an event if the owner is overloaded and none was logged recently.
 
         :param epoch: epoch of the owner.
-        :param lag: lag of its event loop.
         """
         now_ms = monotonic_ms()
         if lag.acceptable or now_ms - self._logged_ms < LOG_INTERVAL_MS:
--- a/waxwingford/shard/_member.py
+++ b/waxwingford/shard/_member.py
@@ -71,11 +71,7 @@
     ) -> None:
         """Create a member; ``stand_by`` starts it.
 
-        :param daemon_id: id of this daemon.
-        :param failure_domain: failure domain of this daemon.
-        :param log: the store.
         :param make_owner: creates an owner that has not claimed yet.
-        :param observer: logs and metrics.
         :param cores: processor of this daemon's VM, in reference cores.
         """
         self._cores = cores
@@ -102,18 +98,12 @@
 
     @property
     def knows_owner(self) -> bool:
-        """Whether the shard had an owner that has not resigned.
-
-        :returns: whether there is an owner, which may be lost.
-        """
+        """Whether the shard had an owner that has not resigned."""
         return not self._watch.unowned
 
     @property
     def intake_route(self) -> IntakeRoute:
-        """Which daemon may append a submitted job to the intake.
-
-        :returns: the permitted daemons.
-        """
+        """Which daemon may append a submitted job to the intake."""
         if self.owner is not None or not self._watch.store_slow:
             return IntakeRoute.either
         return (
@@ -123,10 +113,7 @@
         )
 
     def configure(self, terms: Terms) -> None:
-        """Apply a configuration.
-
-        :param terms: the new configuration.
-        """
+        """Apply a configuration."""
         self.terms = terms
         if self.owner is not None:
             self.owner.configure(terms)
--- a/waxwingford/shard/_mirror.py
+++ b/waxwingford/shard/_mirror.py
@@ -30,7 +30,6 @@
 class _Pages:
     """Pages of newest records read so far.
 
-    :ivar records: records of these pages.
     :ivar first_end: offset at which the topic ended at the first page.
     :ivar after_key: last key of these pages.
     :ivar complete: whether no further key follows.
@@ -42,10 +41,7 @@
     complete: bool = False
 
     def add(self, page: NewestPage) -> None:
-        """Add the next page.
-
-        :param page: the page after ``after_key``.
-        """
+        """Add the next page."""
         if self.first_end is None:
             self.first_end = page.end
         self.records.extend(page.records)
@@ -63,17 +59,10 @@
     load that failed at one page to resume there.
 
     :ivar payload_by_key: the copy.
-    :ivar next_offset: offset of the next read.
-    :ivar pages_read: number of pages read so far.
     :ivar behind: whether the topic extends beyond what the last read returned.
     """
 
     def __init__(self, log: SharedLog, topic: str) -> None:
-        """Create an empty copy.
-
-        :param log: the store.
-        :param topic: name of the topic.
-        """
         self.payload_by_key: dict[str, bytes] = {}
         self.next_offset = 0
         self.pages_read = 0
@@ -92,7 +81,6 @@
         One call may return only part of the new records, see ``behind``.
 
         :param wait_ms: long poll: time that the store may wait for a record.
-        :returns: the changes, or why the store gave none.
         """
         if not self._loaded:
             return await self._load()
@@ -131,16 +119,12 @@
     def offset_of(self, key: str) -> int:
         """Find the newest record of a key.
 
-        :param key: key of the record.
         :returns: offset of the record, -1 if there is none.
         """
         return self._offset_by_key.get(key, -1)
 
     def follow_from(self, offset: int) -> None:
-        """Follow the topic without loading earlier records.
-
-        :param offset: first offset to read.
-        """
+        """Follow the topic without loading earlier records."""
         self.next_offset = offset
         self._loaded = True
 
--- a/waxwingford/shard/_observer.py
+++ b/waxwingford/shard/_observer.py
@@ -11,16 +11,9 @@
 
 
 class Observer:
-    """Logs events and counts them.
-
-    :ivar metrics: metrics of the daemon.
-    """
+    """Logs events and counts them."""
 
     def __init__(self, metrics: Metrics) -> None:
-        """Use metrics.
-
-        :param metrics: metrics of the daemon.
-        """
         self.metrics = metrics
 
     def record_event(self, event: str, **fields: object) -> None:
--- a/waxwingford/shard/_owner.py
+++ b/waxwingford/shard/_owner.py
@@ -61,8 +61,6 @@
 class OwnerSettings:
     """Identity and settings of an owner.
 
-    :ivar daemon_id: id of its daemon.
-    :ivar failure_domain: failure domain of its daemon.
     :ivar endpoint: IP address and port at which it answers other daemons.
     :ivar lease_ms: duration of leases granted to servers.
     :ivar cores: processor of its VM, in reference cores.
@@ -79,11 +77,7 @@
 class OwnerPorts:
     """Ports through which an owner acts.
 
-    :ivar log: the store.
-    :ivar backend_client: client of backend servers.
     :ivar directory: registrations of backend servers.
-    :ivar advice_client: client of the advice service.
-    :ivar observer: logs and metrics.
     :ivar since_boot_ms: clock in ms that includes time in suspension.
     """
 
@@ -108,12 +102,6 @@
     def __init__(
         self, settings: OwnerSettings, ports: OwnerPorts, terms: Terms
     ) -> None:
-        """Create an owner that has not claimed yet.
-
-        :param settings: identity and settings.
-        :param ports: ports through which it acts.
-        :param terms: configuration in force.
-        """
         self.ready = False
         self.stopped = asyncio.Event()
         self.epoch = 0
@@ -133,12 +121,7 @@
     async def claim(
         self, predecessor: Predecessor, highest_epoch: int
     ) -> ClaimOutcome:
-        """Claim the shard and take it over.
-
-        :param predecessor: newest heartbeat that was read.
-        :param highest_epoch: highest epoch that was seen.
-        :returns: whether this daemon owns the shard.
-        """
+        """Claim the shard and take it over."""
         log = self._ports.log
         journal = Mirror(log, JOURNAL_TOPIC)
         read = await journal.catch_up()
@@ -191,20 +174,14 @@
         return claimed
 
     def configure(self, terms: Terms) -> None:
-        """Apply a configuration.
-
-        :param terms: the new configuration.
-        """
+        """Apply a configuration."""
         self._terms = terms
         if self.ready:
             self._engine.configure(terms)
             self._decision_due.set()
 
     def apply_stored(self, row: IntakeRow) -> None:
-        """Apply a row that this daemon stored, before it is read back.
-
-        :param row: a job or a cancellation.
-        """
+        """Apply a row that this daemon stored, before it is read back."""
         match row:
             case JobRow(raw):
                 self._engine.submit(decode_spec(raw), monotonic_ms())
@@ -215,7 +192,6 @@
     async def phase(self, job_id: str) -> JobAnswer:
         """Look up the phase of a job.
 
-        :param job_id: id of the job.
         :returns: the phase. A job is only reported as unknown after the intake
             was read to its end.
         """
@@ -227,11 +203,7 @@
         return JobNotKnown() if found is None else JobKnown(found)
 
     def pending(self, queue: str) -> int:
-        """Count the jobs of a queue that have not started.
-
-        :param queue: name of the queue.
-        :returns: number of jobs.
-        """
+        """Count the jobs of a queue that have not started."""
         return self._engine.state.pending(queue)
 
     async def resign(
@@ -267,8 +239,6 @@
 
         Otherwise it would send heartbeats that prevent a takeover, while
         nothing is placed or stored.
-
-        :param task: the task that has ended.
         """
         if task.cancelled() or task.exception() is None:
             return
@@ -407,7 +377,6 @@
     ) -> None:
         """Run a coroutine that returns when this owner is deposed.
 
-        :param coroutine: the coroutine.
         :param reason: cause of the stop, for the log.
         """
         await coroutine
--- a/waxwingford/shard/_peers.py
+++ b/waxwingford/shard/_peers.py
@@ -38,10 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobKnown:
-    """The job is stored.
-
-    :ivar phase: phase of the job.
-    """
+    """The job is stored."""
 
     phase: JobPhase
 
@@ -53,10 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotAnswered:
-    """It could not be determined whether the job is stored.
-
-    :ivar reason: cause of the failure.
-    """
+    """It could not be determined whether the job is stored."""
 
     reason: str
 
@@ -68,17 +62,12 @@
     """Local handler of calls by other daemons."""
 
     async def local_phase(self, job_id: str) -> JobAnswer:
-        """Look up the phase of a job if this daemon owns the shard.
-
-        :param job_id: id of the job.
-        :returns: answer of the local owner.
-        """
+        """Look up the phase of a job if this daemon owns the shard."""
         ...
 
     def local_pending(self, queue: str) -> int | None:
         """Count the jobs that have not started if this daemon owns the shard.
 
-        :param queue: name of the queue.
         :returns: number of jobs, ``None`` if another daemon is the owner.
         """
         ...
@@ -88,9 +77,7 @@
     ) -> IntakeOutcome:
         """Append a job or a cancellation to the intake from this daemon.
 
-        :param row: job or cancellation to store.
         :param deadline_s: loop time at which the caller's request times out.
-        :returns: whether the row is stored.
         """
         ...
 
@@ -99,17 +86,10 @@
     """gRPC service for the other daemons of the shard."""
 
     def __init__(self, handler: QueryHandler) -> None:
-        """Use a handler.
-
-        :param handler: local handler of the calls.
-        """
         self._handler = handler
 
     async def JobState(self, stream: Stream) -> None:  # noqa: N802
-        """Report the phase of a job.
-
-        :param stream: stream of the call.
-        """
+        """Report the phase of a job."""
         request = await stream.recv_message()
         match await self._handler.local_phase(request.job_id):
             case JobKnown(phase):
@@ -121,10 +101,7 @@
         await stream.send_message(reply)
 
     async def Pending(self, stream: Stream) -> None:  # noqa: N802
-        """Report the number of jobs of a queue that have not started.
-
-        :param stream: stream of the call.
-        """
+        """Report the number of jobs of a queue that have not started."""
         request = await stream.recv_message()
         count = self._handler.local_pending(request.queue)
         await stream.send_message(
@@ -132,10 +109,7 @@
         )
 
     async def Store(self, stream: Stream) -> None:  # noqa: N802
-        """Append a job or a cancellation to the intake for another daemon.
-
-        :param stream: stream of the call.
-        """
+        """Append a job or a cancellation to the intake for another daemon."""
         request = await stream.recv_message()
         row = (
             CancelRow(request.cancel_job_id)
@@ -154,7 +128,6 @@
     """Connection to the daemon that owns the shard."""
 
     def __init__(self) -> None:
-        """Start without a connection."""
         self._endpoint = ''
         self._channel: Channel | None = None
 
@@ -168,8 +141,6 @@
         """Ask the owner for the phase of a job.
 
         :param endpoint: IP address and port of the owner.
-        :param job_id: id of the job.
-        :returns: answer of the owner, or why there is none.
         """
         request = wire.JobStateRequest(job_id=job_id)
         try:
@@ -188,7 +159,6 @@
         """Ask the owner for the number of jobs that have not started.
 
         :param endpoint: IP address and port of the owner.
-        :param queue: name of the queue.
         :returns: number of jobs, ``None`` without an answer of the owner.
         """
         request = wire.PendingRequest(queue=queue)
@@ -207,9 +177,7 @@
         """Have the owner store a job or a cancellation.
 
         :param endpoint: IP address and port of the owner.
-        :param row: job or cancellation to store.
         :param left_s: time until the call has to end, in seconds.
-        :returns: whether the row is stored.
         """
         if left_s <= 0:
             return NotStored('timed out before the owner was called')
@@ -265,9 +233,7 @@
 async def serve_queries(handler: QueryHandler, host: str, port: int) -> Server:
     """Serve calls by other daemons.
 
-    :param handler: local handler of the calls.
     :param host: IP address to listen on.
-    :param port: port to listen on.
     :returns: running server, which the caller closes.
     """
     server = Server([QueryService(handler)])
--- a/waxwingford/shard/_platform_port.py
+++ b/waxwingford/shard/_platform_port.py
@@ -15,8 +15,6 @@
     """Adapter to a platform.
 
     :ivar log: shared log that stores the shards.
-    :ivar backend_client: client of the backend servers.
-    :ivar advice_client: client of the advice service.
     """
 
     log: SharedLog
@@ -36,7 +34,6 @@
     async def serve(self, frontend: ShardFrontend, endpoint: str) -> None:
         """Serve callers.
 
-        :param frontend: handler of their requests.
         :param endpoint: IP address and port to listen on.
         """
         ...
--- a/waxwingford/shard/_server_drivers.py
+++ b/waxwingford/shard/_server_drivers.py
@@ -40,12 +40,6 @@
         ports: DriverPorts,
         directory: RegistrationSource,
     ) -> None:
-        """Start without drivers.
-
-        :param engine: engine whose servers are driven.
-        :param ports: dependencies that the drivers share.
-        :param directory: source of the registrations.
-        """
         self._engine = engine
         self._ports = ports
         self._directory = directory
@@ -106,7 +100,6 @@
     def send_starts(self, batch: Batch, starts: list[Start]) -> None:
         """Send the starts of a stored batch, and resume polls that wait for it.
 
-        :param batch: batch that is stored.
         :param starts: starts in it that are still needed.
         """
         for start in starts:
--- a/waxwingford/shard/_store_view.py
+++ b/waxwingford/shard/_store_view.py
@@ -28,10 +28,6 @@
     """Local copies of the intake and the journal, updated before each query."""
 
     def __init__(self, log: SharedLog) -> None:
-        """Start with empty copies.
-
-        :param log: shared log that stores the shard.
-        """
         self._intake = Mirror(log, INTAKE_TOPIC)
         self._journal = Mirror(log, JOURNAL_TOPIC)
         self._lock = asyncio.Lock()
@@ -39,7 +35,6 @@
     async def phase(self, job_id: str) -> JobAnswer:
         """Look up the phase of a job.
 
-        :param job_id: id of the job.
         :returns: phase by the stored records, or why it can't be determined.
         """
         if not await self._catch_up():
@@ -60,7 +55,6 @@
     async def pending(self, queue: str) -> int | None:
         """Count the jobs of a queue that have not started.
 
-        :param queue: name of the queue.
         :returns: number of jobs, ``None`` if the store can't be read.
         """
         if not await self._catch_up():
--- a/waxwingford/shard/_ticket_requests.py
+++ b/waxwingford/shard/_ticket_requests.py
@@ -21,7 +21,6 @@
     """Answer of the advice service.
 
     :ivar ticket_by_server: start ticket of each eligible server.
-    :ivar validity_ms: validity of the tickets, in ms.
     """
 
     ticket_by_server: dict[str, str]
@@ -30,10 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TicketsUnavailable:
-    """The advice service gave no answer.
-
-    :ivar reason: cause of the failure.
-    """
+    """The advice service gave no answer."""
 
     reason: str
 
@@ -46,7 +42,6 @@
     ) -> TicketsIssued | TicketsUnavailable:
         """Ask which servers may run a step.
 
-        :param step_name: name of the step.
         :param server_ids: ids of the candidate servers.
         :returns: tickets of the eligible servers, or why there is no answer.
         """
@@ -57,11 +52,6 @@
     """Passes requests of the engine to the advice service, and answers back."""
 
     def __init__(self, engine: Engine, advice_client: AdviceClient) -> None:
-        """Use an engine and a client of the advice service.
-
-        :param engine: engine whose requests are sent.
-        :param advice_client: client of the advice service.
-        """
         self._tickets = engine.state.tickets
         self._advice_client = advice_client
         self._wake_event = asyncio.Event()
--- a/waxwingford/shard/_watch.py
+++ b/waxwingford/shard/_watch.py
@@ -34,10 +34,6 @@
     """
 
     def __init__(self, log: SharedLog) -> None:
-        """Create a watch that has read no heartbeat.
-
-        :param log: the store.
-        """
         self.record: OwnerRecord | None = None
         self._mirror = Mirror(log, OWNERS_TOPIC)
         self._silent_since_ms = 0
@@ -47,16 +43,12 @@
 
     @property
     def unowned(self) -> bool:
-        """Whether the shard never had an owner or the last one resigned.
-
-        :returns: whether the shard may be claimed without a timeout.
-        """
+        """Whether the shard never had an owner or the last one resigned."""
         return self.record is None or self.record.resigned
 
     def claimable_by(self, daemon_id: str, claimed_epoch: int) -> bool:
         """Tell whether a daemon that does not own the shard may claim it.
 
-        :param daemon_id: id of the daemon.
         :param claimed_epoch: highest epoch under which another daemon is known
             to have claimed.
         :returns: whether the shard has no owner, or its owner is suspected or
@@ -72,10 +64,7 @@
 
     @property
     def has_live_owner(self) -> bool:
-        """Whether the shard has an owner that is not suspected.
-
-        :returns: whether heartbeats arrive within the suspicion timeout.
-        """
+        """Whether the shard has an owner that is not suspected."""
         return not self.unowned and self.silent_ms < self._timeout_ms
 
     @property
@@ -88,18 +77,12 @@
 
     @property
     def silent_ms(self) -> int:
-        """Time since the last new heartbeat or the restart of the timeout.
-
-        :returns: milliseconds.
-        """
+        """Time since the last new heartbeat or the restart of the timeout."""
         return monotonic_ms() - self._silent_since_ms
 
     @property
     def predecessor(self) -> Predecessor:
-        """State of the heartbeats on which a claim would be based.
-
-        :returns: newest heartbeat, with its offset and the time of its read.
-        """
+        """State of the heartbeats on which a claim would be based."""
         return Predecessor(
             self.record,
             self._read_ms,
@@ -153,9 +136,5 @@
 
     The interval between heartbeats of two owners includes the time without an
     owner. If it counted, the suspicion timeout would grow with each failover.
-
-    :param before: the earlier heartbeat.
-    :param after: the later heartbeat.
-    :returns: whether both have the same epoch.
     """
     return after is not None and after.epoch == before.epoch
--- a/waxwingford/shard/tests/capacities.py
+++ b/waxwingford/shard/tests/capacities.py
@@ -18,10 +18,7 @@
         return self._changes[-1][1]
 
     def change(self, capacity):
-        """Set the capacity from now on.
-
-        :param capacity: new capacity.
-        """
+        """Set the capacity from now on."""
         now_s = asyncio.get_running_loop().time()
         self._changes.append((now_s, capacity))
 
@@ -43,8 +40,6 @@
 def exceeds(needs, limit):
     """Check whether tasks need more resources than available.
 
-    :param needs: resources of each task.
-    :param limit: available resources.
     :returns: whether the sum of any resource exceeds the limit.
     """
     return any(
--- a/waxwingford/shard/tests/crashes_steps.py
+++ b/waxwingford/shard/tests/crashes_steps.py
@@ -26,8 +26,6 @@
 def submit_crashing(shard, count, daemon=None, job=None, **kind):
     """Submit a job whose first task crashes servers.
 
-    :param shard: shard that runs the job.
-    :param count: number of tasks.
     :param daemon: daemon that takes the job, by default the first one.
     :param job: further fields of the job spec.
     :param kind: further fields of the step spec.
--- a/waxwingford/shard/tests/crashing_tasks.py
+++ b/waxwingford/shard/tests/crashing_tasks.py
@@ -27,10 +27,7 @@
         self._starts_after_limit = collections.Counter()
 
     def check_start(self, key):
-        """Record a violation if a crashing task is started too often.
-
-        :param key: key of the run that starts.
-        """
+        """Record a violation if a crashing task is started too often."""
         crashes = self.crashes[key.task]
         if crashes < CRASH_LIMIT:
             return
@@ -41,11 +38,7 @@
             )
 
     def on_start(self, server, key):
-        """Schedule a crash of the server if the task is a crashing one.
-
-        :param server: server that has started the run.
-        :param key: key of the run.
-        """
+        """Schedule a crash of the server if the task is a crashing one."""
         if key.task in self.tasks:
             loop = asyncio.get_running_loop()
             loop.call_later(CRASH_AFTER_S, self._crash_server, server, key)
@@ -57,10 +50,7 @@
 
 
 def crash_and_restart(server):
-    """Crash a server and have it return as a new incarnation.
-
-    :param server: server to crash.
-    """
+    """Crash a server and have it return as a new incarnation."""
     server.stop_responding(connect_timeout_s=0)
     asyncio.get_running_loop().call_later(RESTART_AFTER_S, _restart, server)
 
--- a/waxwingford/shard/tests/shard_steps.py
+++ b/waxwingford/shard/tests/shard_steps.py
@@ -226,12 +226,7 @@
 
 
 def start_faulty_shard(context, seed):
-    """Start a shard in which some orders and appends fail.
-
-    :param context: context of the scenario.
-    :param seed: seed of the random faults.
-    :returns: the shard.
-    """
+    """Start a shard in which some orders and appends fail."""
     context.shard = VirtualShard(seed, daemons=4, servers=6)
     context.add_cleanup(context.shard.close)
     context.jobs = []
--- a/waxwingford/shard/tests/virtual_servers.py
+++ b/waxwingford/shard/tests/virtual_servers.py
@@ -167,7 +167,6 @@
         """List the resources of all runs, including stopping ones, and of a task.
 
         :param task: additional task.
-        :returns: resources of each run and of the task.
         """
         keys = (*self.run_by_task, task)
         return [self.fleet.step(key).reserved_resources for key in keys]
@@ -341,7 +340,6 @@
         """Read which tasks of a step are done according to the journal.
 
         :param task: any task of the step.
-        :returns: indices of the done tasks.
         """
         key = step_key(task)
         rows = [
@@ -354,10 +352,7 @@
         return {row[0] for row in msgspec.msgpack.decode(rows[-1]) if row[3]}
 
     def mark_done(self, task):
-        """Mark a task as done, or all tasks of its step if they are a gang.
-
-        :param task: task that has ended.
-        """
+        """Mark a task as done, or all tasks of its step if they are a gang."""
         step = self.step(task)
         indices = range(step.count) if step.gang else (task.index,)
         self.done |= {task._replace(index=index) for index in indices}
--- a/waxwingford/shard/tests/virtual_shard.py
+++ b/waxwingford/shard/tests/virtual_shard.py
@@ -176,10 +176,7 @@
         end_loop(self.loop)
 
     def call(self, callback):
-        """Run a callback in the event loop.
-
-        :param callback: function without arguments.
-        """
+        """Run a callback in the event loop."""
 
         async def _call():
             callback()
@@ -231,9 +228,6 @@
 
 
 def step(count=2, length_ms=700, after=(), **more):
-    """Create a step whose tasks take one core each.
-
-    :returns: spec of the step.
-    """
+    """Create a step whose tasks take one core each."""
     needs = Resources(1000, 1000, 0)
     return StepSpec(count, needs, length_ms, after, **more)
