--- a/waxwingford/platform/_adapter.py
+++ b/waxwingford/platform/_adapter.py
@@ -29,7 +29,6 @@
 #: Maximum time of a long poll for a new configuration, in ms: bounds the delay
 #: before an unresponsive connection is detected.
 CONFIG_WAIT_MS = 500
-#: Delay after a failed read, in seconds.
 RETRY_DELAY_S = 0.1
 _CONFIG_TOPIC = 'op'
 _CONFIG_KEY = 'config'
--- a/waxwingford/platform/_http_client.py
+++ b/waxwingford/platform/_http_client.py
@@ -13,7 +13,6 @@
 #: Timeout for opening a connection, in seconds: many round trips within a
 #: region, and below the 1 s after which the kernel retransmits a lost SYN.
 CONNECT_TIMEOUT_S = 0.5
-#: Time for which an idle connection is kept open, in seconds.
 KEEP_ALIVE_S = 20.0
 
 _json_encoder = msgspec.json.Encoder()
--- a/waxwingford/shard/_heartbeats.py
+++ b/waxwingford/shard/_heartbeats.py
@@ -17,7 +17,6 @@
 from waxwingford.shard._log_port import Appended, KeyedRecord, SharedLog
 
 OWNERS_TOPIC = 'owners'
-#: Interval between heartbeats, in seconds.
 HEARTBEAT_INTERVAL_S = 0.4
 #: Longest wait for a resignation to be stored, in seconds. Long enough for two
 #: appends to a slow store, and shorter than the grace period of a planned stop.
--- a/waxwingford/shard/_intake.py
+++ b/waxwingford/shard/_intake.py
@@ -19,9 +19,7 @@
 INTAKE_TOPIC = 'intake'
 JOB_PREFIX = 'job/'
 CANCEL_PREFIX = 'cancel/'
-#: Delay between two attempts, in seconds.
 RETRY_DELAY_S = 0.05
-#: Largest number of jobs and cancellations in one append.
 MAX_ROWS_PER_APPEND = 64
 #: Refusals by the store after which the caller is told: it may retry at once
 #: through another daemon, which the store may accept.
--- a/waxwingford/shard/_intake_reader.py
+++ b/waxwingford/shard/_intake_reader.py
@@ -16,7 +16,6 @@
 #: Longest time that the store may hold a read, in ms. It bounds the time to
 #: detect a dead connection.
 INTAKE_WAIT_MS = 1000
-#: Delay after a failed read, in seconds.
 RETRY_DELAY_S = 0.1
 #: A new owner that reads no page of the intake within this time, in ms, resigns.
 #: It is as long as standbys wait for a silent owner, and allows for one lost page.
--- a/waxwingford/shard/_loop_lag.py
+++ b/waxwingford/shard/_loop_lag.py
@@ -11,7 +11,6 @@
 from waxwingford.shard._clocks import MS_PER_S, monotonic_ms
 from waxwingford.shard._observer import Observer
 
-#: Interval between two samples of the event loop, in seconds.
 SAMPLE_INTERVAL_S = 0.05
 #: Mean lag above which no tasks are started, in seconds. It is a fraction of the
 #: timeout of an order.
--- a/waxwingford/shard/_owner.py
+++ b/waxwingford/shard/_owner.py
@@ -42,7 +42,6 @@
 from waxwingford.shard._server_drivers import RegistrationSource, ServerDrivers
 from waxwingford.shard._ticket_requests import AdviceClient, TicketRequester
 
-#: Longest interval between decisions, in seconds.
 MAX_DECISION_INTERVAL_S = 0.1
 #: Delay of a decision after an event, in seconds, so that one decision and one
 #: append cover a burst of answers from servers.
@@ -62,7 +61,6 @@
     """Identity and settings of an owner.
 
     :ivar endpoint: IP address and port at which it answers other daemons.
-    :ivar lease_ms: duration of leases granted to servers.
     :ivar cores: processor of its VM, in reference cores.
     """
 
--- a/waxwingford/shard/_ticket_requests.py
+++ b/waxwingford/shard/_ticket_requests.py
@@ -10,7 +10,6 @@
 from waxwingford.scheduling import Engine
 from waxwingford.shard._clocks import monotonic_ms
 
-#: Delay after a request that failed, in seconds.
 RETRY_DELAY_S = 0.2
 
 _log = logbook.Logger('shard')
--- a/waxwingford/shard/_watch.py
+++ b/waxwingford/shard/_watch.py
@@ -23,7 +23,6 @@
 #: Greatest random addition to the suspicion timeout, in ms, which makes
 #: simultaneous claims of standbys rare; the store accepts one of them.
 TIMEOUT_JITTER_MS = 250
-#: Longest long poll for a heartbeat, in ms.
 MAX_LONG_POLL_MS = 1000
 
 
--- a/waxwingford/shard/tests/capacities.py
+++ b/waxwingford/shard/tests/capacities.py
@@ -7,8 +7,6 @@
 
 
 class CapacityHistory:
-    """Capacity of a server over time."""
-
     def __init__(self, capacity):
         #: Pairs of a start time and the capacity from then on.
         self._changes = [(0, capacity)]
--- a/waxwingford/shard/tests/virtual_servers.py
+++ b/waxwingford/shard/tests/virtual_servers.py
@@ -77,7 +77,6 @@
         self.starts_to_fail = 0
         self.fails = False
         self.hangs = False
-        #: Number of polls received.
         self.poll_count = 0
         #: Whether another incarnation answers at the same address.
         self.replaced = False
@@ -237,7 +236,6 @@
         self.cut = set()
         #: Share of orders that get no answer and take effect seconds later.
         self.late_share = 0
-        #: Delay of each order, in seconds.
         self.order_delay_s = 0
         #: Processor time of the daemon before and after each call, in seconds.
         self.call_cpu_s = 0
--- a/waxwingford/shard/tests/virtual_store.py
+++ b/waxwingford/shard/tests/virtual_store.py
@@ -58,7 +58,6 @@
         #: seconds, and by topic the time at which the queued ones are done.
         self.append_s = 0
         self.busy_until_s_by_topic: dict[str, float] = {}
-        #: Most records that one read returns.
         self.max_records_per_read = 10_000
         self.random = random.Random(seed)
 
