--- a/waxwingford/platform/_advice.py
+++ b/waxwingford/platform/_advice.py
@@ -38,11 +38,7 @@
     async def advise(
         self, step_name: str, server_ids: tuple[str, ...]
     ) -> TicketsIssued | TicketsUnavailable:
-        """Request the servers that may run a step.
-
-        :param server_ids: ids of the candidate servers.
-        :returns: tickets by server, or the reason why there are none.
-        """
+        """Request the servers that may run a step."""
         if not self._address:
             return TicketsUnavailable('no advice service configured')
         content = {'step': step_name, 'workers': server_ids}
--- a/waxwingford/shard/_lease_bounds.py
+++ b/waxwingford/shard/_lease_bounds.py
@@ -60,7 +60,6 @@
 ) -> InheritedLeases:
     """Bound the leases of all previous owners.
 
-    :param predecessor: newest heartbeat that was read before the claim.
     :param first_end: offset after the new owner's first heartbeat, from which
         on the store refuses heartbeats of previous owners.
     :param now_ms: monotonic time at which that heartbeat was acknowledged.
--- a/waxwingford/shard/_log_port.py
+++ b/waxwingford/shard/_log_port.py
@@ -106,7 +106,6 @@
     """Records from the requested offset on.
 
     :ivar records: the records in offset order.
-    :ivar next_offset: offset of the next read.
     :ivar end: offset at which the topic ended.
     """
 
