--- a/waxwingford/shard/_loop_lag.py
+++ b/waxwingford/shard/_loop_lag.py
@@ -1,9 +1,7 @@
 """Detects overload of an owner by the lag of its event loop.
 
-An overloaded owner sends heartbeats late, so that another daemon takes over, and
-polls late, so that leases expire. The successor has the same load and the takeover
-in addition, and the shard changes owners repeatedly. So work that can wait is
-deferred by the lag.
+An overloaded owner sends heartbeats and polls late, so that leases expire and
+daemons with the same load take over in turn. Work that can wait is deferred.
 """
 
 import asyncio
