--- a/waxwingford/settings/_model.py
+++ b/waxwingford/settings/_model.py
@@ -61,7 +61,7 @@
 
 
 class PeerAddress(StrictModel):
-    """A daemon that this one may speak to (itself may be listed too)."""
+    """Address of a daemon; may include this one."""
 
     daemon_id: Name
     failure_domain: Name
@@ -71,7 +71,7 @@
 
 
 class Identity(StrictModel):
-    """Who this daemon is."""
+    """Identity of the daemon."""
 
     daemon_id: Name
     failure_domain: Name
@@ -79,7 +79,7 @@
 
 
 class Listen(StrictModel):
-    """Where it listens, by IP number."""
+    """Addresses that the daemon listens on."""
 
     host: IpAddress = '127.0.0.1'
     http_port: Port
@@ -95,7 +95,7 @@
 
 
 class Trust(StrictModel):
-    """Public keys of the members, Ed25519, base64, by member name."""
+    """Ed25519 public keys in base64, by member name."""
 
     public_key_by_member: Annotated[dict[Name, PublicKey], Field(min_length=1)]
 
@@ -122,7 +122,7 @@
 
 
 class Limits(StrictModel):
-    """Bounds of what callers and the log can make this daemon hold.
+    """Limits on the resources that callers and the log can use.
 
     :ivar body_bytes: largest request body.
     :ivar header_bytes: largest header line or request line.
@@ -151,7 +151,7 @@
 
 
 class Tls(StrictModel):
-    """Files of this daemon's certificate; relative to the settings file."""
+    """Files of the daemon's certificate, relative to the settings file."""
 
     certificate_file: str
     key_file: str
@@ -159,7 +159,7 @@
 
 
 class Logging(StrictModel):
-    """Form of the log lines."""
+    """Format of log lines."""
 
     form: Annotated[str, Field(pattern='^(json|text)$')] = 'json'
     level: Annotated[str, Field(pattern='^(debug|info|warning|error)$')] = (
--- a/waxwingford/settings/_table.py
+++ b/waxwingford/settings/_table.py
@@ -103,8 +103,8 @@
 
 def _type_label(field: FieldInfo) -> str:
     return {
-        'validate_ip_address': 'IP number',
-        '_validate_service_url': 'URL with an IP number',
+        'validate_ip_address': 'IP address',
+        '_validate_service_url': 'URL with an IP address',
     }.get(_validator_name(field), 'text')
 
 
