--- a/waxwingford/scheduling/_admission.py
+++ b/waxwingford/scheduling/_admission.py
@@ -22,10 +22,10 @@
 REDUCED_SPEED_AFTER_MS = 1500
 #: Idle time of a job after which its tasks may start on any server, in ms.
 ANY_SERVER_AFTER_MS = 2600
-#: Share of a service's CPU in use by tasks that aren't best-effort from which on
+#: Share of a service's CPU in use by other tasks from which on
 #: ``ANY_SERVER_AFTER_MS`` doesn't apply.
 CROWDED_SHARE = 0.6
-#: Servers considered for one task at most; of more, each task gets the next.
+#: Maximum number of servers considered for one task; the selection rotates.
 MAX_CANDIDATES = 24
 
 
@@ -41,7 +41,7 @@
     def __init__(self, model: InterferenceModel) -> None:
         """Create an admission policy.
 
-        :param model: predicts interference.
+        :param model: model that predicts interference.
         """
         self._model = model
         self._offset = 0
@@ -52,7 +52,7 @@
     def begin(self, servers: list[Server]) -> None:
         """Begin a placement round.
 
-        :param servers: that accept starts.
+        :param servers: servers that accept starts.
         """
         self._open_by_image.clear()
         self._pool_by_service.clear()
@@ -67,9 +67,9 @@
         all servers for each of them would occupy a core.
 
         :param best_effort: step to place.
-        :param service: whose servers run it.
-        :param now_ms: monotonic time.
-        :returns: candidates for ``admitting``.
+        :param service: service whose servers run the step.
+        :param now_ms: current monotonic time, in ms.
+        :returns: candidate servers for ``admitting``.
         """
         servers = self._pool(service).servers
         if self._any_server(best_effort, service, now_ms):
@@ -99,9 +99,9 @@
         """Keep the servers on which a task would run fast enough.
 
         :param best_effort: step of the task.
-        :param service: whose servers run it.
-        :param servers: with free resources for the task.
-        :param now_ms: monotonic time.
+        :param service: service whose servers run the step.
+        :param servers: servers with free resources for the task.
+        :param now_ms: current monotonic time, in ms.
         :returns: servers that admit the task.
         """
         if self._any_server(best_effort, service, now_ms):
@@ -121,8 +121,8 @@
         """Predict by how much a task exceeds the allowance of a server.
 
         :param best_effort: step of the task.
-        :param server: to run it.
-        :param now_ms: monotonic time.
+        :param server: server that would run the task.
+        :param now_ms: current monotonic time, in ms.
         :returns: share of the CPU that the task needs; over 1 if the allowance
             is exceeded already.
         """
--- a/waxwingford/scheduling/_backend_client.py
+++ b/waxwingford/scheduling/_backend_client.py
@@ -77,7 +77,7 @@
 
     :ivar number: sequence number of the end at this incarnation, from 1.
     :ivar run: key of the run.
-    :ivar kind: how the run ended.
+    :ivar kind: way in which the run ended.
     :ivar checkpoint: newest checkpoint, empty for none.
     """
 
@@ -126,8 +126,8 @@
         ends up to this number.
     :ivar lease_until_ms: new end of the lease in ms of the server's clock;
         ``None`` leaves the lease unchanged.
-    :ivar wait_ms: how long in ms the server may delay its answer until a run
-        ends.
+    :ivar wait_ms: time in ms for which the server may delay its answer until
+        a run ends.
     """
 
     fencing_token: int
--- a/waxwingford/scheduling/_candidates.py
+++ b/waxwingford/scheduling/_candidates.py
@@ -14,8 +14,8 @@
 
 
 class _Candidate(NamedTuple):
-    # ``number`` breaks ties of cost by the given order of servers; entries whose
-    # ``version`` isn't the latest of their server are stale.
+    # ``number`` breaks ties of cost by the given order of servers; entries
+    # whose ``version`` isn't the latest of their server are stale.
     cost: float
     number: int
     version: int
@@ -33,10 +33,12 @@
     ) -> None:
         """Evaluate all servers.
 
-        :param servers: that accept starts.
-        :param fit: keeps the servers with free resources for a task.
-        :param cost: of a task on a server; lower is better.
-        :param changed_count: changes of servers in this round so far.
+        :param servers: servers that accept starts.
+        :param fit: function that keeps the servers with free resources for a
+            task.
+        :param cost: function that returns the cost of a task on a server; lower
+            is better.
+        :param changed_count: number of changes of servers so far in this round.
         """
         self._servers = servers
         self._fit = fit
@@ -55,7 +57,7 @@
 
         :param changed: servers that got a run or a reservation in this round,
             in order.
-        :returns: the server, ``None`` if no server fits.
+        :returns: cheapest server, ``None`` if no server fits.
         """
         for server in dict.fromkeys(changed[self._changed_count :]):
             self._update(server)
--- a/waxwingford/scheduling/_coefficients.py
+++ b/waxwingford/scheduling/_coefficients.py
@@ -19,7 +19,7 @@
     """Headroom that one image takes from another per whole server's CPU.
 
     :ivar mean: expected value.
-    :ivar variance: of the estimate.
+    :ivar variance: variance of the estimate.
     :ivar upper_bound: conservative estimate for admission decisions.
     """
 
@@ -45,9 +45,9 @@
 class InterferenceTerm(NamedTuple):
     """Contribution of one best-effort image to the loss of headroom.
 
-    :ivar coefficient: of the pair of images.
+    :ivar coefficient: interference coefficient of the pair of images.
     :ivar current: share of the server's CPU in use at the latest poll.
-    :ivar previous: share in use at the poll before.
+    :ivar previous: share of the server's CPU in use at the poll before.
     """
 
     coefficient: InterferenceCoefficient
@@ -58,7 +58,7 @@
     def share(self) -> float:
         """Average the CPU use.
 
-        :returns: share of the server's CPU between the two polls.
+        :returns: average share of the server's CPU between the two polls.
         """
         return (self.current + self.previous) / 2
 
@@ -78,7 +78,7 @@
 
         :param scaled_innovation: measured less expected headroom, divided by
             ``variance``.
-        :param variance: of the innovation.
+        :param variance: variance of the innovation.
         """
         coefficient, share = self.coefficient, self.share
         gain = coefficient.variance * share
--- a/waxwingford/scheduling/_colocated_runs.py
+++ b/waxwingford/scheduling/_colocated_runs.py
@@ -15,7 +15,7 @@
 def serving_runs(server: Server) -> list[tuple[Run, Step]]:
     """List the runs that have a tail latency target.
 
-    :param server: to list.
+    :param server: server whose runs are listed.
     :returns: runs with their steps.
     """
     return [
@@ -28,8 +28,8 @@
 def serving_steps(server: Server) -> list[Step]:
     """List the steps whose tasks have a tail latency target.
 
-    :param server: to list.
-    :returns: each step once.
+    :param server: server whose runs are listed.
+    :returns: steps, each of them once.
     """
     return list(dict.fromkeys(step for _, step in serving_runs(server)))
 
@@ -37,7 +37,7 @@
 def best_effort_runs(server: Server) -> list[tuple[Run, Step]]:
     """List the runs that use only CPU left idle by other runs.
 
-    :param server: to list.
+    :param server: server whose runs are listed.
     :returns: runs with their steps.
     """
     return [
@@ -50,8 +50,8 @@
 def full_pace_share(server: Server, step: Step) -> float:
     """Estimate the CPU that a best-effort task uses at full pace.
 
-    :param server: on which the task runs.
-    :param step: of the task.
+    :param server: server that runs the task.
+    :param step: step of the task.
     :returns: share of the server's CPU, above 0.
     """
     requested = max(1, step.spec.needs.processors_milli)
@@ -61,8 +61,8 @@
 def cpu_capacity_milli(server: Server) -> int:
     """Return the CPU capacity of a server.
 
-    :param server: to inspect.
-    :returns: thousandths of a core, at least 1.
+    :param server: server to inspect.
+    :returns: CPU capacity in thousandths of a core, at least 1.
     """
     return max(1, server.entry.capacity.processors_milli)
 
@@ -70,8 +70,9 @@
 def share_by_image(server: Server) -> dict[str, float]:
     """Sum the CPU use of the best-effort runs of each image.
 
-    :param server: to inspect.
-    :returns: shares of the server's CPU, as reported by the latest poll.
+    :param server: server to inspect.
+    :returns: shares of the server's CPU by image, as reported by the latest
+        poll.
     """
     shares: dict[str, float] = {}
     capacity = cpu_capacity_milli(server)
--- a/waxwingford/scheduling/_crashes.py
+++ b/waxwingford/scheduling/_crashes.py
@@ -1,9 +1,9 @@
 """Detection of tasks that crash their servers.
 
-A task is assumed to crash its server right after its start, so the runs that began
-shortly before a crash are suspected. A suspect starts alone on its next server (see
-``Isolation``). If that server crashes too, the job of the suspect fails; if the
-server stays up, the suspect is cleared.
+A task is assumed to crash its server right after its start, so the runs that
+began shortly before a crash are suspected. A suspect starts alone on its next
+server (see ``Isolation``). If that server crashes too, the job of the suspect
+fails; if the server stays up, the suspect is cleared.
 """
 
 from waxwingford.scheduling._backend_client import TaskKey
@@ -11,20 +11,22 @@
 from waxwingford.scheduling._shard_state import ShardState
 from waxwingford.scheduling._state import JobPhase, Run, RunPhase, Step, Task
 
-#: Time by the server's clock after which a server has outlived a start, in ms. A
-#: suspect occupies its server alone for this time.
+#: Time by the server's clock after which a server has outlived a start, in ms.
+#: A suspect occupies its server alone for this time.
 OUTLIVED_MS = 300
-#: Evidence added when a server is lost right after it started the task; less if many
-#: servers are silent, as in a partition or if the owner couldn't extend their leases.
+#: Evidence added when a server is lost right after it started the task; less if
+#: many servers are silent, as in a partition or if the owner couldn't extend
+#: their leases.
 CRASH_EVIDENCE = 2
 SILENCE_EVIDENCE = 1
 #: Share of silent servers above which the smaller evidence is added.
 MAX_SILENT_SHARE = 0.125
 #: Evidence at which a task becomes a suspect and starts alone.
 SUSPECT_EVIDENCE = 2
-#: Evidence at which the job fails: if another incarnation proves that the server
-#: crashed and there is no other suspect on it; and otherwise, because a silent server
-#: may only be unreachable, and the latest knowledge of a previous owner may be lost.
+#: Evidence at which the job fails. The lower value applies if another
+#: incarnation proves the crash and there is no other suspect. Otherwise the
+#: server may only be unreachable, or what a previous owner knew last may be
+#: lost.
 CONFIRMED_FAIL_EVIDENCE = 4
 UNCONFIRMED_FAIL_EVIDENCE = 8
 
--- a/waxwingford/scheduling/_engine.py
+++ b/waxwingford/scheduling/_engine.py
@@ -1,7 +1,7 @@
 """Scheduler of a shard: turns events into records and orders.
 
-It performs no I/O and reads no clock, so that the daemon and simulations run the
-same code. The caller stores each batch before it sends the starts in it.
+It performs no I/O and reads no clock, so that the daemon and simulations run
+the same code. The caller stores each batch before it sends the starts in it.
 """
 
 import math
@@ -53,7 +53,8 @@
 #: stops to send, in ms. Placement runs with every decision.
 MAINTENANCE_INTERVAL_MS = 50
 #: Interval between stores of outlived starts, in ms. Without them, a new owner
-#: would suspect the latest starts on a server that crashes along with the owner.
+#: would suspect the latest starts on a server that crashes along with the
+#: owner.
 MARK_OUTLIVED_INTERVAL_MS = 200
 #: Progress of a long-running task that is ready, in percent.
 READY_PERCENT = 100
@@ -207,7 +208,8 @@
         """Apply the outcome of a start order.
 
         A best-effort task starts at full speed; if it is known to harm the
-        tasks on its server, it is slowed at once instead of after the next poll.
+        tasks on its server, it is slowed at once instead of after the next
+        poll.
 
         :param server: server that the order was sent to.
         :param run: run to start.
--- a/waxwingford/scheduling/_gangs.py
+++ b/waxwingford/scheduling/_gangs.py
@@ -1,4 +1,4 @@
-"""Gang scheduling: steps whose tasks run only all together.
+"""Gang scheduling: steps whose tasks must run at the same time.
 
 All members are placed at once, or none, and share one run number. A member on
 its own would hold its resources until it times out, so when a start fails the
@@ -16,8 +16,8 @@
 class Assignment(NamedTuple):
     """Server assigned to a member of a gang.
 
-    :ivar task: the member.
-    :ivar server: to run it.
+    :ivar task: member of the gang.
+    :ivar server: server that will run the member.
     """
 
     task: Task
@@ -27,7 +27,7 @@
 def is_ready(step: Step) -> bool:
     """Tell whether all members of a gang can be placed now.
 
-    :param step: of the gang.
+    :param step: step whose tasks form the gang.
     :returns: whether no member has an unsettled run.
     """
     return not any(task.run_by_number for task in step.tasks)
@@ -40,9 +40,10 @@
 ) -> list[Assignment] | None:
     """Assign a server to each member, on one rack if the step prefers that.
 
-    :param step: of the gang.
-    :param servers: that accept starts and suit the step.
-    :param room_of: returns the resources of a server that the gang may use.
+    :param step: step whose tasks form the gang.
+    :param servers: servers that accept starts and suit the step.
+    :param room_of: function that returns the resources of a server that the
+        gang may use.
     :returns: one assignment per member, ``None`` if they don't all fit.
     """
     if step.spec.one_rack:
@@ -59,8 +60,8 @@
 def next_run(step: Step) -> int:
     """Return the run number for the next placement of all members.
 
-    :param step: of the gang.
-    :returns: a number above all earlier ones of any member.
+    :param step: step whose tasks form the gang.
+    :returns: run number above all earlier ones of any member.
     """
     return 1 + max(task.last_run for task in step.tasks)
 
@@ -68,8 +69,8 @@
 def share_checkpoint(step: Step, checkpoint: str) -> None:
     """Store the checkpoint of one member for all members.
 
-    :param step: of the gang.
-    :param checkpoint: the newest one.
+    :param step: step whose tasks form the gang.
+    :param checkpoint: newest checkpoint.
     """
     for task in step.tasks:
         task.checkpoint = checkpoint
@@ -78,8 +79,8 @@
 def stop_other_members(step: Step, run_number: int) -> None:
     """Stop the remaining members of a run that has lost one.
 
-    :param step: of the gang.
-    :param run_number: shared by the members.
+    :param step: step whose tasks form the gang.
+    :param run_number: run number shared by the members.
     """
     for task in step.tasks:
         run = task.run_by_number.get(run_number)
@@ -93,7 +94,7 @@
     All members are planned in one record, so a member that isn't done and has
     no run has lost it.
 
-    :param step: of the gang.
+    :param step: step whose tasks form the gang.
     """
     complete = all(task.done or task.run_by_number for task in step.tasks)
     if complete:
--- a/waxwingford/scheduling/_headroom.py
+++ b/waxwingford/scheduling/_headroom.py
@@ -33,13 +33,13 @@
     The state is the headroom and its slope. The slope compensates for reported
     figures that lag by about as long as a change of pace takes to apply.
 
-    :ivar mean: long-term mean.
+    :ivar mean: long-term mean of the headroom.
     """
 
     def __init__(self, now_ms: int) -> None:
         """Start from the prior.
 
-        :param now_ms: monotonic time.
+        :param now_ms: current monotonic time, in ms.
         """
         self.mean = PRIOR_HEADROOM
         self._updated_ms = now_ms
@@ -53,14 +53,14 @@
     def updated_ms(self) -> int:
         """Return the time of the latest sample.
 
-        :returns: monotonic time.
+        :returns: monotonic time, in ms.
         """
         return self._updated_ms
 
     def forecast(self, at_ms: int) -> float:
         """Predict the headroom.
 
-        :param at_ms: monotonic time of the prediction.
+        :param at_ms: monotonic time of the prediction, in ms.
         :returns: headroom without best-effort tasks.
         """
         ahead_s = (at_ms - self._updated_ms) / _MS_IN_S
@@ -72,7 +72,8 @@
     def advance(self, now_ms: int) -> None:
         """Predict the state at a later time.
 
-        :param now_ms: monotonic time; earlier times have no effect.
+        :param now_ms: current monotonic time, in ms; earlier times have no
+            effect.
         """
         span_s = (now_ms - self._updated_ms) / _MS_IN_S
         if span_s <= 0:
@@ -112,8 +113,8 @@
     def variance(self, age_s: float) -> float:
         """Compute the variance of a past headroom.
 
-        :param age_s: seconds before the time of the state.
-        :returns: variance.
+        :param age_s: age of the headroom relative to the state, in seconds.
+        :returns: variance of the headroom.
         """
         return (
             self._level_variance
@@ -124,7 +125,7 @@
     def level(self, age_s: float) -> float:
         """Estimate a past headroom.
 
-        :param age_s: seconds before the time of the state.
+        :param age_s: age of the headroom relative to the state, in seconds.
         :returns: headroom without best-effort tasks.
         """
         return self._level - age_s * self._slope
@@ -132,7 +133,7 @@
     def correct(self, age_s: float, scaled_innovation: float) -> None:
         """Apply a sample to the state.
 
-        :param age_s: age of the sample, in seconds before the time of the state.
+        :param age_s: age of the sample relative to the state, in seconds.
         :param scaled_innovation: measured less expected headroom, divided by
             the variance of that difference.
         """
@@ -144,8 +145,8 @@
     def correct_covariance(self, age_s: float, variance: float) -> None:
         """Apply a sample to the covariance of the state, after ``correct``.
 
-        :param age_s: age of the sample, in seconds before the time of the state.
-        :param variance: of the innovation.
+        :param age_s: age of the sample relative to the state, in seconds.
+        :param variance: variance of the innovation.
         """
         level_gain = self._level_variance - age_s * self._covariance
         slope_gain = self._covariance - age_s * self._slope_variance
--- a/waxwingford/scheduling/_interference.py
+++ b/waxwingford/scheduling/_interference.py
@@ -57,7 +57,7 @@
 class _StepHeadroom(NamedTuple):
     """Headroom of a serving step on a server, given its best-effort runs.
 
-    :ivar step: the serving step.
+    :ivar step: serving step.
     :ivar at_full_pace: least forecast headroom with all runs at full pace.
     :ivar at_current_pace: forecast headroom with the runs at current pace.
     """
@@ -85,10 +85,10 @@
 class _ServerForecast(NamedTuple):
     """Cached headroom forecast of a server.
 
-    :ivar change_count: the server's change count at the time of the forecast.
-    :ivar at_ms: monotonic time of the forecast.
-    :ivar headrooms: one for each serving step on the server.
-    :ivar allowance_by_image: allowances computed so far.
+    :ivar change_count: change count of the server at the time of the forecast.
+    :ivar at_ms: monotonic time of the forecast, in ms.
+    :ivar headrooms: headroom of each serving step on the server.
+    :ivar allowance_by_image: allowances computed so far, by image.
     """
 
     change_count: int
@@ -113,8 +113,8 @@
     def learn(self, server: Server, now_ms: int) -> None:
         """Update the model from the latest poll of a server.
 
-        :param server: with the reported figures applied.
-        :param now_ms: monotonic time.
+        :param server: server with the reported figures applied.
+        :param now_ms: current monotonic time, in ms.
         """
         server_id = server.entry.server_id
         self._forecast_by_server.pop(server_id, None)
@@ -163,8 +163,8 @@
     def restore(self, raw: bytes) -> None:
         """Load the interference coefficients of a previous owner.
 
-        :param raw: as written by ``encode``.
-        :raises ValueError: if it can't be decoded.
+        :param raw: bytes returned by ``encode``.
+        :raises ValueError: if the bytes are malformed.
         """
         self._coefficient_by_pair = {
             (serving, best_effort): InterferenceCoefficient(mean, variance)
@@ -187,9 +187,9 @@
     ) -> Allowance:
         """Predict how much more of a best-effort image a server can run.
 
-        :param server: to run it.
+        :param server: server that would run the image.
         :param best_effort: step of the image.
-        :param now_ms: monotonic time.
+        :param now_ms: current monotonic time, in ms.
         :returns: shares of the server's CPU, negative if it is overcommitted.
         """
         forecast = self._forecast(server, now_ms)
@@ -224,9 +224,9 @@
         Cached, because placement needs it for each pending best-effort task.
         A change of the server's runs or a new sample invalidates it.
 
-        :param server: to forecast.
-        :param now_ms: monotonic time.
-        :returns: the forecast.
+        :param server: server whose headroom is forecast.
+        :param now_ms: current monotonic time, in ms.
+        :returns: headroom forecast of the server.
         """
         server_id = server.entry.server_id
         cached = self._forecast_by_server.get(server_id)
@@ -276,8 +276,8 @@
         """Return the headroom estimate of a serving step.
 
         :param serving: step to look up.
-        :param now_ms: monotonic time.
-        :returns: its filter, new if the step has none.
+        :param now_ms: current monotonic time, in ms.
+        :returns: headroom filter of the step, new if it has none.
         """
         found = self._filter_by_step.get(serving.name)
         if found is None:
--- a/waxwingford/scheduling/_isolation.py
+++ b/waxwingford/scheduling/_isolation.py
@@ -25,7 +25,7 @@
     def __init__(self, state: ShardState) -> None:
         """Create the policy.
 
-        :param state: of the shard.
+        :param state: state of the shard.
         """
         self._state = state
         self._reserved = 0
@@ -51,9 +51,9 @@
     ) -> list[Server]:
         """Keep the servers on which a task may start now.
 
-        :param servers: with free resources for the task.
-        :param task: to place.
-        :param step: of the task.
+        :param servers: servers with free resources for the task.
+        :param task: task to place.
+        :param step: step of the task.
         :returns: servers on which no suspect would share its start.
         """
         cause = suspect_key(task.key, step)
@@ -76,10 +76,11 @@
     ) -> list[Server]:
         """Reserve servers for a suspect that can't be placed yet.
 
-        :param task: the suspect.
-        :param step: of the task.
-        :param candidates: servers with free resources for it.
-        :param room_of: returns the resources of a server that it may use.
+        :param task: suspected task.
+        :param step: step of the task.
+        :param candidates: servers with free resources for the task.
+        :param room_of: function that returns the resources of a server that the
+            task may use.
         :returns: servers that are newly reserved.
         """
         cause = suspect_key(task.key, step)
@@ -99,9 +100,9 @@
     def isolate(self, server: Server, task: Task, step: Step) -> None:
         """Reserve a server for a suspect.
 
-        :param server: on which the suspect will start.
-        :param task: the suspect.
-        :param step: of the task.
+        :param server: server on which the task will start.
+        :param task: suspected task.
+        :param step: step of the task.
         """
         if server.reserved_for is None:
             server.reserved_for = suspect_key(task.key, step)
--- a/waxwingford/scheduling/_late_ends.py
+++ b/waxwingford/scheduling/_late_ends.py
@@ -1,8 +1,8 @@
 """Ends that a server lists after their runs were settled without one.
 
-A server may answer again after its leases have expired. The ends that it lists must
-be counted before they are acknowledged. Otherwise a completed task would start again,
-and a failing one would exceed its number of attempts.
+A server may answer again after its leases have expired. The ends that it lists
+must be counted before they are acknowledged. Otherwise a completed task would
+start again, and a failing one would exceed its number of attempts.
 """
 
 from waxwingford.scheduling._backend_client import EndReport
@@ -17,8 +17,8 @@
 def note_lost(state: ShardState, server: Server, run: Run) -> None:
     """Record a run that is settled without an end.
 
-    Runs that were never sent, or whose server was replaced, are left out because
-    no server will list their end.
+    Runs that were never sent, or whose server was replaced, are left out
+    because no server will list their end.
 
     :param state: state of the shard.
     :param server: lost server.
--- a/waxwingford/scheduling/_lease_withholding.py
+++ b/waxwingford/scheduling/_lease_withholding.py
@@ -23,14 +23,14 @@
     def __init__(self, state: ShardState) -> None:
         """Create the policy.
 
-        :param state: of the shard.
+        :param state: state of the shard.
         """
         self._state = state
 
     def withhold_silent(self, now_ms: int) -> dict[str, int]:
         """Stop extending the leases of silent servers, and list them.
 
-        :param now_ms: monotonic time.
+        :param now_ms: current monotonic time, in ms.
         :returns: remaining lease by server, in ms, for the next heartbeat.
         """
         left_by_server = {
@@ -44,7 +44,7 @@
     def heartbeat_stored(self, silent: Iterable[str]) -> None:
         """Extend leases again, except those of the listed servers.
 
-        :param silent: servers that the latest stored heartbeat names.
+        :param silent: servers named as silent in the latest stored heartbeat.
         """
         self._state.withheld_servers = set(silent)
 
--- a/waxwingford/scheduling/_migration.py
+++ b/waxwingford/scheduling/_migration.py
@@ -30,13 +30,13 @@
 
 
 class Migrator:
-    """Stops runs that another server can run faster, for the placer to restart."""
+    """Stops runs that the placer can restart on a faster server."""
 
     def __init__(self, state: ShardState, placer: Placer) -> None:
         """Create a migrator.
 
-        :param state: of the shard.
-        :param placer: finds servers for a task.
+        :param state: state of the shard.
+        :param placer: placer that finds servers for a task.
         """
         self._state = state
         self._placer = placer
@@ -46,7 +46,7 @@
     def migrate(self, now_ms: int) -> None:
         """Stop the throttled runs for which there is a better server.
 
-        :param now_ms: monotonic time.
+        :param now_ms: current monotonic time, in ms.
         """
         if now_ms - self._round_ms < ROUND_INTERVAL_MS:
             return
--- a/waxwingford/scheduling/_order_factory.py
+++ b/waxwingford/scheduling/_order_factory.py
@@ -34,8 +34,8 @@
 
         :param server: server to poll.
         :param now_ms: current monotonic time, in ms.
-        :param wait_ms: how long in ms the server may delay its answer until a
-            run ends.
+        :param wait_ms: time in ms for which the server may delay its answer
+            until a run ends.
         :param extend: whether to extend the lease if the server answers, has
             runs and is not withheld.
         :returns: poll to send.
--- a/waxwingford/scheduling/_pacing.py
+++ b/waxwingford/scheduling/_pacing.py
@@ -47,8 +47,8 @@
     def __init__(self, state: ShardState, model: InterferenceModel) -> None:
         """Create a pacer.
 
-        :param state: of the shard.
-        :param model: predicts interference.
+        :param state: state of the shard.
+        :param model: model that predicts interference.
         """
         self._state = state
         self._model = model
@@ -66,8 +66,8 @@
         Includes slowed runs without a serving task beside them, which would
         otherwise never be sped up again.
 
-        :param server: to check.
-        :returns: whether it needs frequent polls.
+        :param server: server to check.
+        :returns: whether the server needs frequent polls.
         """
         best_effort = best_effort_runs(server)
         if any(run.pace != FULL_PERCENT for run, _ in best_effort):
@@ -77,8 +77,8 @@
     def adjust_paces(self, server: Server, now_ms: int) -> None:
         """Compute paces after a poll and order those that changed.
 
-        :param server: that was polled.
-        :param now_ms: monotonic time.
+        :param server: server that was polled.
+        :param now_ms: current monotonic time, in ms.
         """
         best_effort = [
             (run, step)
@@ -107,9 +107,9 @@
 
         After a failure the pace of the run is unknown until the next order.
 
-        :param server: that answered.
-        :param order: that was sent.
-        :param outcome: of the order.
+        :param server: server that answered.
+        :param order: order that was sent.
+        :param outcome: outcome of the order.
         """
         run = server.run_by_key.get(order.key)
         if run is None or isinstance(outcome, OrderAccepted):
--- a/waxwingford/scheduling/_penalties.py
+++ b/waxwingford/scheduling/_penalties.py
@@ -21,8 +21,8 @@
 LAST_SERVER_EXCLUSION_MS = 1000
 #: Factor of the penalty for a run that succeeded.
 SUCCESS_PENALTY_FACTOR = 0.6
-#: Half-life of the penalty, in ms. Occasional failures, as of long-running tasks
-#: that never succeed, must not add up to the threshold.
+#: Half-life of the penalty, in ms. Occasional failures, as of long-running
+#: tasks that never succeed, must not add up to the threshold.
 PENALTY_HALF_LIFE_MS = 20_000
 
 
@@ -31,9 +31,9 @@
 
     A single failure never excludes a server, as a job may fail everywhere.
 
-    :param server: on which a run failed or stalled.
-    :param penalty: to add.
-    :param now_ms: monotonic time.
+    :param server: server on which a run failed or stalled.
+    :param penalty: penalty to add.
+    :param now_ms: current monotonic time, in ms.
     """
     decay_penalty(server, now_ms)
     server.penalty += penalty
@@ -45,8 +45,8 @@
 def decay_penalty(server: Server, now_ms: int) -> None:
     """Decay the penalty of a server.
 
-    :param server: to update.
-    :param now_ms: monotonic time.
+    :param server: server whose penalty decays.
+    :param now_ms: current monotonic time, in ms.
     """
     elapsed_ms = now_ms - server.penalty_updated_ms
     server.penalty_updated_ms = now_ms
@@ -60,8 +60,8 @@
     Applies after ``LAST_SERVER_EXCLUSION_MS``. Of several excluded servers only
     the one with the lowest penalty is readmitted.
 
-    :param state: of the shard.
-    :param now_ms: monotonic time.
+    :param state: state of the shard.
+    :param now_ms: current monotonic time, in ms.
     """
     available = [
         server for server in state.server_by_id.values() if server.is_available
@@ -79,7 +79,7 @@
         server for server in available if server.no_starts_until_ms <= now_ms
     ]
     for step in _pending_steps(state):
-        # Check the few excluded servers first: hundreds of steps may be pending.
+        # Check the few excluded servers first: many steps may be pending.
         candidates = _with_room(state, step, excluded)
         if candidates and not _has_alternative(state, step, included):
             readmitted = min(candidates, key=lambda server: server.penalty)
@@ -106,8 +106,8 @@
     Long-running tasks need free resources now. Others can wait for resources
     that finishing tasks release.
 
-    :param state: of the shard.
-    :param step: that is pending.
+    :param state: state of the shard.
+    :param step: pending step.
     :param included: available servers that aren't excluded.
     :returns: whether one of them can run the step.
     """
--- a/waxwingford/scheduling/_pending_report.py
+++ b/waxwingford/scheduling/_pending_report.py
@@ -24,7 +24,7 @@
     def __init__(self, notes: NoteBuffer) -> None:
         """Create a report.
 
-        :param notes: receives the log events.
+        :param notes: notes that receive the log events.
         """
         self._notes = notes
         self._reported_ms = 0
@@ -33,7 +33,7 @@
     def count_placed(self, step: Step) -> None:
         """Count a placed task, to show what was placed instead of others.
 
-        :param step: of the task.
+        :param step: step of the task.
         """
         self._placed_by_kind[_kind(step)] += 1
 
@@ -50,7 +50,7 @@
 
         :param unplaced: tasks that found no server in this round.
         :param usable: servers that accept starts.
-        :param now_ms: monotonic time.
+        :param now_ms: current monotonic time, in ms.
         """
         if now_ms - self._reported_ms < REPORT_INTERVAL_MS:
             return
@@ -103,7 +103,7 @@
     """Find the server with the most free CPU.
 
     :param usable: servers that accept starts.
-    :returns: its free thousandths of a core and MB of memory.
+    :returns: its free CPU in thousandths of a core and memory in MB.
     """
     rooms = (server.free_resources for server in usable)
     return max(
--- a/waxwingford/scheduling/_placing.py
+++ b/waxwingford/scheduling/_placing.py
@@ -35,17 +35,18 @@
 OTHER_IMAGE_COST = 1.0
 #: Per run that would be lost if a task that may crash the server does so.
 LOST_RUN_COST = 2.0
-#: Share of its requested CPU that a task is assumed to use; the rest is available
-#: to best-effort tasks.
+#: Share of its requested CPU that a task is assumed to use; the rest is
+#: available to best-effort tasks.
 ASSUMED_USE_SHARE = 0.6
 #: Weight of the CPU requested by best-effort runs in the cost of other tasks.
 BEST_EFFORT_WEIGHT = 0.15
 #: Shortest time between two rounds that place best-effort tasks, in ms.
 BEST_EFFORT_INTERVAL_MS = 40
-#: Servers evaluated for best-effort tasks per ms; the interval grows accordingly.
+#: Servers evaluated for best-effort tasks per ms; the interval grows
+#: accordingly.
 MAX_EVALUATIONS_PER_MS = 40
-#: Unanswered starts on one server at most, so that a stalled server doesn't
-#: accumulate tasks.
+#: Maximum number of unanswered starts on one server, so that a stalled server
+#: doesn't accumulate tasks.
 MAX_UNANSWERED_STARTS = 12
 
 
@@ -55,8 +56,8 @@
     def __init__(self, state: ShardState, model: InterferenceModel) -> None:
         """Create a placer.
 
-        :param state: of the shard.
-        :param model: predicts interference.
+        :param state: state of the shard.
+        :param model: model that predicts interference.
         """
         self._state = state
         self._admission = BestEffortAdmission(model)
@@ -72,9 +73,9 @@
     def release_tasks(self, job: Job, now_ms: int, wall_ms: int) -> None:
         """Make the tasks pending whose steps have no open dependency.
 
-        :param job: of the tasks.
-        :param now_ms: monotonic time.
-        :param wall_ms: Unix time, for jobs with a schedule.
+        :param job: job of the tasks.
+        :param now_ms: current monotonic time, in ms.
+        :param wall_ms: current Unix time, in ms, for jobs with a schedule.
         """
         if job.ended is not None or job.blocked:
             return
@@ -87,12 +88,12 @@
     def place(self, now_ms: int) -> None:
         """Plan a run of each pending task that fits on a server.
 
-        :param now_ms: monotonic time.
+        :param now_ms: current monotonic time, in ms.
         """
         self._reservations.begin(now_ms)
         ranked = self._ranked(now_ms)
         if not ranked:
-            # Most rounds have nothing to place; don't scan all servers for them.
+            # Most rounds have nothing to place; don't scan all servers.
             return
         usable = self._usable(now_ms)
         self._admission.begin(usable)
@@ -118,9 +119,9 @@
     def find_servers(self, task: Task, step: Step, now_ms: int) -> list[Server]:
         """Find the servers on which a task would be placed if it were pending.
 
-        :param task: to place.
-        :param step: of the task.
-        :param now_ms: monotonic time.
+        :param task: task to place.
+        :param step: step of the task.
+        :param now_ms: current monotonic time, in ms.
         :returns: servers that fit and admit the task.
         """
         queue = self._state.queue_of(step.job)
@@ -237,10 +238,10 @@
     def plan(self, task: Task, step: Step, server: Server, now_ms: int) -> None:
         """Plan a run.
 
-        :param task: to run.
-        :param step: of the task.
-        :param server: to run it.
-        :param now_ms: monotonic time.
+        :param task: task to run.
+        :param step: step of the task.
+        :param server: server that would run the task.
+        :param now_ms: current monotonic time, in ms.
         """
         task.last_run += 1
         key = RunKey(task.key, task.last_run)
@@ -327,9 +328,9 @@
 def _count_due(job: Job, wall_ms: int) -> int:
     """Count the repetitions of a job that are due.
 
-    :param job: to check.
-    :param wall_ms: Unix time.
-    :returns: the count; 1 for a job without a schedule.
+    :param job: job to check.
+    :param wall_ms: current Unix time, in ms.
+    :returns: number of due repetitions; 1 for a job without a schedule.
     """
     spec = job.spec
     if not spec.times:
@@ -371,9 +372,9 @@
     For a best-effort task it is the CPU requested by all best-effort runs, as a
     share of what other runs leave idle.
 
-    :param step: of the task.
-    :param server: to run it.
-    :returns: 0 to 1 if the CPU suffices, more otherwise.
+    :param step: step of the task.
+    :param server: server that would run the task.
+    :returns: cost, from 0 to 1 if the CPU suffices, more otherwise.
     """
     needs_milli = step.spec.needs.processors_milli
     capacity_milli = max(1, server.entry.capacity.processors_milli)
--- a/waxwingford/scheduling/_recovery.py
+++ b/waxwingford/scheduling/_recovery.py
@@ -30,8 +30,8 @@
         """Latest end of the leases on a server.
 
         :param server_id: identifier of the incarnation.
-        :returns: monotonic time in ms from which on no run of a previous owner is
-            active there.
+        :returns: monotonic time in ms from which on no run of a previous owner
+            is active there.
         """
         server_until_ms = self.until_by_server.get(server_id, self.until_ms)
         return min(self.until_ms, server_until_ms)
@@ -40,8 +40,8 @@
 class StateRecovery:
     """Restores the state of a shard from the rows in the store.
 
-    :ivar orphans_by_server: recorded runs on servers that have not been added to
-        the state yet.
+    :ivar orphans_by_server: recorded runs on servers that have not been added
+        to the state yet.
     """
 
     def __init__(self, state: ShardState) -> None:
--- a/waxwingford/scheduling/_reservations.py
+++ b/waxwingford/scheduling/_reservations.py
@@ -17,9 +17,9 @@
 from waxwingford.scheduling._specs import StepSpec
 from waxwingford.scheduling._state import Step
 
-#: Reservations at a time; reserved resources are idle.
+#: Maximum number of reservations, as reserved resources are idle.
 MAX_RESERVATIONS = 8
-#: Searches for a server in one round; each goes through all servers.
+#: Maximum number of searches in one round, as each scans all servers.
 MAX_SEARCHES = 16
 #: Time before a search that found no server is repeated for a step, in ms.
 SEARCH_RETRY_MS = 400
@@ -42,7 +42,7 @@
     def begin(self, now_ms: int) -> None:
         """Begin a placement round.
 
-        :param now_ms: monotonic time.
+        :param now_ms: current monotonic time, in ms.
         """
         self._reserved_by_server.clear()
         self._reservations = 0
@@ -58,8 +58,8 @@
     def available(self, server: Server) -> Resources:
         """Return the resources of a server that are neither used nor reserved.
 
-        :param server: to inspect.
-        :returns: its free resources less its reservations.
+        :param server: server to inspect.
+        :returns: free resources of the server less its reservations.
         """
         reserved = self._reserved_by_server.get(server.entry.server_id)
         if reserved is None:
@@ -69,7 +69,7 @@
     def may_search(self, step: Step) -> bool:
         """Tell whether ``reserve`` may be called for a task of a step.
 
-        :param step: of a task that doesn't fit on any server.
+        :param step: step of a task that doesn't fit on any server.
         :returns: whether the limits of this round allow another search.
         """
         if (
@@ -87,9 +87,9 @@
         long tasks come second, as these may take arbitrarily long. Resources of
         long-running tasks are never waited for.
 
-        :param step: of a task that doesn't fit on any server.
-        :param servers: that are eligible for the task.
-        :returns: the server, ``None`` if no server will fit the task.
+        :param step: step of a task that doesn't fit on any server.
+        :param servers: servers that are eligible for the task.
+        :returns: reserved server, ``None`` if no server will fit the task.
         """
         self._searches += 1
         takes = step.spec.reserved_resources
@@ -118,8 +118,8 @@
         """Find servers that will fit a task once other tasks have ended.
 
         :param reserved_resources: resources of the task.
-        :param servers: to choose from.
-        :param stays: tells whose resources are not waited for.
+        :param servers: servers to choose from.
+        :param stays: function that tells whose resources are not waited for.
         :returns: servers that will have enough resources.
         """
         return [
--- a/waxwingford/scheduling/_rows.py
+++ b/waxwingford/scheduling/_rows.py
@@ -23,8 +23,8 @@
 ENDED_PREFIX = 'ended/'
 #: Key of the learned interference of best-effort tasks.
 INTERFERENCE_KEY = 'effects'
-#: Key used by older versions, which store these values in another unit. They must
-#: not be read: they would make harmful pairs of images look harmless.
+#: Key used by older versions, which store these values in another unit. They
+#: must not be read: they would make harmful pairs of images look harmless.
 OBSOLETE_INTERFERENCE_KEY = 'harm'
 
 
@@ -139,7 +139,7 @@
     :param job: job that the step belongs to.
     :param step_key: key of the row.
     :param raw: encoded row.
-    :param now_ms: current monotonic time in ms, used as start of restored runs.
+    :param now_ms: current monotonic time, in ms; start of restored runs.
     :param wall_ms: current Unix time, in ms.
     :raises ValueError: if the row is malformed or doesn't match the job.
     """
--- a/waxwingford/scheduling/_samples.py
+++ b/waxwingford/scheduling/_samples.py
@@ -24,8 +24,8 @@
 class Observation(NamedTuple):
     """Figures that a server reported in one poll.
 
-    :ivar at_ms: monotonic time of the poll.
-    :ivar tail_latency_by_run: of serving runs, in ms.
+    :ivar at_ms: monotonic time of the poll, in ms.
+    :ivar tail_latency_by_run: tail latency of each serving run, in ms.
     :ivar share_by_image: share of the server's CPU in use by best-effort runs.
     """
 
@@ -38,7 +38,7 @@
     """A measured headroom.
 
     :ivar headroom: target as a multiple of the tail latency.
-    :ivar variance: of the measurement error.
+    :ivar variance: variance of the measurement error.
     :ivar age_s: age of the measured state, in seconds.
     """
 
@@ -60,12 +60,12 @@
     target for a second after a short spike. Removing the decayed previous
     average yields the latency within the interval.
 
-    :param target_ms: tail latency target of the task.
-    :param previous_ms: tail latency reported by the previous poll.
-    :param current_ms: tail latency reported by the latest poll.
+    :param target_ms: tail latency target of the task, in ms.
+    :param previous_ms: tail latency reported by the previous poll, in ms.
+    :param current_ms: tail latency reported by the latest poll, in ms.
     :param current: figures of the latest poll.
     :param previous: figures of the previous poll.
-    :returns: the sample.
+    :returns: headroom sample of the task.
     """
     span_ms = current.at_ms - previous.at_ms
     decay = math.exp(-span_ms / SMOOTHING_MS)
--- a/waxwingford/scheduling/_server_notes.py
+++ b/waxwingford/scheduling/_server_notes.py
@@ -4,8 +4,8 @@
 from waxwingford.scheduling._servers import Server
 from waxwingford.scheduling._state import Run, RunPhase
 
-#: Silence after which the wait for the leases of a server to expire is noted, in
-#: ms. Connections that were reset are restored earlier.
+#: Silence after which the wait for the leases of a server to expire is noted,
+#: in ms. Connections that were reset are restored earlier.
 AWAITED_NOTE_DELAY_MS = 1000
 
 
@@ -29,11 +29,11 @@
 def note_silent(
     notes: NoteBuffer, server: Server, since_ms: int, reason: str
 ) -> None:
-    """Mark a server as silent, and note it once; it gets no starts until it answers.
+    """Mark a server as silent, so that it gets no starts, and note it once.
 
     :param notes: notes of the shard.
     :param server: server that doesn't answer.
-    :param phase_since_ms: monotonic time in ms since when it hasn't answered.
+    :param phase_since_ms: monotonic time in ms since which it hasn't answered.
     :param reason: error of the call.
     """
     if server.failing_since_ms is None:
@@ -44,7 +44,8 @@
 def note_awaited(notes: NoteBuffer, server: Server, now_ms: int) -> None:
     """Note once that the tasks of a server wait for its leases to expire.
 
-    No other note explains why these tasks are not restarted for several seconds.
+    No other note explains why these tasks are not restarted for several
+    seconds.
 
     :param notes: notes of the shard.
     :param server: server that doesn't answer.
--- a/waxwingford/scheduling/_servers.py
+++ b/waxwingford/scheduling/_servers.py
@@ -53,8 +53,8 @@
     :ivar run_by_key: runs that may be present.
     :ivar step_by_run: steps of these runs.
     :ivar recent_starts: runs that the server isn't known to have outlived yet.
-    :ivar reserved_for: task suspected of crashing servers that is to start alone
-        here, ``None`` for none.
+    :ivar reserved_for: task suspected of crashing servers that is to start
+        alone here, ``None`` for none.
     :ivar unanswered: runs whose start was sent and not confirmed.
     :ivar used: resources reserved by runs, without the CPU of best-effort runs.
     :ivar free_resources: free resources: capacity less ``used``.
@@ -64,26 +64,27 @@
         of a core.
     :ivar clock_offset_ms: offset of the server's clock from the owner's,
         ``None`` before the first answer.
-    :ivar clock_updated_ms: when this offset was determined.
-    :ivar latest_clock_ms: server clock of its latest answer.
+    :ivar clock_updated_ms: time at which this offset was determined.
+    :ivar latest_clock_ms: server clock in its latest answer.
     :ivar lease_until_ms: end of the longest lease that was sent, server clock.
     :ivar processed_end: highest sequence number of a processed end.
     :ivar acknowledged_end: highest sequence number of a stored end.
-    :ivar polled_ms: when the newest answered poll was sent, -1 for none.
-    :ivar failing_since_ms: since when calls have failed, ``None`` if it
+    :ivar polled_ms: time at which the newest answered poll was sent, -1 for
+        none.
+    :ivar failing_since_ms: time since which calls have failed, ``None`` if it
         answers.
-    :ivar connection_lost_ms: when a connection was first closed since the last
-        answer, ``None`` if none was.
+    :ivar connection_lost_ms: time at which a connection was first closed since
+        the last answer, ``None`` if none was.
     :ivar replaced: whether another incarnation answered in its place.
     :ivar inherited_lease_until_ms: latest end of leases of previous owners.
     :ivar unknown_runs: unknown runs that the server lists, with the time at
         which their stop was last sent.
-    :ivar refusal_backoff_until_ms: until when it gets no starts because it
-        refused one.
-    :ivar excluded_until_ms: until when it gets no starts because of failed
-        runs.
+    :ivar refusal_backoff_until_ms: time until which it gets no starts because
+        it refused one.
+    :ivar excluded_until_ms: time until which it gets no starts because of
+        failed runs.
     :ivar penalty: decaying score of runs that failed or made no progress.
-    :ivar penalty_updated_ms: when the decay of this score was last applied.
+    :ivar penalty_updated_ms: time at which this score last decayed.
     :ivar change_count: number of runs added or removed so far.
     :ivar awaited: whether the wait for the end of its leases was noted.
     """
@@ -208,8 +209,8 @@
         """Time for which the server is known to have stayed up since a start.
 
         :param run: run on this server.
-        :returns: ms of the server's clock, ``None`` if the run isn't known to
-            have begun.
+        :returns: time in ms of the server's clock, ``None`` if the run isn't
+            known to have begun.
         """
         if run.started_server_clock_ms is None:
             return None
@@ -248,8 +249,8 @@
         """Upper bound of the time for which runs may still be active there.
 
         :param now_ms: current monotonic time, in ms.
-        :returns: ms until the leases expire unless they are extended, 0 or
-            less if all of them certainly have.
+        :returns: time in ms until the leases expire unless they are extended, 0
+            or less if all of them certainly have.
         """
         if self.replaced:
             return 0
--- a/waxwingford/scheduling/_settle.py
+++ b/waxwingford/scheduling/_settle.py
@@ -1,10 +1,10 @@
 """Settlement of runs from the answers and the silence of backend servers.
 
 A run is settled, so that its task may start again, only if the old run is known
-not to be active: its end was listed; its start was never sent or was refused; it
-is missing from a poll sent after its stop was acknowledged, or from the first poll
-of a new owner; another incarnation has replaced its server; or every lease that it
-may hold has expired. Anything weaker could run a task twice.
+not to be active: its end was listed; its start was never sent or was refused;
+it is missing from a poll sent after its stop was acknowledged, or from the
+first poll of a new owner; another incarnation has replaced its server; or every
+lease that it may hold has expired. Anything weaker could run a task twice.
 """
 
 from waxwingford.scheduling import _crashes as crashes
@@ -42,8 +42,8 @@
 
 #: Delay before a task is placed again after a refused start, in ms.
 REFUSED_RETRY_DELAY_MS = 60
-#: The delay doubles with each start refused as invalid, up to this, in ms, because
-#: other servers will probably refuse it as well.
+#: The delay doubles with each start refused as invalid, up to this, in ms,
+#: because other servers will probably refuse it as well.
 MAX_RETRY_DELAY_MS = 2000
 #: Time without starts for a server that refused one as unhealthy, in ms.
 UNHEALTHY_BACKOFF_MS = 1500
@@ -221,8 +221,9 @@
                 )
             return
         if run.phase is not RunPhase.present or report.percent != run.percent:
-            # A run that is listed for the first time counts as having progressed
-            # until now: a new owner may poll its server only after seconds.
+            # A run that is listed for the first time counts as having
+            # progressed until now: a new owner may poll its server only after
+            # seconds.
             run.percent = report.percent
             run.progress_changed_ms = now_ms
         server.enter(run, RunPhase.present, now_ms)
--- a/waxwingford/scheduling/_shard_state.py
+++ b/waxwingford/scheduling/_shard_state.py
@@ -212,8 +212,8 @@
     def remove_ended_jobs(self) -> dict[str, bytes | None]:
         """Remove ended jobs without runs on any server.
 
-        :returns: keys of their steps, each with ``None``, to be deleted from the
-            store.
+        :returns: keys of their steps, each with ``None``, to be deleted from
+            the store.
         """
         ended_jobs = [
             job
--- a/waxwingford/scheduling/_specs.py
+++ b/waxwingford/scheduling/_specs.py
@@ -87,8 +87,8 @@
     :ivar priority: priority class; 0 is the highest and may preempt others.
     :ivar most_attempts: number of failed runs after which the job fails.
     :ivar advised: whether starts need a ticket from the advice service.
-    :ivar stretch: a job is late once it has taken this multiple of its
-        critical path, plus ``target_ms``.
+    :ivar stretch: multiple of its critical path after which, plus
+        ``target_ms``, a job is late.
     :ivar target_ms: constant part of that limit, in ms.
     """
 
@@ -111,7 +111,7 @@
     :ivar job_id: identifier chosen by the caller.
     :ivar queue: name of the queue.
     :ivar payload: opaque data passed to each task.
-    :ivar steps: steps; each depends only on earlier ones.
+    :ivar steps: steps of the job; each depends only on earlier ones.
     :ivar first_due_ms: Unix time in ms at which the first repetition is due, 0
         for at once.
     :ivar every_ms: interval between repetitions, in ms.
@@ -133,7 +133,7 @@
     def critical_path_ms(self) -> int:
         """Estimated length of the critical path through the steps.
 
-        :returns: length in ms.
+        :returns: estimated length, in ms.
         """
         step_end_ms: list[int] = []
         for step in self.steps:
@@ -158,7 +158,7 @@
     def occurrences(self) -> int:
         """Number of repetitions.
 
-        :returns: at least 1.
+        :returns: number of repetitions, at least 1.
         """
         return max(1, self.times)
 
--- a/waxwingford/scheduling/_state.py
+++ b/waxwingford/scheduling/_state.py
@@ -41,23 +41,23 @@
 
     :ivar key: task and number of the run.
     :ivar server_id: incarnation of the server.
-    :ivar phase: what the owner knows about the run.
-    :ivar phase_since_ms: when the run entered its phase.
-    :ivar planned_ms: when the run was placed.
+    :ivar phase: phase of the run as known to the owner.
+    :ivar phase_since_ms: time at which the run entered its phase.
+    :ivar planned_ms: time at which the run was placed.
     :ivar checkpoint: newest checkpoint that the server listed.
     :ivar percent: progress that the server listed.
-    :ivar progress_changed_ms: when the progress last changed.
+    :ivar progress_changed_ms: time at which the progress last changed.
     :ivar measured_value: tail latency or CPU usage that the server listed, see
         ``RunningReport.measured_value``.
     :ivar pace: pace in percent; ``None`` if it is unknown, because an order got
         no answer or a previous owner set the pace of this best-effort run.
-    :ivar paced_ms: when the pace last changed.
-    :ivar over_target_since_ms: since when the tail latency exceeds its target,
-        0 if it doesn't.
+    :ivar paced_ms: time at which the pace last changed.
+    :ivar over_target_since_ms: time since which the tail latency exceeds its
+        target, 0 if it doesn't.
     :ivar stopping: whether the run is to be stopped.
-    :ivar stop_sent_ms: when a stop order was last sent, 0 for never.
-    :ivar stop_acknowledged_ms: when the server first accepted a stop order, 0
-        for never.
+    :ivar stop_sent_ms: time at which a stop order was last sent, 0 for never.
+    :ivar stop_acknowledged_ms: time at which the server first accepted a stop
+        order, 0 for never.
     :ivar adopted: whether a previous owner started the run.
     :ivar started_server_clock_ms: server clock when the server accepted the
         start order or first listed the run; ``None`` before.
@@ -113,7 +113,8 @@
     :ivar invalid_starts: start orders that servers rejected as invalid.
     :ivar not_before_ms: monotonic time in ms before which the task isn't
         placed.
-    :ivar pending_since_ms: monotonic time in ms since when the task is pending.
+    :ivar pending_since_ms: monotonic time in ms since which the task is
+        pending.
     :ivar best_effort: whether the task uses only CPU that other tasks leave
         idle.
     """
@@ -212,7 +213,7 @@
         """Find a task.
 
         :param key: identifier of the task.
-        :returns: the task, ``None`` if the job has no such task or its
+        :returns: task, ``None`` if the job has no such task or its
             repetition has not begun.
         """
         steps = self.steps_by_occurrence.get(key.occurrence)
--- a/waxwingford/scheduling/_task_order.py
+++ b/waxwingford/scheduling/_task_order.py
@@ -12,8 +12,8 @@
 #: Pending time after which a long-running task comes before all others, in ms.
 OVERDUE_MS = 2000
 #: Share of a service's CPU in use by long-running tasks from which on new ones
-#: don't become overdue, so that they can't take the rest from short tasks. Tasks
-#: that have run before are exempt.
+#: don't become overdue, so that they can't take the rest from short tasks.
+#: Tasks that have run before are exempt.
 MAX_LONG_RUNNING_SHARE = 0.85
 #: Lower than every priority.
 _OVERDUE_RANK = -1
@@ -23,9 +23,9 @@
     """A task without a server, and its place in the order.
 
     :ivar rank: sort key; lower comes first.
-    :ivar task: the task.
-    :ivar step: of the task.
-    :ivar queue: terms of its queue.
+    :ivar task: pending task.
+    :ivar step: step of the task.
+    :ivar queue: settings of its queue.
     :ivar overdue: whether it is a long-running task pending for too long.
     """
 
@@ -39,8 +39,8 @@
 def remaining_work(steps: list[Step]) -> int:
     """Estimate the remaining work of one repetition of a job.
 
-    :param steps: of the repetition.
-    :returns: thousandths of a core times milliseconds.
+    :param steps: steps of the repetition.
+    :returns: CPU time in thousandths of a core times milliseconds.
     """
     return sum(
         step.unfinished
@@ -66,13 +66,13 @@
     ordering by age would make every job late. A long-running task that is
     overdue comes before all others, so that short ones can't starve it.
 
-    :param task: the task.
-    :param step: of the task.
-    :param queue: terms of its queue.
+    :param task: task to rank.
+    :param step: step of the task.
+    :param queue: settings of its queue.
     :param work: remaining work of the repetition, see ``remaining_work``.
-    :param now_ms: monotonic time.
+    :param now_ms: current monotonic time, in ms.
     :param deferred: whether a long-running task can't become overdue.
-    :returns: the task with its rank.
+    :returns: task with its rank.
     """
     job = step.job
     long_running = step.spec.long_running
@@ -98,8 +98,8 @@
 ) -> list[PendingTask]:
     """List the pending tasks in the order in which they are placed.
 
-    :param state: of the shard.
-    :param now_ms: monotonic time.
+    :param state: state of the shard.
+    :param now_ms: current monotonic time, in ms.
     :param with_best_effort: whether to include best-effort tasks.
     :returns: tasks with their ranks.
     """
@@ -183,7 +183,7 @@
 
     :param first: ranked task of a step that isn't long-running.
     :param task: another task of the step.
-    :returns: that task with its rank.
+    :returns: other task with its rank.
     """
     rank = (*first.rank[:-1], task.key.index)
     return PendingTask(rank, task, first.step, first.queue)
--- a/waxwingford/scheduling/_tickets.py
+++ b/waxwingford/scheduling/_tickets.py
@@ -17,7 +17,7 @@
 #: Servers named in a request, unless a gang needs more: the service takes time
 #: for each.
 DEFAULT_REQUEST_SERVERS = 30
-#: Servers that the service accepts in one request at most.
+#: Maximum number of servers that the service accepts in one request.
 MAX_REQUEST_SERVERS = 100
 #: Shortest time between two checks whether a gang needs more tickets, in ms.
 GANG_CHECK_INTERVAL_MS = 100
@@ -38,9 +38,10 @@
 class Ticket(NamedTuple):
     """Permission to start tasks of a step on a server.
 
-    :ivar text: sent with the start.
-    :ivar until_ms: monotonic time until which starts are sent with it.
-    :ivar plan_until_ms: monotonic time until which runs are planned with it.
+    :ivar text: text sent with the start.
+    :ivar until_ms: monotonic time in ms until which starts are sent with it.
+    :ivar plan_until_ms: monotonic time in ms until which runs are planned with
+        it.
     """
 
     text: str
@@ -52,10 +53,10 @@
 class StepTickets:
     """Tickets of one step.
 
-    :ivar ticket_by_server: of eligible servers.
-    :ivar refused: servers that may not run the step; permanent.
-    :ivar checked_ms: monotonic time of the latest check whether a gang needs
-        more tickets.
+    :ivar ticket_by_server: tickets of eligible servers, by server id.
+    :ivar refused: servers that may never run the step.
+    :ivar checked_ms: monotonic time in ms of the latest check whether a gang
+        needs more tickets.
     """
 
     ticket_by_server: dict[str, Ticket] = dataclasses.field(
@@ -68,7 +69,7 @@
 class TicketRequest(NamedTuple):
     """Request to the advice service.
 
-    :ivar step: to run.
+    :ivar step: step to run.
     :ivar server_ids: candidate servers.
     """
 
@@ -89,9 +90,9 @@
     ) -> list[Server]:
         """Keep the servers with a ticket; request more if they don't suffice.
 
-        :param step: of an advised queue.
-        :param servers: with free resources for a task of the step.
-        :param now_ms: monotonic time.
+        :param step: step of an advised queue.
+        :param servers: servers with free resources for a task of the step.
+        :param now_ms: current monotonic time, in ms.
         :returns: servers on which runs may be planned.
         """
         tickets = self._tickets_by_step.setdefault(step.name, StepTickets())
@@ -114,9 +115,9 @@
     def ticket(self, step: Step, server_id: str, now_ms: int) -> str:
         """Find a ticket that is still valid when a start arrives.
 
-        :param step: of an advised queue.
+        :param step: step of an advised queue.
         :param server_id: server to run it.
-        :param now_ms: monotonic time at which the start is sent.
+        :param now_ms: monotonic time in ms at which the start is sent.
         :returns: the ticket's text, empty if there is none.
         """
         tickets = self._tickets_by_step.get(step.name)
@@ -129,7 +130,7 @@
     def next_request(self) -> TicketRequest | None:
         """Remove and return the oldest pending request.
 
-        :returns: the request, ``None`` if there is none.
+        :returns: oldest request, ``None`` if there is none.
         """
         if not self._request_by_step:
             return None
@@ -146,11 +147,11 @@
     ) -> None:
         """Apply a response of the service.
 
-        :param request: that was sent.
+        :param request: request that was sent.
         :param text_by_server: tickets of the eligible servers.
-        :param sent_ms: monotonic time at which the request was sent.
-        :param validity_ms: of the tickets.
-        :param now_ms: monotonic time at which the response arrived.
+        :param sent_ms: monotonic time in ms at which the request was sent.
+        :param validity_ms: validity of the tickets, in ms.
+        :param now_ms: monotonic time in ms at which the response arrived.
         """
         tickets = self._tickets_by_step.get(request.step.name)
         if tickets is None:
@@ -174,7 +175,7 @@
     def forget(self, step: Step) -> None:
         """Drop the tickets and the request of a finished step.
 
-        :param step: that has finished.
+        :param step: step that has finished.
         """
         self._tickets_by_step.pop(step.name, None)
         self._request_by_step.pop(step.name, None)
@@ -186,15 +187,15 @@
         possible: list[Server],
         now_ms: int,
     ) -> None:
-        """Request tickets for a gang that fits, but not on allowed servers only.
+        """Request tickets for a gang that fits only with further servers.
 
         Requests for a gang that doesn't fit at all would only delay those of
         other steps.
 
-        :param step: of the gang.
+        :param step: step whose tasks form the gang.
         :param allowed: servers with tickets.
         :param possible: servers that the service hasn't refused.
-        :param now_ms: monotonic time.
+        :param now_ms: current monotonic time, in ms.
         """
         tickets = self._tickets_by_step[step.name]
         if now_ms - tickets.checked_ms < GANG_CHECK_INTERVAL_MS:
@@ -222,11 +223,11 @@
     ) -> None:
         """Queue a request, replacing a pending one of the same step.
 
-        :param step: to run.
+        :param step: step to run.
         :param possible: servers that the service hasn't refused.
         :param assigned: servers that the members of a gang would use. All of
             them are named, so that their tickets expire at the same time.
-        :param now_ms: monotonic time.
+        :param now_ms: current monotonic time, in ms.
         """
         tickets = self._tickets_by_step[step.name]
         server_ids = [server.entry.server_id for server in possible]
--- a/waxwingford/scheduling/tests/engine_harness.py
+++ b/waxwingford/scheduling/tests/engine_harness.py
@@ -42,7 +42,7 @@
         self.planned_runs = []
         self.orders = []
         self.ends = collections.defaultdict(list)
-        # Tail latency in ms beside "calm" alone, and the factor added by "wild".
+        # Tail latency in ms beside "calm" alone, and factor added by "wild".
         self.figure_by_image = {}
         self.pace_by_image = {}
         self.stalled = False
--- a/waxwingford/scheduling/tests/interfering_servers.py
+++ b/waxwingford/scheduling/tests/interfering_servers.py
@@ -65,8 +65,8 @@
 class SimulatedCluster:
     """An engine and its servers in virtual time.
 
-    :ivar over_ms: time that serving runs were over their target.
-    :ivar served_ms: time that serving runs were running.
+    :ivar over_ms: time that serving runs were over their target, in ms.
+    :ivar served_ms: time that serving runs were running, in ms.
     :ivar used: core-seconds of best-effort runs.
     """
 
@@ -242,9 +242,9 @@
 def add_servers(cluster, count, service='service'):
     """Register further servers.
 
-    :param cluster: to extend.
+    :param cluster: cluster to extend.
     :param count: number of servers.
-    :param service: whose tasks they run.
+    :param service: service whose tasks the servers run.
     """
     begin = len(cluster.entries)
     cluster.entries += [
--- a/waxwingford/scheduling/tests/pressure_steps.py
+++ b/waxwingford/scheduling/tests/pressure_steps.py
@@ -112,8 +112,8 @@
 def run_overloaded(context, span_ms, until):
     """Let time pass with more pending short tasks than fit on the servers.
 
-    :param context: of the scenario.
-    :param span_ms: time limit.
+    :param context: context of the scenario.
+    :param span_ms: time limit, in ms.
     :param until: condition that ends it earlier.
     :returns: elapsed milliseconds.
     """
--- a/waxwingford/scheduling/tests/tickets_steps.py
+++ b/waxwingford/scheduling/tests/tickets_steps.py
@@ -72,9 +72,9 @@
     def advise(self, choose, validity_ms, took_ms=0):
         """Let the service answer the next request, if there is one.
 
-        :param choose: returns the eligible ones of some servers.
-        :param validity_ms: of the tickets.
-        :param took_ms: duration of the request; placement rounds go on.
+        :param choose: function that returns the eligible ones of some servers.
+        :param validity_ms: validity of the tickets, in ms.
+        :param took_ms: duration of the request, in ms; placement rounds go on.
         :returns: whether there was a request.
         """
         request = self.tickets.next_request()
@@ -102,9 +102,9 @@
     def advise_until_planned(self, validity_ms, took_ms, span_ms):
         """Let the service answer requests until a run is planned.
 
-        :param validity_ms: of the tickets.
-        :param took_ms: duration of a request.
-        :param span_ms: time limit.
+        :param validity_ms: validity of the tickets, in ms.
+        :param took_ms: duration of a request, in ms.
+        :param span_ms: time limit, in ms.
         """
         until_ms = self.now_ms + span_ms
         while self.now_ms < until_ms and not self.planned_runs:
