--- a/waxwingford/scheduling/_admission.py
+++ b/waxwingford/scheduling/_admission.py
@@ -123,8 +123,8 @@
         :param best_effort: step of the task.
         :param server: server that would run the task.
         :param now_ms: current monotonic time, in ms.
-        :returns: share of the CPU that the task needs; over 1 if the allowance
-            is exceeded already.
+        :returns: excess as a share of the CPU that the task needs; over 1 if
+            the allowance is exceeded already.
         """
         allowance = self._model.allowance(server, best_effort, now_ms)
         return max(0, 1 - min(allowance) / full_pace_share(server, best_effort))
--- a/waxwingford/scheduling/_backend_client.py
+++ b/waxwingford/scheduling/_backend_client.py
@@ -28,7 +28,7 @@
     def __str__(self) -> str:
         """Format the key for logs.
 
-        :returns: the four parts, joined by dots.
+        :returns: four parts of the key, joined by dots.
         """
         return f'{self.job_id}.{self.occurrence}.{self.step}.{self.index}'
 
@@ -257,7 +257,7 @@
         """Poll a server and extend its lease.
 
         :param address: address of the server.
-        :param order: lease, acknowledged ends and waiting time.
+        :param order: poll with lease, acknowledged ends and waiting time.
         :returns: runs and ends that the server lists, or why there are none.
         """
         ...
--- a/waxwingford/scheduling/_coefficients.py
+++ b/waxwingford/scheduling/_coefficients.py
@@ -76,8 +76,8 @@
     def correct(self, scaled_innovation: float, variance: float) -> None:
         """Apply a headroom sample to the coefficient.
 
-        :param scaled_innovation: measured less expected headroom, divided by
-            ``variance``.
+        :param scaled_innovation: innovation, measured less expected headroom,
+            divided by its variance.
         :param variance: variance of the innovation.
         """
         coefficient, share = self.coefficient, self.share
--- a/waxwingford/scheduling/_engine.py
+++ b/waxwingford/scheduling/_engine.py
@@ -65,11 +65,11 @@
     """Makes the decisions of one owner of a shard.
 
     :ivar state: state of the shard.
-    :ivar orders: creates orders.
-    :ivar settler: applies the answers of servers.
-    :ivar recovery: restores the rows of previous owners.
-    :ivar pacer: sets the pace of best-effort runs.
-    :ivar lease_withholding: chooses servers whose leases are not extended.
+    :ivar orders: factory of the orders.
+    :ivar settler: settler that applies the answers of servers.
+    :ivar recovery: recovery from the rows of previous owners.
+    :ivar pacer: pacer that sets the pace of best-effort runs.
+    :ivar lease_withholding: selection of servers whose leases are not extended.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
     ) -> None:
         """Create an engine without jobs or servers.
 
-        :param token: fencing token of this owner.
+        :param token: fencing token of the owner.
         :param lease_ms: length of the leases granted to servers, in ms.
         :param inherited: latest ends of the leases granted by previous owners.
         """
@@ -226,7 +226,7 @@
         """Check servers and runs, release due steps and place tasks.
 
         :param now_ms: current monotonic time, in ms.
-        :param wall_ms: current Unix time in ms, for timed jobs.
+        :param wall_ms: current Unix time, in ms, for timed jobs.
         :param place: whether tasks may be placed now.
         """
         self.state.wall_offset_ms = wall_ms - now_ms
--- a/waxwingford/scheduling/_gangs.py
+++ b/waxwingford/scheduling/_gangs.py
@@ -44,7 +44,7 @@
     :param servers: servers that accept starts and suit the step.
     :param room_of: function that returns the resources of a server that the
         gang may use.
-    :returns: one assignment per member, ``None`` if they don't all fit.
+    :returns: one assignment per member, ``None`` if the members don't all fit.
     """
     if step.spec.one_rack:
         by_rack: dict[str, list[Server]] = {}
--- a/waxwingford/scheduling/_headroom.py
+++ b/waxwingford/scheduling/_headroom.py
@@ -134,8 +134,8 @@
         """Apply a sample to the state.
 
         :param age_s: age of the sample relative to the state, in seconds.
-        :param scaled_innovation: measured less expected headroom, divided by
-            the variance of that difference.
+        :param scaled_innovation: innovation, measured less expected headroom,
+            divided by its variance.
         """
         level_gain = self._level_variance - age_s * self._covariance
         slope_gain = self._covariance - age_s * self._slope_variance
--- a/waxwingford/scheduling/_interference.py
+++ b/waxwingford/scheduling/_interference.py
@@ -150,8 +150,8 @@
     def encode(self) -> bytes:
         """Serialise the interference coefficients for the store.
 
-        :returns: a MessagePack list of serving image, best-effort image, mean
-            and variance.
+        :returns: MessagePack list of serving image, best-effort image, mean and
+            variance.
         """
         return msgspec.msgpack.encode(
             [
@@ -188,7 +188,7 @@
         """Predict how much more of a best-effort image a server can run.
 
         :param server: server that would run the image.
-        :param best_effort: step of the image.
+        :param best_effort: step that runs the image.
         :param now_ms: current monotonic time, in ms.
         :returns: shares of the server's CPU, negative if it is overcommitted.
         """
--- a/waxwingford/scheduling/_pacing.py
+++ b/waxwingford/scheduling/_pacing.py
@@ -77,7 +77,7 @@
     def adjust_paces(self, server: Server, now_ms: int) -> None:
         """Compute paces after a poll and order those that changed.
 
-        :param server: server that was polled.
+        :param server: polled server.
         :param now_ms: current monotonic time, in ms.
         """
         best_effort = [
--- a/waxwingford/scheduling/_pending_report.py
+++ b/waxwingford/scheduling/_pending_report.py
@@ -24,7 +24,7 @@
     def __init__(self, notes: NoteBuffer) -> None:
         """Create a report.
 
-        :param notes: notes that receive the log events.
+        :param notes: notes of the shard.
         """
         self._notes = notes
         self._reported_ms = 0
--- a/waxwingford/scheduling/_placing.py
+++ b/waxwingford/scheduling/_placing.py
@@ -75,7 +75,7 @@
 
         :param job: job of the tasks.
         :param now_ms: current monotonic time, in ms.
-        :param wall_ms: current Unix time, in ms, for jobs with a schedule.
+        :param wall_ms: current Unix time, in ms, for timed jobs.
         """
         if job.ended is not None or job.blocked:
             return
@@ -240,7 +240,7 @@
 
         :param task: task to run.
         :param step: step of the task.
-        :param server: server that would run the task.
+        :param server: server that will run the task.
         :param now_ms: current monotonic time, in ms.
         """
         task.last_run += 1
@@ -330,7 +330,7 @@
 
     :param job: job to check.
     :param wall_ms: current Unix time, in ms.
-    :returns: number of due repetitions; 1 for a job without a schedule.
+    :returns: number of due repetitions; 1 for a job that isn't timed.
     """
     spec = job.spec
     if not spec.times:
--- a/waxwingford/scheduling/_recovery.py
+++ b/waxwingford/scheduling/_recovery.py
@@ -18,7 +18,7 @@
 class InheritedLeases(NamedTuple):
     """Latest ends of the leases granted by previous owners.
 
-    :ivar until_ms: monotonic time in ms that holds for every server.
+    :ivar until_ms: latest end for any server, as monotonic time in ms.
     :ivar until_by_server: earlier times for servers that the previous owner
         reported as silent, by server id.
     """
--- a/waxwingford/scheduling/_servers.py
+++ b/waxwingford/scheduling/_servers.py
@@ -57,7 +57,7 @@
         alone here, ``None`` for none.
     :ivar unanswered: runs whose start was sent and not confirmed.
     :ivar used: resources reserved by runs, without the CPU of best-effort runs.
-    :ivar free_resources: free resources: capacity less ``used``.
+    :ivar free_resources: capacity less ``used``.
     :ivar best_effort_milli: CPU requested by best-effort tasks, in thousandths
         of a core.
     :ivar long_running_milli: CPU reserved by long-running tasks, in thousandths
@@ -65,8 +65,9 @@
     :ivar clock_offset_ms: offset of the server's clock from the owner's,
         ``None`` before the first answer.
     :ivar clock_updated_ms: time at which this offset was determined.
-    :ivar latest_clock_ms: server clock in its latest answer.
-    :ivar lease_until_ms: end of the longest lease that was sent, server clock.
+    :ivar latest_clock_ms: server clock in its latest answer, in ms.
+    :ivar lease_until_ms: end of the longest lease that was sent, in ms of the
+        server's clock.
     :ivar processed_end: highest sequence number of a processed end.
     :ivar acknowledged_end: highest sequence number of a stored end.
     :ivar polled_ms: time at which the newest answered poll was sent, -1 for
@@ -127,7 +128,7 @@
     def address(self) -> Address:
         """Address to which orders are sent.
 
-        :returns: incarnation and endpoint.
+        :returns: address with incarnation and endpoint.
         """
         return Address(self.entry.server_id, self.entry.endpoint)
 
@@ -209,8 +210,8 @@
         """Time for which the server is known to have stayed up since a start.
 
         :param run: run on this server.
-        :returns: time in ms of the server's clock, ``None`` if the run isn't
-            known to have begun.
+        :returns: duration in ms by the server's clock, ``None`` if the run
+            isn't known to have begun.
         """
         if run.started_server_clock_ms is None:
             return None
--- a/waxwingford/scheduling/_specs.py
+++ b/waxwingford/scheduling/_specs.py
@@ -87,8 +87,8 @@
     :ivar priority: priority class; 0 is the highest and may preempt others.
     :ivar most_attempts: number of failed runs after which the job fails.
     :ivar advised: whether starts need a ticket from the advice service.
-    :ivar stretch: multiple of its critical path after which, plus
-        ``target_ms``, a job is late.
+    :ivar stretch: multiple of its critical path that a job may take, plus
+        ``target_ms``, before it is late.
     :ivar target_ms: constant part of that limit, in ms.
     """
 
--- a/waxwingford/scheduling/_state.py
+++ b/waxwingford/scheduling/_state.py
@@ -45,7 +45,7 @@
     :ivar phase_since_ms: time at which the run entered its phase.
     :ivar planned_ms: time at which the run was placed.
     :ivar checkpoint: newest checkpoint that the server listed.
-    :ivar percent: progress that the server listed.
+    :ivar percent: progress that the server listed, in percent.
     :ivar progress_changed_ms: time at which the progress last changed.
     :ivar measured_value: tail latency or CPU usage that the server listed, see
         ``RunningReport.measured_value``.
@@ -243,7 +243,7 @@
 
     :param spec: specification of the job as submitted.
     :param now_ms: current monotonic time, in ms.
-    :returns: a job without any started repetition.
+    :returns: job without any started repetition.
     """
     return Job(
         spec,
--- a/waxwingford/scheduling/_tickets.py
+++ b/waxwingford/scheduling/_tickets.py
@@ -116,9 +116,9 @@
         """Find a ticket that is still valid when a start arrives.
 
         :param step: step of an advised queue.
-        :param server_id: server to run it.
+        :param server_id: server that will run the task.
         :param now_ms: monotonic time in ms at which the start is sent.
-        :returns: the ticket's text, empty if there is none.
+        :returns: text of the ticket, empty if there is none.
         """
         tickets = self._tickets_by_step.get(step.name)
         if tickets is None:
--- a/waxwingford/scheduling/tests/interference_steps.py
+++ b/waxwingford/scheduling/tests/interference_steps.py
@@ -216,7 +216,7 @@
     """List the start times of the best-effort job's runs.
 
     :param context: context of the scenario.
-    :returns: milliseconds since the job was submitted.
+    :returns: start times, in ms since the job was submitted.
     """
     return [
         run.started_ms - context.submitted_ms
--- a/waxwingford/scheduling/tests/interfering_servers.py
+++ b/waxwingford/scheduling/tests/interfering_servers.py
@@ -67,7 +67,7 @@
 
     :ivar over_ms: time that serving runs were over their target, in ms.
     :ivar served_ms: time that serving runs were running, in ms.
-    :ivar used: core-seconds of best-effort runs.
+    :ivar used: CPU time of best-effort runs, in core-seconds.
     """
 
     def __init__(self, servers, coefficients, swing=0.5, period_s=10, seed=1):
--- a/waxwingford/scheduling/tests/pressure_steps.py
+++ b/waxwingford/scheduling/tests/pressure_steps.py
@@ -114,8 +114,8 @@
 
     :param context: context of the scenario.
     :param span_ms: time limit, in ms.
-    :param until: condition that ends it earlier.
-    :returns: elapsed milliseconds.
+    :param until: condition that ends the wait earlier.
+    :returns: elapsed time, in ms.
     """
     harness = context.harness
     begin_ms = harness.now_ms
