--- a/waxwingford/scheduling/_admission.py
+++ b/waxwingford/scheduling/_admission.py
@@ -22,8 +22,8 @@
 REDUCED_SPEED_AFTER_MS = 1500
 #: Idle time of a job after which its tasks may start on any server, in ms.
 ANY_SERVER_AFTER_MS = 2600
-#: Share of a service's CPU in use by other tasks from which on
-#: ``ANY_SERVER_AFTER_MS`` doesn't apply.
+#: Share of a service's CPU in use by tasks that aren't best-effort from which
+#: on ``ANY_SERVER_AFTER_MS`` doesn't apply.
 CROWDED_SHARE = 0.6
 #: Maximum number of servers considered for one task; the selection rotates.
 MAX_CANDIDATES = 24
