--- a/waxwingford/scheduling/_backend_client.py
+++ b/waxwingford/scheduling/_backend_client.py
@@ -14,7 +14,6 @@
 class TaskKey(NamedTuple):
     """Identifier of a task.
 
-    :ivar job_id: identifier of the job.
     :ivar occurrence: index of the repetition of the job, from 0.
     :ivar step: index of the step in the job.
     :ivar index: index of the task in the step.
@@ -26,17 +25,13 @@
     index: int
 
     def __str__(self) -> str:
-        """Format the key for logs.
-
-        :returns: four parts of the key, joined by dots.
-        """
+        """Format the key for logs."""
         return f'{self.job_id}.{self.occurrence}.{self.step}.{self.index}'
 
 
 class RunKey(NamedTuple):
     """Identifier of a run of a task.
 
-    :ivar task: key of the task.
     :ivar run: number of the run, from 1, increasing.
     """
 
@@ -58,7 +53,6 @@
 class RunningReport(NamedTuple):
     """A run that a server lists as present.
 
-    :ivar run: key of the run.
     :ivar checkpoint: newest checkpoint, empty for none.
     :ivar percent: progress in percent; for a long-running task, 100 means
         ready.
@@ -76,8 +70,6 @@
     """A run that a server lists as ended.
 
     :ivar number: sequence number of the end at this incarnation, from 1.
-    :ivar run: key of the run.
-    :ivar kind: way in which the run ended.
     :ivar checkpoint: newest checkpoint, empty for none.
     """
 
@@ -102,7 +94,6 @@
 class StartOrder(NamedTuple):
     """Order to start a run.
 
-    :ivar run: key of the run.
     :ivar payload: payload of the job, passed on unchanged.
     :ivar lease_until_ms: end of the lease in ms of the server's clock.
     :ivar fencing_token: fencing token of the shard's owner.
@@ -160,10 +151,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderRefused:
-    """The order was not carried out and won't be.
-
-    :ivar reason: reason for the refusal.
-    """
+    """The order was not carried out and won't be."""
 
     reason: RefusalReason
 
@@ -233,12 +221,7 @@
     """Client of all backend servers."""
 
     async def start(self, address: Address, order: StartOrder) -> OrderOutcome:
-        """Send a start order once, without retries.
-
-        :param address: address of the server.
-        :param order: start order.
-        :returns: outcome of the order.
-        """
+        """Send a start order once, without retries."""
         ...
 
     async def stop(
@@ -246,18 +229,13 @@
     ) -> OrderOutcome:
         """Stop a run; the server also refuses a start that arrives later.
 
-        :param address: address of the server.
-        :param run: key of the run.
         :param fencing_token: fencing token of the shard's owner.
-        :returns: outcome of the order.
         """
         ...
 
     async def poll(self, address: Address, order: PollOrder) -> PollOutcome:
         """Poll a server and extend its lease.
 
-        :param address: address of the server.
-        :param order: poll with lease, acknowledged ends and waiting time.
         :returns: runs and ends that the server lists, or why there are none.
         """
         ...
@@ -267,10 +245,7 @@
     ) -> OrderOutcome:
         """Limit the speed of a run.
 
-        :param address: address of the server.
-        :param run: key of the run.
         :param percent: limit from 0 to 100 percent of full speed.
         :param fencing_token: fencing token of the shard's owner.
-        :returns: outcome of the order.
         """
         ...
--- a/waxwingford/scheduling/_notes.py
+++ b/waxwingford/scheduling/_notes.py
@@ -23,14 +23,12 @@
     """Notes that have not been logged yet."""
 
     def __init__(self) -> None:
-        """Create an empty collection."""
         self._notes: list[Note] = []
         self._unreadable_keys: set[str] = set()
 
     def add(self, event: str, subject: object, **fields: object) -> None:
         """Add a note.
 
-        :param event: name of the event.
         :param subject: identifier of the job, task, server or record concerned.
         :param fields: values that led to the decision.
         """
@@ -42,7 +40,6 @@
         At most ``MAX_UNREADABLE`` keys are noted, because records are read
         repeatedly.
 
-        :param key: key of the record.
         :param error: error of the decoder.
         """
         known = key in self._unreadable_keys
@@ -51,10 +48,7 @@
             self.add('record.unreadable', key, reason=str(error))
 
     def take(self) -> list[Note]:
-        """Remove and return all notes.
-
-        :returns: notes since the last call.
-        """
+        """Remove and return all notes."""
         notes = self._notes
         self._notes = []
         return notes
--- a/waxwingford/scheduling/_order_factory.py
+++ b/waxwingford/scheduling/_order_factory.py
@@ -17,12 +17,6 @@
     """
 
     def __init__(self, state: ShardState, token: int, lease_ms: int) -> None:
-        """Create a factory.
-
-        :param state: state of the shard.
-        :param token: fencing token of the owner.
-        :param lease_ms: length of the leases granted to servers, in ms.
-        """
         self.token = token
         self._state = state
         self.lease_ms = lease_ms
@@ -32,13 +26,11 @@
     ) -> PollOrder:
         """Create a poll of a server.
 
-        :param server: server to poll.
         :param now_ms: current monotonic time, in ms.
         :param wait_ms: time in ms for which the server may delay its answer
             until a run ends.
         :param extend: whether to extend the lease if the server answers, has
             runs and is not withheld.
-        :returns: poll to send.
         """
         lease_until_ms = None
         # A server that doesn't answer may still receive polls. If they extended
@@ -59,7 +51,6 @@
 
         A run that can't start any more is marked to be stopped.
 
-        :param run: run to start.
         :param now_ms: current monotonic time, in ms.
         :returns: order to send, ``None`` if the run must not start.
         """
--- a/waxwingford/scheduling/_orders.py
+++ b/waxwingford/scheduling/_orders.py
@@ -9,11 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Start:
-    """Start of a run, to be sent once the record of the run is stored.
-
-    :ivar server_id: server that the run is placed on.
-    :ivar run: run to start.
-    """
+    """Start of a run, to be sent once the record of the run is stored."""
 
     server_id: str
     run: Run
@@ -21,11 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stop:
-    """Order to stop a run.
-
-    :ivar server_id: server of the run.
-    :ivar key: key of the run.
-    """
+    """Order to stop a run."""
 
     server_id: str
     key: RunKey
@@ -35,8 +27,6 @@
 class Pace:
     """Order to limit the speed of a run.
 
-    :ivar server_id: server of the run.
-    :ivar key: key of the run.
     :ivar percent: limit in percent of full speed.
     """
 
@@ -51,7 +41,6 @@
 class EndAcknowledgement(NamedTuple):
     """An end to acknowledge to its server once the batch is stored.
 
-    :ivar server_id: server that listed the end.
     :ivar number: sequence number of the end.
     """
 
--- a/waxwingford/scheduling/_rows.py
+++ b/waxwingford/scheduling/_rows.py
@@ -56,7 +56,6 @@
 class StepKey(NamedTuple):
     """Key of a step's row.
 
-    :ivar job_id: identifier of the job.
     :ivar occurrence: index of the repetition, from 0.
     :ivar index: index of the step in the job.
     """
@@ -70,7 +69,6 @@
     """Parse the key of a step's row.
 
     :param key: key as returned by ``Step.name``.
-    :returns: parts of the key.
     :raises ValueError: if the key is malformed.
     """
     job_id, occurrence, index = key.rsplit('.', 2)
@@ -78,11 +76,7 @@
 
 
 def encode_spec(spec: JobSpec) -> bytes:
-    """Encode a job for the store.
-
-    :param spec: specification of the job as submitted.
-    :returns: encoded specification.
-    """
+    """Encode a job for the store."""
     return _encoder.encode(spec)
 
 
@@ -90,7 +84,6 @@
     """Decode a job from the store.
 
     :param raw: bytes returned by ``encode_spec``.
-    :returns: specification of the job.
     :raises ValueError: if the bytes are malformed.
     """
     return _spec_decoder.decode(raw)
@@ -99,9 +92,7 @@
 def encode_step_row(step: Step, wall_offset_ms: int) -> bytes:
     """Encode the row of a step.
 
-    :param step: step to encode.
     :param wall_offset_ms: offset of Unix time from monotonic time, in ms.
-    :returns: encoded row.
     """
     return _encoder.encode(
         [
@@ -136,9 +127,6 @@
 ) -> None:
     """Apply the row of a step to the state of its job.
 
-    :param job: job that the step belongs to.
-    :param step_key: key of the row.
-    :param raw: encoded row.
     :param now_ms: current monotonic time, in ms; start of restored runs.
     :param wall_ms: current Unix time, in ms.
     :raises ValueError: if the row is malformed or doesn't match the job.
@@ -193,11 +181,7 @@
 
 
 def encode_end(phase: JobPhase) -> bytes:
-    """Encode the final phase of a job.
-
-    :param phase: final phase.
-    :returns: encoded phase.
-    """
+    """Encode the final phase of a job."""
     return phase.value.encode()
 
 
@@ -205,7 +189,6 @@
     """Decode the final phase of a job.
 
     :param raw: bytes returned by ``encode_end``.
-    :returns: final phase.
     :raises ValueError: if the bytes are no phase.
     """
     return JobPhase(raw.decode())
--- a/waxwingford/scheduling/_server_notes.py
+++ b/waxwingford/scheduling/_server_notes.py
@@ -10,13 +10,7 @@
 
 
 def note_run(notes: NoteBuffer, event: str, run: Run, reason: str) -> None:
-    """Add a note about a run.
-
-    :param notes: notes of the shard.
-    :param event: name of the event.
-    :param run: run concerned.
-    :param reason: cause of the event.
-    """
+    """Add a note about a run."""
     notes.add(
         event,
         run.key.task,
@@ -31,9 +25,7 @@
 ) -> None:
     """Mark a server as silent, so that it gets no starts, and note it once.
 
-    :param notes: notes of the shard.
-    :param server: server that doesn't answer.
-    :param phase_since_ms: monotonic time in ms since which it hasn't answered.
+    :param since_ms: monotonic time in ms since which it hasn't answered.
     :param reason: error of the call.
     """
     if server.failing_since_ms is None:
@@ -47,8 +39,6 @@
     No other note explains why these tasks are not restarted for several
     seconds.
 
-    :param notes: notes of the shard.
-    :param server: server that doesn't answer.
     :param now_ms: current monotonic time, in ms.
     """
     since_ms = server.failing_since_ms
--- a/waxwingford/scheduling/_specs.py
+++ b/waxwingford/scheduling/_specs.py
@@ -24,11 +24,9 @@
 ):
     """Group of identical tasks of a job.
 
-    :ivar count: number of tasks.
     :ivar needs: resources that each task requires.
     :ivar estimate_ms: estimated run time of a task, in ms.
     :ivar after: indices of the steps that must be done before this one.
-    :ivar writes_checkpoints: whether the tasks write checkpoints.
     :ivar gang: whether the tasks make progress only while all of them run.
     :ivar one_rack: whether the tasks run slower when spread over racks.
     :ivar label: label that a server must have, empty for any server.
@@ -82,7 +80,6 @@
 class QueueTerms(NamedTuple):
     """Settings of a queue.
 
-    :ivar name: name of the queue.
     :ivar service: service whose backend servers run the tasks.
     :ivar priority: priority class; 0 is the highest and may preempt others.
     :ivar most_attempts: number of failed runs after which the job fails.
@@ -131,10 +128,7 @@
 
     @property
     def critical_path_ms(self) -> int:
-        """Estimated length of the critical path through the steps.
-
-        :returns: estimated length, in ms.
-        """
+        """Estimated length of the critical path through the steps, in ms."""
         step_end_ms: list[int] = []
         for step in self.steps:
             start_ms = max(
@@ -145,10 +139,7 @@
 
     @property
     def work(self) -> int:
-        """Estimated work of the job.
-
-        :returns: CPU time in thousandths of a core times milliseconds.
-        """
+        """Estimated CPU time in thousandths of a core times milliseconds."""
         return sum(
             step.count * step.estimate_ms * step.needs.processors_milli
             for step in self.steps
@@ -156,10 +147,7 @@
 
     @property
     def occurrences(self) -> int:
-        """Number of repetitions.
-
-        :returns: number of repetitions, at least 1.
-        """
+        """Number of repetitions, at least 1."""
         return max(1, self.times)
 
 
@@ -167,7 +155,6 @@
     """Settings of all queues.
 
     :ivar version: version number, which increases with each configuration.
-    :ivar queue_by_name: settings by name of the queue.
     """
 
     version: int
