--- a/waxwingford/scheduling/_crashes.py
+++ b/waxwingford/scheduling/_crashes.py
@@ -34,7 +34,6 @@
 def find_suspects(server: Server) -> list[Run]:
     """List the runs that may have crashed a server.
 
-    :param server: lost server.
     :returns: runs that may have begun and that the server isn't known to have
         outlived.
     """
@@ -51,10 +50,6 @@
     """Add evidence to the tasks that may have crashed a server.
 
     A job fails as soon as the evidence against one of its tasks suffices.
-
-    :param state: state of the shard.
-    :param server: lost server.
-    :param suspects: runs that may have crashed it.
     """
     if not suspects:
         return
@@ -94,7 +89,6 @@
 def clear_outlived(state: ShardState, server: Server) -> None:
     """Clear the suspicion of tasks whose start a server has outlived.
 
-    :param state: state of the shard.
     :param server: server that has just answered.
     """
     for key in list(server.recent_starts):
@@ -143,10 +137,7 @@
 
 
 def mark_outlived(state: ShardState) -> None:
-    """Mark the steps with newly outlived starts to be stored.
-
-    :param state: state of the shard.
-    """
+    """Mark the steps with newly outlived starts to be stored."""
     for step in state.outlived_step_by_name.values():
         state.mark(step)
     state.outlived_step_by_name.clear()
@@ -155,8 +146,6 @@
 def is_suspect(task: Task, step: Step) -> bool:
     """Whether a task is suspected of crashing its servers.
 
-    :param task: task to check.
-    :param step: step of the task.
     :returns: whether the task or another member of its gang is suspected.
     """
     if step.spec.gang:
@@ -167,8 +156,6 @@
 def suspect_key(key: TaskKey, step: Step) -> TaskKey:
     """Key under which a task is suspected; members of a gang share one.
 
-    :param key: key of the task.
-    :param step: step of the task.
     :returns: key of the task, or of the first task of its gang.
     """
     return step.tasks[0].key if step.spec.gang else key
--- a/waxwingford/scheduling/_late_ends.py
+++ b/waxwingford/scheduling/_late_ends.py
@@ -19,10 +19,6 @@
 
     Runs that were never sent, or whose server was replaced, are left out
     because no server will list their end.
-
-    :param state: state of the shard.
-    :param server: lost server.
-    :param run: run on that server.
     """
     found = state.find(run.key)
     may_be_listed = not server.replaced and run.phase is not RunPhase.planned
@@ -36,8 +32,6 @@
 ) -> tuple[Task, Step] | None:
     """Process a late end; each end counts once.
 
-    :param state: state of the shard.
-    :param server: server that lists the end.
     :param end: end of a run that this owner doesn't track.
     :returns: task and step to count the end for, ``None`` if it doesn't count.
     """
--- a/waxwingford/scheduling/_lease_withholding.py
+++ b/waxwingford/scheduling/_lease_withholding.py
@@ -21,10 +21,6 @@
     """Selects the servers whose leases are not extended."""
 
     def __init__(self, state: ShardState) -> None:
-        """Create the policy.
-
-        :param state: state of the shard.
-        """
         self._state = state
 
     def withhold_silent(self, now_ms: int) -> dict[str, int]:
--- a/waxwingford/scheduling/_recovery.py
+++ b/waxwingford/scheduling/_recovery.py
@@ -45,10 +45,6 @@
     """
 
     def __init__(self, state: ShardState) -> None:
-        """Create a recovery without rows.
-
-        :param state: state of the shard.
-        """
         self.orphans_by_server: dict[str, list[tuple[Run, Step]]] = (
             collections.defaultdict(list)
         )
@@ -107,7 +103,6 @@
 
         A task that runs or is done according to that row would run twice.
 
-        :param key: key of the row.
         :param error: error of the decoder.
         """
         self._held_job_ids.add(key.removeprefix(ENDED_PREFIX).partition('.')[0])
@@ -126,8 +121,6 @@
 
         The count is otherwise checked only when a run ends, which never happens
         in a job whose tasks are all done.
-
-        :param job: restored job.
         """
         job.occurrences_left = job.spec.occurrences - sum(
             not any(step.unfinished for step in steps)
--- a/waxwingford/scheduling/_servers.py
+++ b/waxwingford/scheduling/_servers.py
@@ -49,7 +49,6 @@
     otherwise.
 
     :ivar entry: newest registration.
-    :ivar registered: whether the server is currently registered.
     :ivar run_by_key: runs that may be present.
     :ivar step_by_run: steps of these runs.
     :ivar recent_starts: runs that the server isn't known to have outlived yet.
@@ -121,23 +120,16 @@
     awaited: bool = False
 
     def __post_init__(self) -> None:
-        """Initialise the free resources."""
         self._update_room()
 
     @property
     def address(self) -> Address:
-        """Address to which orders are sent.
-
-        :returns: address with incarnation and endpoint.
-        """
+        """Address to which orders are sent."""
         return Address(self.entry.server_id, self.entry.endpoint)
 
     @property
     def no_starts_until_ms(self) -> int:
-        """Time until which the server gets no starts.
-
-        :returns: monotonic time in ms.
-        """
+        """Monotonic time in ms until which the server gets no starts."""
         return max(self.refusal_backoff_until_ms, self.excluded_until_ms)
 
     @property
@@ -152,20 +144,13 @@
         return answers and not leaves
 
     def register(self, entry: ServerEntry) -> None:
-        """Apply a newer registration.
-
-        :param entry: registration of the server.
-        """
+        """Apply a newer registration."""
         self.entry = entry
         self.registered = True
         self._update_room()
 
     def add(self, run: Run, step: Step) -> None:
-        """Add a run and reserve its resources.
-
-        :param run: run placed on this server.
-        :param step: step of the run.
-        """
+        """Add a run and reserve its resources."""
         self.run_by_key[run.key] = run
         self.step_by_run[run.key] = step
         if not run.outlived:
@@ -173,10 +158,7 @@
         self._count(step, 1)
 
     def remove(self, key: RunKey) -> None:
-        """Remove a run, if present, and release its resources.
-
-        :param key: key of the run.
-        """
+        """Remove a run, if present, and release its resources."""
         if self.run_by_key.pop(key, None) is not None:
             self.unanswered.discard(key)
             self.recent_starts.discard(key)
@@ -185,8 +167,6 @@
     def enter(self, run: Run, phase: RunPhase, now_ms: int) -> None:
         """Set the phase of a run on this server.
 
-        :param run: run on this server.
-        :param phase: new phase.
         :param now_ms: current monotonic time, in ms.
         """
         run.enter(phase, now_ms)
@@ -209,7 +189,6 @@
     def outlived_ms(self, run: Run) -> int | None:
         """Time for which the server is known to have stayed up since a start.
 
-        :param run: run on this server.
         :returns: duration in ms by the server's clock, ``None`` if the run
             isn't known to have begun.
         """
@@ -242,7 +221,6 @@
         twice.
 
         :param now_ms: current monotonic time, in ms.
-        :returns: whether no run can still be active there.
         """
         return self.lease_left_ms(now_ms) <= 0
 
--- a/waxwingford/scheduling/_settle.py
+++ b/waxwingford/scheduling/_settle.py
@@ -55,10 +55,6 @@
     """Applies outcomes of polls and orders to the state of a shard."""
 
     def __init__(self, state: ShardState) -> None:
-        """Create a settler.
-
-        :param state: state of the shard.
-        """
         self._state = state
 
     def poll_answered(
@@ -66,10 +62,8 @@
     ) -> None:
         """Apply the outcome of a poll.
 
-        :param server: polled server.
         :param sent_ms: monotonic time in ms at which the poll was sent.
         :param now_ms: current monotonic time, in ms.
-        :param outcome: outcome of the poll.
         """
         match outcome:
             case PollResult():
@@ -87,10 +81,7 @@
     ) -> None:
         """Apply the outcome of a start order.
 
-        :param server: server that the order was sent to.
-        :param run: run to start.
         :param now_ms: current monotonic time, in ms.
-        :param outcome: outcome of the order.
         """
         if run.key not in server.run_by_key:
             return
@@ -123,10 +114,7 @@
     ) -> None:
         """Apply the outcome of a stop order.
 
-        :param server: server that the order was sent to.
-        :param key: key of the run to stop.
         :param now_ms: current monotonic time, in ms.
-        :param outcome: outcome of the order.
         """
         run = server.run_by_key.get(key)
         match outcome:
@@ -143,7 +131,6 @@
     def settle_unsent(self, server: Server, now_ms: int) -> None:
         """Settle runs that were stopped before their start was sent.
 
-        :param server: server that the runs are placed on.
         :param now_ms: current monotonic time, in ms.
         """
         for run in list(server.run_by_key.values()):
--- a/waxwingford/scheduling/_shard_state.py
+++ b/waxwingford/scheduling/_shard_state.py
@@ -54,7 +54,6 @@
     """
 
     def __init__(self) -> None:
-        """Create an empty state."""
         self.terms = INITIAL_TERMS
         self.job_by_id: dict[str, Job] = {}
         self.final_phase_by_job: dict[str, JobPhase] = {}
@@ -89,7 +88,6 @@
     def submit(self, spec: JobSpec, now_ms: int) -> bool:
         """Add a stored job; known jobs are ignored.
 
-        :param spec: specification of the job as submitted.
         :param now_ms: current monotonic time, in ms.
         :returns: whether the job is new.
         """
@@ -103,18 +101,11 @@
         return True
 
     def mark(self, step: Step) -> None:
-        """Mark a step to be stored with the next batch.
-
-        :param step: changed step.
-        """
+        """Mark a step to be stored with the next batch."""
         self._dirty_step_by_name[step.name] = step
 
     def plan(self, run: Run, step: Step) -> None:
-        """Place a run; it starts once it is stored.
-
-        :param run: new run.
-        :param step: step of the run.
-        """
+        """Place a run; it starts once it is stored."""
         self.server_by_id[run.server_id].add(run, step)
         self.mark(step)
         self._pending_starts.append(Start(run.server_id, run))
@@ -122,7 +113,6 @@
     def acknowledge_end(self, server_id: str, number: int) -> None:
         """Acknowledge an end to its server once the next batch is stored.
 
-        :param server_id: server that listed the end.
         :param number: sequence number of the end.
         """
         self._pending_acknowledgements.append(
@@ -132,7 +122,6 @@
     def finish(self, job: Job, phase: JobPhase) -> None:
         """End a job and stop its remaining runs; an ended job stays as it is.
 
-        :param job: job to end.
         :param phase: final phase.
         """
         if job.ended is not None:
@@ -147,19 +136,13 @@
             run.stopping = True
 
     def take_orders(self) -> list[Order]:
-        """Remove and return the orders that need no record.
-
-        :returns: orders to send now.
-        """
+        """Remove and return the orders that need no record."""
         orders = self.orders
         self.orders = []
         return orders
 
     def take_batch(self) -> Batch:
-        """Remove and return everything that has to be stored.
-
-        :returns: rows and the actions that depend on them.
-        """
+        """Remove and return everything that has to be stored."""
         payload_by_key: dict[str, bytes | None] = {}
         for name, step in self._dirty_step_by_name.items():
             if step.job.ended is None:
@@ -233,7 +216,6 @@
     def phase(self, job_id: str) -> JobPhase | None:
         """Phase of a job according to the store.
 
-        :param job_id: identifier of the job.
         :returns: phase of the job, ``None`` if it is unknown to this shard.
         """
         ended = self.final_phase_by_job.get(job_id)
@@ -243,7 +225,6 @@
     def pending(self, queue: str) -> int:
         """Count the jobs of a queue that have not started.
 
-        :param queue: name of the queue.
         :returns: number of jobs without any stored run.
         """
         return sum(
@@ -254,7 +235,6 @@
     def queue_of(self, job: Job) -> QueueTerms:
         """Find the settings of a job's queue.
 
-        :param job: job in the queue.
         :returns: settings in force, or those at submission if the queue is no
             longer configured.
         """
@@ -263,7 +243,6 @@
     def find(self, key: RunKey) -> tuple[Task, Step] | None:
         """Find the task and step of a run.
 
-        :param key: key of the run.
         :returns: task and step, ``None`` if the job is unknown or has no such
             task.
         """
@@ -278,22 +257,14 @@
 
 
 def steps_of(job: Job) -> list[Step]:
-    """List the steps of all repetitions that have begun.
-
-    :param job: job to list.
-    :returns: steps of these repetitions.
-    """
+    """List the steps of all repetitions that have begun."""
     return [
         step for steps in job.steps_by_occurrence.values() for step in steps
     ]
 
 
 def runs_of(job: Job) -> list[Run]:
-    """List all runs of a job that may be present on a server.
-
-    :param job: job to list.
-    :returns: runs of all its tasks.
-    """
+    """List all runs of a job that may be present on a server."""
     return [
         run
         for step in steps_of(job)
--- a/waxwingford/scheduling/_state.py
+++ b/waxwingford/scheduling/_state.py
@@ -39,9 +39,7 @@
     Times are monotonic times of the owner in milliseconds unless stated
     otherwise.
 
-    :ivar key: task and number of the run.
     :ivar server_id: incarnation of the server.
-    :ivar phase: phase of the run as known to the owner.
     :ivar phase_since_ms: time at which the run entered its phase.
     :ivar planned_ms: time at which the run was placed.
     :ivar checkpoint: newest checkpoint that the server listed.
@@ -87,7 +85,6 @@
     def enter(self, phase: RunPhase, now_ms: int) -> None:
         """Set the phase and when it was entered.
 
-        :param phase: new phase.
         :param now_ms: current monotonic time, in ms.
         """
         if phase is not self.phase:
@@ -99,7 +96,6 @@
 class Task:
     """One task of a step.
 
-    :ivar key: identifier of the task.
     :ivar last_run: highest run number so far.
     :ivar failures: number of runs that failed.
     :ivar crash_evidence: evidence that the task crashes its servers, see
@@ -138,8 +134,6 @@
 class Step:
     """A step of one repetition of a job.
 
-    :ivar job: job that the step belongs to.
-    :ivar spec: specification of the step as submitted.
     :ivar occurrence: index of the repetition, from 0.
     :ivar index: index of the step in the job.
     :ivar tasks: tasks in the order of their index.
@@ -178,7 +172,6 @@
 class Job:
     """A job and its progress.
 
-    :ivar spec: specification of the job as submitted.
     :ivar received_ms: monotonic time in ms at which this owner received the
         job.
     :ivar critical_path_ms: estimated length of the critical path through its
@@ -212,7 +205,6 @@
     def task(self, key: TaskKey) -> Task | None:
         """Find a task.
 
-        :param key: identifier of the task.
         :returns: task, ``None`` if the job has no such task or its
             repetition has not begun.
         """
@@ -226,7 +218,6 @@
         """Create the steps of a repetition unless they exist.
 
         :param occurrence: index of the repetition, from 0.
-        :returns: steps of the repetition.
         """
         steps = self.steps_by_occurrence.get(occurrence)
         if steps is None:
@@ -241,7 +232,6 @@
 def new_job(spec: JobSpec, now_ms: int) -> Job:
     """Create the state of a newly received job.
 
-    :param spec: specification of the job as submitted.
     :param now_ms: current monotonic time, in ms.
     :returns: job without any started repetition.
     """
--- a/waxwingford/scheduling/_stops.py
+++ b/waxwingford/scheduling/_stops.py
@@ -16,16 +16,11 @@
     """Issues stop orders."""
 
     def __init__(self, state: ShardState) -> None:
-        """Create a stopper.
-
-        :param state: state of the shard.
-        """
         self._state = state
 
     def order_due(self, server: Server, now_ms: int) -> None:
         """Issue the stop orders that are due on a server.
 
-        :param server: server of the runs.
         :param now_ms: current monotonic time, in ms.
         """
         for run in server.run_by_key.values():
