--- a/waxwingford/scheduling/_admission.py
+++ b/waxwingford/scheduling/_admission.py
@@ -2,8 +2,7 @@
 
 Starting a task where it interferes pushes its neighbours over their targets
 until it is throttled, and a throttled task only holds memory. Best-effort tasks
-therefore wait for a server that can run them at most of their speed; load
-swings free such capacity regularly.
+therefore wait for a server that can run them at most of their speed.
 """
 
 import itertools
@@ -39,10 +38,6 @@
     """Decides where best-effort tasks may start."""
 
     def __init__(self, model: InterferenceModel) -> None:
-        """Create an admission policy.
-
-        :param model: model that predicts interference.
-        """
         self._model = model
         self._offset = 0
         self._servers: list[Server] = []
@@ -66,7 +61,6 @@
         Cached for the round: hundreds of steps may be pending, and evaluating
         all servers for each of them would occupy a core.
 
-        :param best_effort: step to place.
         :param service: service whose servers run the step.
         :param now_ms: current monotonic time, in ms.
         :returns: candidate servers for ``admitting``.
@@ -98,11 +92,9 @@
     ) -> list[Server]:
         """Keep the servers on which a task would run fast enough.
 
-        :param best_effort: step of the task.
         :param service: service whose servers run the step.
         :param servers: servers with free resources for the task.
         :param now_ms: current monotonic time, in ms.
-        :returns: servers that admit the task.
         """
         if self._any_server(best_effort, service, now_ms):
             return servers
@@ -120,8 +112,6 @@
     def excess(self, best_effort: Step, server: Server, now_ms: int) -> float:
         """Predict by how much a task exceeds the allowance of a server.
 
-        :param best_effort: step of the task.
-        :param server: server that would run the task.
         :param now_ms: current monotonic time, in ms.
         :returns: excess as a share of the CPU that the task needs; over 1 if
             the allowance is exceeded already.
--- a/waxwingford/scheduling/_coefficients.py
+++ b/waxwingford/scheduling/_coefficients.py
@@ -18,8 +18,6 @@
 class InterferenceCoefficient:
     """Headroom that one image takes from another per whole server's CPU.
 
-    :ivar mean: expected value.
-    :ivar variance: variance of the estimate.
     :ivar upper_bound: conservative estimate for admission decisions.
     """
 
@@ -28,7 +26,6 @@
     upper_bound: float = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
-        """Compute the conservative estimate of the prior."""
         self.update_upper_bound()
 
     def update_upper_bound(self) -> None:
@@ -45,7 +42,6 @@
 class InterferenceTerm(NamedTuple):
     """Contribution of one best-effort image to the loss of headroom.
 
-    :ivar coefficient: interference coefficient of the pair of images.
     :ivar current: share of the server's CPU in use at the latest poll.
     :ivar previous: share of the server's CPU in use at the poll before.
     """
@@ -56,19 +52,14 @@
 
     @property
     def share(self) -> float:
-        """Average the CPU use.
-
-        :returns: average share of the server's CPU between the two polls.
-        """
+        """Average share of the server's CPU between the two polls."""
         return (self.current + self.previous) / 2
 
     @property
     def variance(self) -> float:
-        """Compute the variance of the contribution.
+        """Variance of the headroom taken.
 
         Includes the unknown moment at which the use changed between the polls.
-
-        :returns: variance of the headroom taken.
         """
         changed = self.coefficient.mean * (self.current - self.previous) / 2
         return self.coefficient.variance * self.share**2 + changed**2
--- a/waxwingford/scheduling/_colocated_runs.py
+++ b/waxwingford/scheduling/_colocated_runs.py
@@ -13,11 +13,7 @@
 
 
 def serving_runs(server: Server) -> list[tuple[Run, Step]]:
-    """List the runs that have a tail latency target.
-
-    :param server: server whose runs are listed.
-    :returns: runs with their steps.
-    """
+    """List the runs that have a tail latency target."""
     return [
         (server.run_by_key[key], step)
         for key, step in server.step_by_run.items()
@@ -28,18 +24,13 @@
 def serving_steps(server: Server) -> list[Step]:
     """List the steps whose tasks have a tail latency target.
 
-    :param server: server whose runs are listed.
     :returns: steps, each of them once.
     """
     return list(dict.fromkeys(step for _, step in serving_runs(server)))
 
 
 def best_effort_runs(server: Server) -> list[tuple[Run, Step]]:
-    """List the runs that use only CPU left idle by other runs.
-
-    :param server: server whose runs are listed.
-    :returns: runs with their steps.
-    """
+    """List the runs that use only CPU left idle by other runs."""
     return [
         (server.run_by_key[key], step)
         for key, step in server.step_by_run.items()
@@ -50,8 +41,6 @@
 def full_pace_share(server: Server, step: Step) -> float:
     """Estimate the CPU that a best-effort task uses at full pace.
 
-    :param server: server that runs the task.
-    :param step: step of the task.
     :returns: share of the server's CPU, above 0.
     """
     requested = max(1, step.spec.needs.processors_milli)
@@ -61,7 +50,6 @@
 def cpu_capacity_milli(server: Server) -> int:
     """Return the CPU capacity of a server.
 
-    :param server: server to inspect.
     :returns: CPU capacity in thousandths of a core, at least 1.
     """
     return max(1, server.entry.capacity.processors_milli)
@@ -70,7 +58,6 @@
 def share_by_image(server: Server) -> dict[str, float]:
     """Sum the CPU use of the best-effort runs of each image.
 
-    :param server: server to inspect.
     :returns: shares of the server's CPU by image, as reported by the latest
         poll.
     """
--- a/waxwingford/scheduling/_headroom.py
+++ b/waxwingford/scheduling/_headroom.py
@@ -51,10 +51,7 @@
 
     @property
     def updated_ms(self) -> int:
-        """Return the time of the latest sample.
-
-        :returns: monotonic time, in ms.
-        """
+        """Monotonic time of the latest sample, in ms."""
         return self._updated_ms
 
     def forecast(self, at_ms: int) -> float:
@@ -114,7 +111,6 @@
         """Compute the variance of a past headroom.
 
         :param age_s: age of the headroom relative to the state, in seconds.
-        :returns: variance of the headroom.
         """
         return (
             self._level_variance
--- a/waxwingford/scheduling/_interference.py
+++ b/waxwingford/scheduling/_interference.py
@@ -57,7 +57,6 @@
 class _StepHeadroom(NamedTuple):
     """Headroom of a serving step on a server, given its best-effort runs.
 
-    :ivar step: serving step.
     :ivar at_full_pace: least forecast headroom with all runs at full pace.
     :ivar at_current_pace: forecast headroom with the runs at current pace.
     """
@@ -87,7 +86,6 @@
 
     :ivar change_count: change count of the server at the time of the forecast.
     :ivar at_ms: monotonic time of the forecast, in ms.
-    :ivar headrooms: headroom of each serving step on the server.
     :ivar allowance_by_image: allowances computed so far, by image.
     """
 
@@ -101,7 +99,6 @@
     """Estimates step headrooms and interference coefficients from polls."""
 
     def __init__(self) -> None:
-        """Start from the priors."""
         self._coefficient_by_pair: dict[
             tuple[str, str], InterferenceCoefficient
         ] = {}
@@ -174,8 +171,6 @@
     def coefficient(self, serving: Step, best_effort: Step) -> float:
         """Predict the interference of a best-effort step with a serving step.
 
-        :param serving: step whose headroom is reduced.
-        :param best_effort: step that reduces it.
         :returns: headroom lost per whole server's CPU.
         """
         return self._coefficient(
@@ -187,8 +182,6 @@
     ) -> Allowance:
         """Predict how much more of a best-effort image a server can run.
 
-        :param server: server that would run the image.
-        :param best_effort: step that runs the image.
         :param now_ms: current monotonic time, in ms.
         :returns: shares of the server's CPU, negative if it is overcommitted.
         """
@@ -224,9 +217,7 @@
         Cached, because placement needs it for each pending best-effort task.
         A change of the server's runs or a new sample invalidates it.
 
-        :param server: server whose headroom is forecast.
         :param now_ms: current monotonic time, in ms.
-        :returns: headroom forecast of the server.
         """
         server_id = server.entry.server_id
         cached = self._forecast_by_server.get(server_id)
@@ -275,7 +266,6 @@
     def headroom_filter(self, serving: Step, now_ms: int) -> HeadroomFilter:
         """Return the headroom estimate of a serving step.
 
-        :param serving: step to look up.
         :param now_ms: current monotonic time, in ms.
         :returns: headroom filter of the step, new if it has none.
         """
--- a/waxwingford/scheduling/_migration.py
+++ b/waxwingford/scheduling/_migration.py
@@ -33,11 +33,6 @@
     """Stops runs that the placer can restart on a faster server."""
 
     def __init__(self, state: ShardState, placer: Placer) -> None:
-        """Create a migrator.
-
-        :param state: state of the shard.
-        :param placer: placer that finds servers for a task.
-        """
         self._state = state
         self._placer = placer
         self._round_ms = 0
--- a/waxwingford/scheduling/_pacing.py
+++ b/waxwingford/scheduling/_pacing.py
@@ -45,11 +45,6 @@
     """
 
     def __init__(self, state: ShardState, model: InterferenceModel) -> None:
-        """Create a pacer.
-
-        :param state: state of the shard.
-        :param model: model that predicts interference.
-        """
         self._state = state
         self._model = model
         self.watched_servers = 0
@@ -65,9 +60,6 @@
 
         Includes slowed runs without a serving task beside them, which would
         otherwise never be sped up again.
-
-        :param server: server to check.
-        :returns: whether the server needs frequent polls.
         """
         best_effort = best_effort_runs(server)
         if any(run.pace != FULL_PERCENT for run, _ in best_effort):
@@ -77,7 +69,6 @@
     def adjust_paces(self, server: Server, now_ms: int) -> None:
         """Compute paces after a poll and order those that changed.
 
-        :param server: polled server.
         :param now_ms: current monotonic time, in ms.
         """
         best_effort = [
@@ -106,10 +97,6 @@
         """Apply the answer to a change of pace.
 
         After a failure the pace of the run is unknown until the next order.
-
-        :param server: server that answered.
-        :param order: order that was sent.
-        :param outcome: outcome of the order.
         """
         run = server.run_by_key.get(order.key)
         if run is None or isinstance(outcome, OrderAccepted):
@@ -184,10 +171,7 @@
         }
 
     def reserve(self, best_effort: Step) -> None:
-        """Subtract the full use of a run that is about to start.
-
-        :param best_effort: step of the run.
-        """
+        """Subtract the full use of a run that is about to start."""
         needed = full_pace_share(self._server, best_effort)
         for step in self._available_by_step:
             loss = needed * self._model.coefficient(step, best_effort)
@@ -196,7 +180,6 @@
     def allocate(self, best_effort: Step) -> int:
         """Allocate to a run as much of the remaining headroom as it needs.
 
-        :param best_effort: step of the run.
         :returns: pace that the run may have, in percent.
         """
         needed = full_pace_share(self._server, best_effort)
--- a/waxwingford/scheduling/_samples.py
+++ b/waxwingford/scheduling/_samples.py
@@ -65,7 +65,6 @@
     :param current_ms: tail latency reported by the latest poll, in ms.
     :param current: figures of the latest poll.
     :param previous: figures of the previous poll.
-    :returns: headroom sample of the task.
     """
     span_ms = current.at_ms - previous.at_ms
     decay = math.exp(-span_ms / SMOOTHING_MS)
