--- a/waxwingford/scheduling/_candidates.py
+++ b/waxwingford/scheduling/_candidates.py
@@ -1,9 +1,8 @@
 """Priority queue of the servers that can run a task of one step.
 
-Within a placement round free resources only shrink, and only on servers that
-got a run or a reservation. So each server is evaluated once per step, and after
-that only when it has changed: a scan of all servers for each task would take
-tasks times servers and delay heartbeats on large fleets.
+Within a placement round free resources only shrink, so a server is evaluated
+once per step and again only when it has changed. A scan of all servers for each
+task would delay heartbeats on large fleets.
 """
 
 import heapq
@@ -53,11 +52,10 @@
         self._changed_count = changed_count
 
     def best(self, changed: list[Server]) -> Server | None:
-        """Return the cheapest server.
+        """Return the cheapest server, ``None`` if no server fits.
 
         :param changed: servers that got a run or a reservation in this round,
             in order.
-        :returns: cheapest server, ``None`` if no server fits.
         """
         for server in dict.fromkeys(changed[self._changed_count :]):
             self._update(server)
--- a/waxwingford/scheduling/_eligibility.py
+++ b/waxwingford/scheduling/_eligibility.py
@@ -10,10 +10,7 @@
 def matches(step: Step, service: str, server: Server) -> bool:
     """Tell whether a server has the service and label that a step requires.
 
-    :param step: step to run.
     :param service: service whose servers run the step.
-    :param server: server to check.
-    :returns: whether both service and label match.
     """
     label = step.spec.label
     if server.entry.service != service:
@@ -24,9 +21,7 @@
 def eligible(step: Step, service: str, servers: list[Server]) -> list[Server]:
     """List the servers that may run one more task of a step.
 
-    :param step: step to run.
     :param service: service whose servers run the step.
-    :param servers: servers to choose from.
     :returns: matching servers below the step's limit of tasks per server.
     """
     counts = step.runs_per_server() if step.spec.max_per_server else {}
--- a/waxwingford/scheduling/_engine.py
+++ b/waxwingford/scheduling/_engine.py
@@ -62,15 +62,7 @@
 
 
 class Engine:
-    """Makes the decisions of one owner of a shard.
-
-    :ivar state: state of the shard.
-    :ivar orders: factory of the orders.
-    :ivar settler: settler that applies the answers of servers.
-    :ivar recovery: recovery from the rows of previous owners.
-    :ivar pacer: pacer that sets the pace of best-effort runs.
-    :ivar lease_withholding: selection of servers whose leases are not extended.
-    """
+    """Makes the decisions of one owner of a shard."""
 
     def __init__(
         self, token: int, lease_ms: int, inherited: InheritedLeases
@@ -79,7 +71,6 @@
 
         :param token: fencing token of the owner.
         :param lease_ms: length of the leases granted to servers, in ms.
-        :param inherited: latest ends of the leases granted by previous owners.
         """
         self.state = ShardState()
         self.orders = OrderFactory(self.state, token, lease_ms)
@@ -102,7 +93,6 @@
     def submit(self, spec: JobSpec, now_ms: int) -> bool:
         """Add a stored job; known jobs are ignored.
 
-        :param spec: specification of the job as submitted.
         :param now_ms: current monotonic time, in ms.
         :returns: whether the job is new.
         """
@@ -130,10 +120,7 @@
         self.state.finish(job, JobPhase.cancelled)
 
     def configure(self, terms: Terms) -> None:
-        """Apply settings of the queues unless newer ones are in force.
-
-        :param terms: settings of all queues.
-        """
+        """Apply settings of the queues unless newer ones are in force."""
         if terms.version >= self.state.terms.version:
             self.state.terms = terms
 
@@ -184,10 +171,8 @@
     ) -> None:
         """Apply the outcome of a poll.
 
-        :param server: polled server.
         :param sent_ms: monotonic time in ms at which the poll was sent.
         :param now_ms: current monotonic time, in ms.
-        :param outcome: outcome of the poll.
         """
         self.settler.poll_answered(server, sent_ms, now_ms, outcome)
         if server.polled_ms != sent_ms:
@@ -211,10 +196,7 @@
         tasks on its server, it is slowed at once instead of after the next
         poll.
 
-        :param server: server that the order was sent to.
-        :param run: run to start.
         :param now_ms: current monotonic time, in ms.
-        :param outcome: outcome of the order.
         """
         self.settler.start_answered(server, run, now_ms, outcome)
         if isinstance(
@@ -247,10 +229,7 @@
             self._placer.place(now_ms)
 
     def take_batch(self) -> Batch:
-        """Remove and return everything that has to be stored.
-
-        :returns: rows and the actions that depend on them.
-        """
+        """Remove and return everything that has to be stored."""
         batch = self.state.take_batch()
         batch.payload_by_key.update(self.state.remove_ended_jobs())
         return batch
--- a/waxwingford/scheduling/_gangs.py
+++ b/waxwingford/scheduling/_gangs.py
@@ -14,11 +14,7 @@
 
 
 class Assignment(NamedTuple):
-    """Server assigned to a member of a gang.
-
-    :ivar task: member of the gang.
-    :ivar server: server that will run the member.
-    """
+    """Server assigned to a member of a gang."""
 
     task: Task
     server: Server
@@ -27,7 +23,6 @@
 def is_ready(step: Step) -> bool:
     """Tell whether all members of a gang can be placed now.
 
-    :param step: step whose tasks form the gang.
     :returns: whether no member has an unsettled run.
     """
     return not any(task.run_by_number for task in step.tasks)
@@ -40,7 +35,6 @@
 ) -> list[Assignment] | None:
     """Assign a server to each member, on one rack if the step prefers that.
 
-    :param step: step whose tasks form the gang.
     :param servers: servers that accept starts and suit the step.
     :param room_of: function that returns the resources of a server that the
         gang may use.
@@ -60,18 +54,13 @@
 def next_run(step: Step) -> int:
     """Return the run number for the next placement of all members.
 
-    :param step: step whose tasks form the gang.
     :returns: run number above all earlier ones of any member.
     """
     return 1 + max(task.last_run for task in step.tasks)
 
 
 def share_checkpoint(step: Step, checkpoint: str) -> None:
-    """Store the checkpoint of one member for all members.
-
-    :param step: step whose tasks form the gang.
-    :param checkpoint: newest checkpoint.
-    """
+    """Store the checkpoint of one member for all members."""
     for task in step.tasks:
         task.checkpoint = checkpoint
 
@@ -79,7 +68,6 @@
 def stop_other_members(step: Step, run_number: int) -> None:
     """Stop the remaining members of a run that has lost one.
 
-    :param step: step whose tasks form the gang.
     :param run_number: run number shared by the members.
     """
     for task in step.tasks:
@@ -93,8 +81,6 @@
 
     All members are planned in one record, so a member that isn't done and has
     no run has lost it.
-
-    :param step: step whose tasks form the gang.
     """
     complete = all(task.done or task.run_by_number for task in step.tasks)
     if complete:
--- a/waxwingford/scheduling/_isolation.py
+++ b/waxwingford/scheduling/_isolation.py
@@ -23,10 +23,6 @@
     """Servers that are reserved for suspects."""
 
     def __init__(self, state: ShardState) -> None:
-        """Create the policy.
-
-        :param state: state of the shard.
-        """
         self._state = state
         self._reserved = 0
         self._max_reserved = 1
@@ -52,8 +48,6 @@
         """Keep the servers on which a task may start now.
 
         :param servers: servers with free resources for the task.
-        :param task: task to place.
-        :param step: step of the task.
         :returns: servers on which no suspect would share its start.
         """
         cause = suspect_key(task.key, step)
@@ -77,7 +71,6 @@
         """Reserve servers for a suspect that can't be placed yet.
 
         :param task: suspected task.
-        :param step: step of the task.
         :param candidates: servers with free resources for the task.
         :param room_of: function that returns the resources of a server that the
             task may use.
@@ -100,9 +93,7 @@
     def isolate(self, server: Server, task: Task, step: Step) -> None:
         """Reserve a server for a suspect.
 
-        :param server: server on which the task will start.
         :param task: suspected task.
-        :param step: step of the task.
         """
         if server.reserved_for is None:
             server.reserved_for = suspect_key(task.key, step)
--- a/waxwingford/scheduling/_penalties.py
+++ b/waxwingford/scheduling/_penalties.py
@@ -32,7 +32,6 @@
     A single failure never excludes a server, as a job may fail everywhere.
 
     :param server: server on which a run failed or stalled.
-    :param penalty: penalty to add.
     :param now_ms: current monotonic time, in ms.
     """
     decay_penalty(server, now_ms)
@@ -45,7 +44,6 @@
 def decay_penalty(server: Server, now_ms: int) -> None:
     """Decay the penalty of a server.
 
-    :param server: server whose penalty decays.
     :param now_ms: current monotonic time, in ms.
     """
     elapsed_ms = now_ms - server.penalty_updated_ms
@@ -60,7 +58,6 @@
     Applies after ``LAST_SERVER_EXCLUSION_MS``. Of several excluded servers only
     the one with the lowest penalty is readmitted.
 
-    :param state: state of the shard.
     :param now_ms: current monotonic time, in ms.
     """
     available = [
@@ -106,10 +103,7 @@
     Long-running tasks need free resources now. Others can wait for resources
     that finishing tasks release.
 
-    :param state: state of the shard.
-    :param step: pending step.
     :param included: available servers that aren't excluded.
-    :returns: whether one of them can run the step.
     """
     if step.spec.long_running:
         return bool(_with_room(state, step, included))
--- a/waxwingford/scheduling/_pending_report.py
+++ b/waxwingford/scheduling/_pending_report.py
@@ -22,19 +22,12 @@
     """Logs the steps that are pending for long."""
 
     def __init__(self, notes: NoteBuffer) -> None:
-        """Create a report.
-
-        :param notes: notes of the shard.
-        """
         self._notes = notes
         self._reported_ms = 0
         self._placed_by_kind: collections.Counter[str] = collections.Counter()
 
     def count_placed(self, step: Step) -> None:
-        """Count a placed task, to show what was placed instead of others.
-
-        :param step: step of the task.
-        """
+        """Count a placed task, to show what was placed instead of others."""
         self._placed_by_kind[_kind(step)] += 1
 
     def update(
--- a/waxwingford/scheduling/_placing.py
+++ b/waxwingford/scheduling/_placing.py
@@ -54,11 +54,6 @@
     """Places pending tasks on the servers of a shard."""
 
     def __init__(self, state: ShardState, model: InterferenceModel) -> None:
-        """Create a placer.
-
-        :param state: state of the shard.
-        :param model: model that predicts interference.
-        """
         self._state = state
         self._admission = BestEffortAdmission(model)
         self._best_effort_ms = 0
@@ -73,7 +68,6 @@
     def release_tasks(self, job: Job, now_ms: int, wall_ms: int) -> None:
         """Make the tasks pending whose steps have no open dependency.
 
-        :param job: job of the tasks.
         :param now_ms: current monotonic time, in ms.
         :param wall_ms: current Unix time, in ms, for timed jobs.
         """
@@ -119,10 +113,7 @@
     def find_servers(self, task: Task, step: Step, now_ms: int) -> list[Server]:
         """Find the servers on which a task would be placed if it were pending.
 
-        :param task: task to place.
-        :param step: step of the task.
         :param now_ms: current monotonic time, in ms.
-        :returns: servers that fit and admit the task.
         """
         queue = self._state.queue_of(step.job)
         steps = step.job.steps_by_occurrence[step.occurrence]
@@ -238,9 +229,6 @@
     def plan(self, task: Task, step: Step, server: Server, now_ms: int) -> None:
         """Plan a run.
 
-        :param task: task to run.
-        :param step: step of the task.
-        :param server: server that will run the task.
         :param now_ms: current monotonic time, in ms.
         """
         task.last_run += 1
@@ -328,7 +316,6 @@
 def _count_due(job: Job, wall_ms: int) -> int:
     """Count the repetitions of a job that are due.
 
-    :param job: job to check.
     :param wall_ms: current Unix time, in ms.
     :returns: number of due repetitions; 1 for a job that isn't timed.
     """
@@ -372,8 +359,6 @@
     For a best-effort task it is the CPU requested by all best-effort runs, as a
     share of what other runs leave idle.
 
-    :param step: step of the task.
-    :param server: server that would run the task.
     :returns: cost, from 0 to 1 if the CPU suffices, more otherwise.
     """
     needs_milli = step.spec.needs.processors_milli
--- a/waxwingford/scheduling/_reservations.py
+++ b/waxwingford/scheduling/_reservations.py
@@ -32,7 +32,6 @@
     """Reserved resources by server, recomputed in each placement round."""
 
     def __init__(self) -> None:
-        """Start without reservations."""
         self._reserved_by_server: dict[str, Resources] = {}
         self._reservations = 0
         self._searches = 0
@@ -56,11 +55,7 @@
             }
 
     def available(self, server: Server) -> Resources:
-        """Return the resources of a server that are neither used nor reserved.
-
-        :param server: server to inspect.
-        :returns: free resources of the server less its reservations.
-        """
+        """Return the resources of a server neither used nor reserved."""
         reserved = self._reserved_by_server.get(server.entry.server_id)
         if reserved is None:
             return server.free_resources
@@ -117,10 +112,8 @@
     ) -> list[Server]:
         """Find servers that will fit a task once other tasks have ended.
 
-        :param reserved_resources: resources of the task.
-        :param servers: servers to choose from.
+        :param takes: resources of the task.
         :param stays: function that tells whose resources are not waited for.
-        :returns: servers that will have enough resources.
         """
         return [
             server
--- a/waxwingford/scheduling/_task_order.py
+++ b/waxwingford/scheduling/_task_order.py
@@ -23,9 +23,6 @@
     """A task without a server, and its place in the order.
 
     :ivar rank: sort key; lower comes first.
-    :ivar task: pending task.
-    :ivar step: step of the task.
-    :ivar queue: settings of its queue.
     :ivar overdue: whether it is a long-running task pending for too long.
     """
 
@@ -39,7 +36,6 @@
 def remaining_work(steps: list[Step]) -> int:
     """Estimate the remaining work of one repetition of a job.
 
-    :param steps: steps of the repetition.
     :returns: CPU time in thousandths of a core times milliseconds.
     """
     return sum(
@@ -66,13 +62,9 @@
     ordering by age would make every job late. A long-running task that is
     overdue comes before all others, so that short ones can't starve it.
 
-    :param task: task to rank.
-    :param step: step of the task.
-    :param queue: settings of its queue.
     :param work: remaining work of the repetition, see ``remaining_work``.
     :param now_ms: current monotonic time, in ms.
     :param deferred: whether a long-running task can't become overdue.
-    :returns: task with its rank.
     """
     job = step.job
     long_running = step.spec.long_running
@@ -98,10 +90,7 @@
 ) -> list[PendingTask]:
     """List the pending tasks in the order in which they are placed.
 
-    :param state: state of the shard.
     :param now_ms: current monotonic time, in ms.
-    :param with_best_effort: whether to include best-effort tasks.
-    :returns: tasks with their ranks.
     """
     return sorted(_pending_tasks(state, now_ms, with_best_effort), key=_rank)
 
@@ -182,8 +171,6 @@
     """Derive the rank of a task from another one of the same step.
 
     :param first: ranked task of a step that isn't long-running.
-    :param task: another task of the step.
-    :returns: other task with its rank.
     """
     rank = (*first.rank[:-1], task.key.index)
     return PendingTask(rank, task, first.step, first.queue)
--- a/waxwingford/scheduling/_tickets.py
+++ b/waxwingford/scheduling/_tickets.py
@@ -69,7 +69,6 @@
 class TicketRequest(NamedTuple):
     """Request to the advice service.
 
-    :ivar step: step to run.
     :ivar server_ids: candidate servers.
     """
 
@@ -81,7 +80,6 @@
     """Tickets by step, and pending requests for more."""
 
     def __init__(self) -> None:
-        """Start without tickets."""
         self._tickets_by_step: dict[str, StepTickets] = {}
         self._request_by_step: dict[str, TicketRequest] = {}
 
@@ -116,7 +114,6 @@
         """Find a ticket that is still valid when a start arrives.
 
         :param step: step of an advised queue.
-        :param server_id: server that will run the task.
         :param now_ms: monotonic time in ms at which the start is sent.
         :returns: text of the ticket, empty if there is none.
         """
@@ -128,10 +125,7 @@
         return ticket.text if valid else ''
 
     def next_request(self) -> TicketRequest | None:
-        """Remove and return the oldest pending request.
-
-        :returns: oldest request, ``None`` if there is none.
-        """
+        """Remove and return the oldest pending request, ``None`` if none."""
         if not self._request_by_step:
             return None
         name = next(iter(self._request_by_step))
@@ -147,7 +141,6 @@
     ) -> None:
         """Apply a response of the service.
 
-        :param request: request that was sent.
         :param text_by_server: tickets of the eligible servers.
         :param sent_ms: monotonic time in ms at which the request was sent.
         :param validity_ms: validity of the tickets, in ms.
@@ -173,10 +166,7 @@
         self._request_by_step.pop(request.step.name, None)
 
     def forget(self, step: Step) -> None:
-        """Drop the tickets and the request of a finished step.
-
-        :param step: step that has finished.
-        """
+        """Drop the tickets and the request of a finished step."""
         self._tickets_by_step.pop(step.name, None)
         self._request_by_step.pop(step.name, None)
 
@@ -192,7 +182,6 @@
         Requests for a gang that doesn't fit at all would only delay those of
         other steps.
 
-        :param step: step whose tasks form the gang.
         :param allowed: servers with tickets.
         :param possible: servers that the service hasn't refused.
         :param now_ms: current monotonic time, in ms.
@@ -223,7 +212,6 @@
     ) -> None:
         """Queue a request, replacing a pending one of the same step.
 
-        :param step: step to run.
         :param possible: servers that the service hasn't refused.
         :param assigned: servers that the members of a gang would use. All of
             them are named, so that their tickets expire at the same time.
