--- a/waxwingford/scheduling/tests/engine_harness.py
+++ b/waxwingford/scheduling/tests/engine_harness.py
@@ -88,7 +88,6 @@
     def crash(self, server_id, back=True):
         """Crash a server.
 
-        :param server_id: server to crash.
         :param back: whether another incarnation registers in its place.
         """
         server = self.engine.state.server_by_id[server_id]
@@ -204,11 +203,7 @@
 
 
 def expire_leases(harness, *server_ids):
-    """Keep servers silent until their leases expire.
-
-    :param harness: engine with servers.
-    :param server_ids: servers to silence.
-    """
+    """Keep servers silent until their leases expire."""
     for server_id in server_ids:
         server = harness.engine.state.server_by_id[server_id]
         outcome = OrderOutcomeUnknown('cut off')
--- a/waxwingford/scheduling/tests/interference_steps.py
+++ b/waxwingford/scheduling/tests/interference_steps.py
@@ -215,7 +215,6 @@
 def start_delays_ms(context):
     """List the start times of the best-effort job's runs.
 
-    :param context: context of the scenario.
     :returns: start times, in ms since the job was submitted.
     """
     return [
--- a/waxwingford/scheduling/tests/interfering_servers.py
+++ b/waxwingford/scheduling/tests/interfering_servers.py
@@ -46,8 +46,6 @@
 
 @dataclasses.dataclass(slots=True)
 class SimulatedRun:
-    """A run on a server."""
-
     spec: StepSpec
     server_id: str
     phase: float
@@ -240,12 +238,6 @@
 
 
 def add_servers(cluster, count, service='service'):
-    """Register further servers.
-
-    :param cluster: cluster to extend.
-    :param count: number of servers.
-    :param service: service whose tasks the servers run.
-    """
     begin = len(cluster.entries)
     cluster.entries += [
         ServerEntry(
--- a/waxwingford/scheduling/tests/pressure_steps.py
+++ b/waxwingford/scheduling/tests/pressure_steps.py
@@ -112,7 +112,6 @@
 def run_overloaded(context, span_ms, until):
     """Let time pass with more pending short tasks than fit on the servers.
 
-    :param context: context of the scenario.
     :param span_ms: time limit, in ms.
     :param until: condition that ends the wait earlier.
     :returns: elapsed time, in ms.
