--- a/waxwingford/scheduling/_admission.py
+++ b/waxwingford/scheduling/_admission.py
@@ -2,8 +2,7 @@
 
 Starting a task where it interferes pushes its neighbours over their targets
 until it is throttled, and a throttled task only holds memory. Best-effort tasks
-therefore wait for a server that can run them at most of their speed; load
-swings free such capacity regularly.
+therefore wait for a server that can run them at most of their speed.
 """
 
 import itertools
@@ -22,10 +21,10 @@
 REDUCED_SPEED_AFTER_MS = 1500
 #: Idle time of a job after which its tasks may start on any server, in ms.
 ANY_SERVER_AFTER_MS = 2600
-#: Share of a service's CPU in use by tasks that aren't best-effort from which on
-#: ``ANY_SERVER_AFTER_MS`` doesn't apply.
+#: Share of a service's CPU in use by tasks that aren't best-effort from which
+#: on ``ANY_SERVER_AFTER_MS`` doesn't apply.
 CROWDED_SHARE = 0.6
-#: Servers considered for one task at most; of more, each task gets the next.
+#: Maximum number of servers considered for one task; the selection rotates.
 MAX_CANDIDATES = 24
 
 
@@ -39,10 +38,6 @@
     """Decides where best-effort tasks may start."""
 
     def __init__(self, model: InterferenceModel) -> None:
-        """Create an admission policy.
-
-        :param model: predicts interference.
-        """
         self._model = model
         self._offset = 0
         self._servers: list[Server] = []
@@ -52,7 +47,7 @@
     def begin(self, servers: list[Server]) -> None:
         """Begin a placement round.
 
-        :param servers: that accept starts.
+        :param servers: servers that accept starts.
         """
         self._open_by_image.clear()
         self._pool_by_service.clear()
@@ -66,10 +61,9 @@
         Cached for the round: hundreds of steps may be pending, and evaluating
         all servers for each of them would occupy a core.
 
-        :param best_effort: step to place.
-        :param service: whose servers run it.
-        :param now_ms: monotonic time.
-        :returns: candidates for ``admitting``.
+        :param service: service whose servers run the step.
+        :param now_ms: current monotonic time, in ms.
+        :returns: candidate servers for ``admitting``.
         """
         servers = self._pool(service).servers
         if self._any_server(best_effort, service, now_ms):
@@ -98,11 +92,9 @@
     ) -> list[Server]:
         """Keep the servers on which a task would run fast enough.
 
-        :param best_effort: step of the task.
-        :param service: whose servers run it.
-        :param servers: with free resources for the task.
-        :param now_ms: monotonic time.
-        :returns: servers that admit the task.
+        :param service: service whose servers run the step.
+        :param servers: servers with free resources for the task.
+        :param now_ms: current monotonic time, in ms.
         """
         if self._any_server(best_effort, service, now_ms):
             return servers
@@ -120,11 +112,9 @@
     def excess(self, best_effort: Step, server: Server, now_ms: int) -> float:
         """Predict by how much a task exceeds the allowance of a server.
 
-        :param best_effort: step of the task.
-        :param server: to run it.
-        :param now_ms: monotonic time.
-        :returns: share of the CPU that the task needs; over 1 if the allowance
-            is exceeded already.
+        :param now_ms: current monotonic time, in ms.
+        :returns: excess as a share of the CPU that the task needs; over 1 if
+            the allowance is exceeded already.
         """
         allowance = self._model.allowance(server, best_effort, now_ms)
         return max(0, 1 - min(allowance) / full_pace_share(server, best_effort))
--- a/waxwingford/scheduling/_candidates.py
+++ b/waxwingford/scheduling/_candidates.py
@@ -1,9 +1,8 @@
 """Priority queue of the servers that can run a task of one step.
 
-Within a placement round free resources only shrink, and only on servers that
-got a run or a reservation. So each server is evaluated once per step, and after
-that only when it has changed: a scan of all servers for each task would take
-tasks times servers and delay heartbeats on large fleets.
+Within a placement round free resources only shrink, so a server is evaluated
+once per step and again only when it has changed. A scan of all servers for each
+task would delay heartbeats on large fleets.
 """
 
 import heapq
@@ -14,8 +13,8 @@
 
 
 class _Candidate(NamedTuple):
-    # ``number`` breaks ties of cost by the given order of servers; entries whose
-    # ``version`` isn't the latest of their server are stale.
+    # ``number`` breaks ties of cost by the given order of servers; entries
+    # whose ``version`` isn't the latest of their server are stale.
     cost: float
     number: int
     version: int
@@ -33,10 +32,12 @@
     ) -> None:
         """Evaluate all servers.
 
-        :param servers: that accept starts.
-        :param fit: keeps the servers with free resources for a task.
-        :param cost: of a task on a server; lower is better.
-        :param changed_count: changes of servers in this round so far.
+        :param servers: servers that accept starts.
+        :param fit: function that keeps the servers with free resources for a
+            task.
+        :param cost: function that returns the cost of a task on a server; lower
+            is better.
+        :param changed_count: number of changes of servers so far in this round.
         """
         self._servers = servers
         self._fit = fit
@@ -51,11 +52,10 @@
         self._changed_count = changed_count
 
     def best(self, changed: list[Server]) -> Server | None:
-        """Return the cheapest server.
+        """Return the cheapest server, ``None`` if no server fits.
 
         :param changed: servers that got a run or a reservation in this round,
             in order.
-        :returns: the server, ``None`` if no server fits.
         """
         for server in dict.fromkeys(changed[self._changed_count :]):
             self._update(server)
--- a/waxwingford/scheduling/_crashes.py
+++ b/waxwingford/scheduling/_crashes.py
@@ -1,9 +1,9 @@
 """Detection of tasks that crash their servers.
 
-A task is assumed to crash its server right after its start, so the runs that began
-shortly before a crash are suspected. A suspect starts alone on its next server (see
-``Isolation``). If that server crashes too, the job of the suspect fails; if the
-server stays up, the suspect is cleared.
+A task is assumed to crash its server right after its start, so the runs that
+began shortly before a crash are suspected. A suspect starts alone on its next
+server (see ``Isolation``). If that server crashes too, the job of the suspect
+fails; if the server stays up, the suspect is cleared.
 """
 
 from waxwingford.scheduling._backend_client import TaskKey
@@ -11,20 +11,22 @@
 from waxwingford.scheduling._shard_state import ShardState
 from waxwingford.scheduling._state import JobPhase, Run, RunPhase, Step, Task
 
-#: Time by the server's clock after which a server has outlived a start, in ms. A
-#: suspect occupies its server alone for this time.
+#: Time by the server's clock after which a server has outlived a start, in ms.
+#: A suspect occupies its server alone for this time.
 OUTLIVED_MS = 300
-#: Evidence added when a server is lost right after it started the task; less if many
-#: servers are silent, as in a partition or if the owner couldn't extend their leases.
+#: Evidence added when a server is lost right after it started the task; less if
+#: many servers are silent, as in a partition or if the owner couldn't extend
+#: their leases.
 CRASH_EVIDENCE = 2
 SILENCE_EVIDENCE = 1
 #: Share of silent servers above which the smaller evidence is added.
 MAX_SILENT_SHARE = 0.125
 #: Evidence at which a task becomes a suspect and starts alone.
 SUSPECT_EVIDENCE = 2
-#: Evidence at which the job fails: if another incarnation proves that the server
-#: crashed and there is no other suspect on it; and otherwise, because a silent server
-#: may only be unreachable, and the latest knowledge of a previous owner may be lost.
+#: Evidence at which the job fails. The lower value applies if another
+#: incarnation proves the crash and there is no other suspect. Otherwise the
+#: server may only be unreachable, or what a previous owner knew last may be
+#: lost.
 CONFIRMED_FAIL_EVIDENCE = 4
 UNCONFIRMED_FAIL_EVIDENCE = 8
 
@@ -32,7 +34,6 @@
 def find_suspects(server: Server) -> list[Run]:
     """List the runs that may have crashed a server.
 
-    :param server: lost server.
     :returns: runs that may have begun and that the server isn't known to have
         outlived.
     """
@@ -49,10 +50,6 @@
     """Add evidence to the tasks that may have crashed a server.
 
     A job fails as soon as the evidence against one of its tasks suffices.
-
-    :param state: state of the shard.
-    :param server: lost server.
-    :param suspects: runs that may have crashed it.
     """
     if not suspects:
         return
@@ -92,7 +89,6 @@
 def clear_outlived(state: ShardState, server: Server) -> None:
     """Clear the suspicion of tasks whose start a server has outlived.
 
-    :param state: state of the shard.
     :param server: server that has just answered.
     """
     for key in list(server.recent_starts):
@@ -141,10 +137,7 @@
 
 
 def mark_outlived(state: ShardState) -> None:
-    """Mark the steps with newly outlived starts to be stored.
-
-    :param state: state of the shard.
-    """
+    """Mark the steps with newly outlived starts to be stored."""
     for step in state.outlived_step_by_name.values():
         state.mark(step)
     state.outlived_step_by_name.clear()
@@ -153,8 +146,6 @@
 def is_suspect(task: Task, step: Step) -> bool:
     """Whether a task is suspected of crashing its servers.
 
-    :param task: task to check.
-    :param step: step of the task.
     :returns: whether the task or another member of its gang is suspected.
     """
     if step.spec.gang:
@@ -165,8 +156,6 @@
 def suspect_key(key: TaskKey, step: Step) -> TaskKey:
     """Key under which a task is suspected; members of a gang share one.
 
-    :param key: key of the task.
-    :param step: step of the task.
     :returns: key of the task, or of the first task of its gang.
     """
     return step.tasks[0].key if step.spec.gang else key
--- a/waxwingford/scheduling/_engine.py
+++ b/waxwingford/scheduling/_engine.py
@@ -1,7 +1,7 @@
 """Scheduler of a shard: turns events into records and orders.
 
-It performs no I/O and reads no clock, so that the daemon and simulations run the
-same code. The caller stores each batch before it sends the starts in it.
+It performs no I/O and reads no clock, so that the daemon and simulations run
+the same code. The caller stores each batch before it sends the starts in it.
 """
 
 import math
@@ -53,7 +53,8 @@
 #: stops to send, in ms. Placement runs with every decision.
 MAINTENANCE_INTERVAL_MS = 50
 #: Interval between stores of outlived starts, in ms. Without them, a new owner
-#: would suspect the latest starts on a server that crashes along with the owner.
+#: would suspect the latest starts on a server that crashes along with the
+#: owner.
 MARK_OUTLIVED_INTERVAL_MS = 200
 #: Progress of a long-running task that is ready, in percent.
 READY_PERCENT = 100
@@ -61,24 +62,15 @@
 
 
 class Engine:
-    """Makes the decisions of one owner of a shard.
-
-    :ivar state: state of the shard.
-    :ivar orders: creates orders.
-    :ivar settler: applies the answers of servers.
-    :ivar recovery: restores the rows of previous owners.
-    :ivar pacer: sets the pace of best-effort runs.
-    :ivar lease_withholding: chooses servers whose leases are not extended.
-    """
+    """Makes the decisions of one owner of a shard."""
 
     def __init__(
         self, token: int, lease_ms: int, inherited: InheritedLeases
     ) -> None:
         """Create an engine without jobs or servers.
 
-        :param token: fencing token of this owner.
+        :param token: fencing token of the owner.
         :param lease_ms: length of the leases granted to servers, in ms.
-        :param inherited: latest ends of the leases granted by previous owners.
         """
         self.state = ShardState()
         self.orders = OrderFactory(self.state, token, lease_ms)
@@ -101,7 +93,6 @@
     def submit(self, spec: JobSpec, now_ms: int) -> bool:
         """Add a stored job; known jobs are ignored.
 
-        :param spec: specification of the job as submitted.
         :param now_ms: current monotonic time, in ms.
         :returns: whether the job is new.
         """
@@ -129,10 +120,7 @@
         self.state.finish(job, JobPhase.cancelled)
 
     def configure(self, terms: Terms) -> None:
-        """Apply settings of the queues unless newer ones are in force.
-
-        :param terms: settings of all queues.
-        """
+        """Apply settings of the queues unless newer ones are in force."""
         if terms.version >= self.state.terms.version:
             self.state.terms = terms
 
@@ -183,10 +171,8 @@
     ) -> None:
         """Apply the outcome of a poll.
 
-        :param server: polled server.
         :param sent_ms: monotonic time in ms at which the poll was sent.
         :param now_ms: current monotonic time, in ms.
-        :param outcome: outcome of the poll.
         """
         self.settler.poll_answered(server, sent_ms, now_ms, outcome)
         if server.polled_ms != sent_ms:
@@ -207,12 +193,10 @@
         """Apply the outcome of a start order.
 
         A best-effort task starts at full speed; if it is known to harm the
-        tasks on its server, it is slowed at once instead of after the next poll.
+        tasks on its server, it is slowed at once instead of after the next
+        poll.
 
-        :param server: server that the order was sent to.
-        :param run: run to start.
         :param now_ms: current monotonic time, in ms.
-        :param outcome: outcome of the order.
         """
         self.settler.start_answered(server, run, now_ms, outcome)
         if isinstance(
@@ -224,7 +208,7 @@
         """Check servers and runs, release due steps and place tasks.
 
         :param now_ms: current monotonic time, in ms.
-        :param wall_ms: current Unix time in ms, for timed jobs.
+        :param wall_ms: current Unix time, in ms, for timed jobs.
         :param place: whether tasks may be placed now.
         """
         self.state.wall_offset_ms = wall_ms - now_ms
@@ -245,10 +229,7 @@
             self._placer.place(now_ms)
 
     def take_batch(self) -> Batch:
-        """Remove and return everything that has to be stored.
-
-        :returns: rows and the actions that depend on them.
-        """
+        """Remove and return everything that has to be stored."""
         batch = self.state.take_batch()
         batch.payload_by_key.update(self.state.remove_ended_jobs())
         return batch
--- a/waxwingford/scheduling/_interference.py
+++ b/waxwingford/scheduling/_interference.py
@@ -57,7 +57,6 @@
 class _StepHeadroom(NamedTuple):
     """Headroom of a serving step on a server, given its best-effort runs.
 
-    :ivar step: the serving step.
     :ivar at_full_pace: least forecast headroom with all runs at full pace.
     :ivar at_current_pace: forecast headroom with the runs at current pace.
     """
@@ -85,10 +84,9 @@
 class _ServerForecast(NamedTuple):
     """Cached headroom forecast of a server.
 
-    :ivar change_count: the server's change count at the time of the forecast.
-    :ivar at_ms: monotonic time of the forecast.
-    :ivar headrooms: one for each serving step on the server.
-    :ivar allowance_by_image: allowances computed so far.
+    :ivar change_count: change count of the server at the time of the forecast.
+    :ivar at_ms: monotonic time of the forecast, in ms.
+    :ivar allowance_by_image: allowances computed so far, by image.
     """
 
     change_count: int
@@ -101,7 +99,6 @@
     """Estimates step headrooms and interference coefficients from polls."""
 
     def __init__(self) -> None:
-        """Start from the priors."""
         self._coefficient_by_pair: dict[
             tuple[str, str], InterferenceCoefficient
         ] = {}
@@ -113,8 +110,8 @@
     def learn(self, server: Server, now_ms: int) -> None:
         """Update the model from the latest poll of a server.
 
-        :param server: with the reported figures applied.
-        :param now_ms: monotonic time.
+        :param server: server with the reported figures applied.
+        :param now_ms: current monotonic time, in ms.
         """
         server_id = server.entry.server_id
         self._forecast_by_server.pop(server_id, None)
@@ -150,8 +147,8 @@
     def encode(self) -> bytes:
         """Serialise the interference coefficients for the store.
 
-        :returns: a MessagePack list of serving image, best-effort image, mean
-            and variance.
+        :returns: MessagePack list of serving image, best-effort image, mean and
+            variance.
         """
         return msgspec.msgpack.encode(
             [
@@ -163,8 +160,8 @@
     def restore(self, raw: bytes) -> None:
         """Load the interference coefficients of a previous owner.
 
-        :param raw: as written by ``encode``.
-        :raises ValueError: if it can't be decoded.
+        :param raw: bytes returned by ``encode``.
+        :raises ValueError: if the bytes are malformed.
         """
         self._coefficient_by_pair = {
             (serving, best_effort): InterferenceCoefficient(mean, variance)
@@ -174,8 +171,6 @@
     def coefficient(self, serving: Step, best_effort: Step) -> float:
         """Predict the interference of a best-effort step with a serving step.
 
-        :param serving: step whose headroom is reduced.
-        :param best_effort: step that reduces it.
         :returns: headroom lost per whole server's CPU.
         """
         return self._coefficient(
@@ -187,9 +182,7 @@
     ) -> Allowance:
         """Predict how much more of a best-effort image a server can run.
 
-        :param server: to run it.
-        :param best_effort: step of the image.
-        :param now_ms: monotonic time.
+        :param now_ms: current monotonic time, in ms.
         :returns: shares of the server's CPU, negative if it is overcommitted.
         """
         forecast = self._forecast(server, now_ms)
@@ -224,9 +217,7 @@
         Cached, because placement needs it for each pending best-effort task.
         A change of the server's runs or a new sample invalidates it.
 
-        :param server: to forecast.
-        :param now_ms: monotonic time.
-        :returns: the forecast.
+        :param now_ms: current monotonic time, in ms.
         """
         server_id = server.entry.server_id
         cached = self._forecast_by_server.get(server_id)
@@ -275,9 +266,8 @@
     def headroom_filter(self, serving: Step, now_ms: int) -> HeadroomFilter:
         """Return the headroom estimate of a serving step.
 
-        :param serving: step to look up.
-        :param now_ms: monotonic time.
-        :returns: its filter, new if the step has none.
+        :param now_ms: current monotonic time, in ms.
+        :returns: headroom filter of the step, new if it has none.
         """
         found = self._filter_by_step.get(serving.name)
         if found is None:
--- a/waxwingford/scheduling/_isolation.py
+++ b/waxwingford/scheduling/_isolation.py
@@ -23,10 +23,6 @@
     """Servers that are reserved for suspects."""
 
     def __init__(self, state: ShardState) -> None:
-        """Create the policy.
-
-        :param state: of the shard.
-        """
         self._state = state
         self._reserved = 0
         self._max_reserved = 1
@@ -51,9 +47,7 @@
     ) -> list[Server]:
         """Keep the servers on which a task may start now.
 
-        :param servers: with free resources for the task.
-        :param task: to place.
-        :param step: of the task.
+        :param servers: servers with free resources for the task.
         :returns: servers on which no suspect would share its start.
         """
         cause = suspect_key(task.key, step)
@@ -76,10 +70,10 @@
     ) -> list[Server]:
         """Reserve servers for a suspect that can't be placed yet.
 
-        :param task: the suspect.
-        :param step: of the task.
-        :param candidates: servers with free resources for it.
-        :param room_of: returns the resources of a server that it may use.
+        :param task: suspected task.
+        :param candidates: servers with free resources for the task.
+        :param room_of: function that returns the resources of a server that the
+            task may use.
         :returns: servers that are newly reserved.
         """
         cause = suspect_key(task.key, step)
@@ -99,9 +93,7 @@
     def isolate(self, server: Server, task: Task, step: Step) -> None:
         """Reserve a server for a suspect.
 
-        :param server: on which the suspect will start.
-        :param task: the suspect.
-        :param step: of the task.
+        :param task: suspected task.
         """
         if server.reserved_for is None:
             server.reserved_for = suspect_key(task.key, step)
--- a/waxwingford/scheduling/_late_ends.py
+++ b/waxwingford/scheduling/_late_ends.py
@@ -1,8 +1,8 @@
 """Ends that a server lists after their runs were settled without one.
 
-A server may answer again after its leases have expired. The ends that it lists must
-be counted before they are acknowledged. Otherwise a completed task would start again,
-and a failing one would exceed its number of attempts.
+A server may answer again after its leases have expired. The ends that it lists
+must be counted before they are acknowledged. Otherwise a completed task would
+start again, and a failing one would exceed its number of attempts.
 """
 
 from waxwingford.scheduling._backend_client import EndReport
@@ -17,12 +17,8 @@
 def note_lost(state: ShardState, server: Server, run: Run) -> None:
     """Record a run that is settled without an end.
 
-    Runs that were never sent, or whose server was replaced, are left out because
-    no server will list their end.
-
-    :param state: state of the shard.
-    :param server: lost server.
-    :param run: run on that server.
+    Runs that were never sent, or whose server was replaced, are left out
+    because no server will list their end.
     """
     found = state.find(run.key)
     may_be_listed = not server.replaced and run.phase is not RunPhase.planned
@@ -36,8 +32,6 @@
 ) -> tuple[Task, Step] | None:
     """Process a late end; each end counts once.
 
-    :param state: state of the shard.
-    :param server: server that lists the end.
     :param end: end of a run that this owner doesn't track.
     :returns: task and step to count the end for, ``None`` if it doesn't count.
     """
--- a/waxwingford/scheduling/_pending_report.py
+++ b/waxwingford/scheduling/_pending_report.py
@@ -22,19 +22,12 @@
     """Logs the steps that are pending for long."""
 
     def __init__(self, notes: NoteBuffer) -> None:
-        """Create a report.
-
-        :param notes: receives the log events.
-        """
         self._notes = notes
         self._reported_ms = 0
         self._placed_by_kind: collections.Counter[str] = collections.Counter()
 
     def count_placed(self, step: Step) -> None:
-        """Count a placed task, to show what was placed instead of others.
-
-        :param step: of the task.
-        """
+        """Count a placed task, to show what was placed instead of others."""
         self._placed_by_kind[_kind(step)] += 1
 
     def update(
@@ -50,7 +43,7 @@
 
         :param unplaced: tasks that found no server in this round.
         :param usable: servers that accept starts.
-        :param now_ms: monotonic time.
+        :param now_ms: current monotonic time, in ms.
         """
         if now_ms - self._reported_ms < REPORT_INTERVAL_MS:
             return
@@ -103,7 +96,7 @@
     """Find the server with the most free CPU.
 
     :param usable: servers that accept starts.
-    :returns: its free thousandths of a core and MB of memory.
+    :returns: its free CPU in thousandths of a core and memory in MB.
     """
     rooms = (server.free_resources for server in usable)
     return max(
--- a/waxwingford/scheduling/_recovery.py
+++ b/waxwingford/scheduling/_recovery.py
@@ -18,7 +18,7 @@
 class InheritedLeases(NamedTuple):
     """Latest ends of the leases granted by previous owners.
 
-    :ivar until_ms: monotonic time in ms that holds for every server.
+    :ivar until_ms: latest end for any server, as monotonic time in ms.
     :ivar until_by_server: earlier times for servers that the previous owner
         reported as silent, by server id.
     """
@@ -30,8 +30,8 @@
         """Latest end of the leases on a server.
 
         :param server_id: identifier of the incarnation.
-        :returns: monotonic time in ms from which on no run of a previous owner is
-            active there.
+        :returns: monotonic time in ms from which on no run of a previous owner
+            is active there.
         """
         server_until_ms = self.until_by_server.get(server_id, self.until_ms)
         return min(self.until_ms, server_until_ms)
@@ -40,15 +40,11 @@
 class StateRecovery:
     """Restores the state of a shard from the rows in the store.
 
-    :ivar orphans_by_server: recorded runs on servers that have not been added to
-        the state yet.
+    :ivar orphans_by_server: recorded runs on servers that have not been added
+        to the state yet.
     """
 
     def __init__(self, state: ShardState) -> None:
-        """Create a recovery without rows.
-
-        :param state: state of the shard.
-        """
         self.orphans_by_server: dict[str, list[tuple[Run, Step]]] = (
             collections.defaultdict(list)
         )
@@ -107,7 +103,6 @@
 
         A task that runs or is done according to that row would run twice.
 
-        :param key: key of the row.
         :param error: error of the decoder.
         """
         self._held_job_ids.add(key.removeprefix(ENDED_PREFIX).partition('.')[0])
@@ -126,8 +121,6 @@
 
         The count is otherwise checked only when a run ends, which never happens
         in a job whose tasks are all done.
-
-        :param job: restored job.
         """
         job.occurrences_left = job.spec.occurrences - sum(
             not any(step.unfinished for step in steps)
--- a/waxwingford/scheduling/_servers.py
+++ b/waxwingford/scheduling/_servers.py
@@ -49,41 +49,42 @@
     otherwise.
 
     :ivar entry: newest registration.
-    :ivar registered: whether the server is currently registered.
     :ivar run_by_key: runs that may be present.
     :ivar step_by_run: steps of these runs.
     :ivar recent_starts: runs that the server isn't known to have outlived yet.
-    :ivar reserved_for: task suspected of crashing servers that is to start alone
-        here, ``None`` for none.
+    :ivar reserved_for: task suspected of crashing servers that is to start
+        alone here, ``None`` for none.
     :ivar unanswered: runs whose start was sent and not confirmed.
     :ivar used: resources reserved by runs, without the CPU of best-effort runs.
-    :ivar free_resources: free resources: capacity less ``used``.
+    :ivar free_resources: capacity less ``used``.
     :ivar best_effort_milli: CPU requested by best-effort tasks, in thousandths
         of a core.
     :ivar long_running_milli: CPU reserved by long-running tasks, in thousandths
         of a core.
     :ivar clock_offset_ms: offset of the server's clock from the owner's,
         ``None`` before the first answer.
-    :ivar clock_updated_ms: when this offset was determined.
-    :ivar latest_clock_ms: server clock of its latest answer.
-    :ivar lease_until_ms: end of the longest lease that was sent, server clock.
+    :ivar clock_updated_ms: time at which this offset was determined.
+    :ivar latest_clock_ms: server clock in its latest answer, in ms.
+    :ivar lease_until_ms: end of the longest lease that was sent, in ms of the
+        server's clock.
     :ivar processed_end: highest sequence number of a processed end.
     :ivar acknowledged_end: highest sequence number of a stored end.
-    :ivar polled_ms: when the newest answered poll was sent, -1 for none.
-    :ivar failing_since_ms: since when calls have failed, ``None`` if it
+    :ivar polled_ms: time at which the newest answered poll was sent, -1 for
+        none.
+    :ivar failing_since_ms: time since which calls have failed, ``None`` if it
         answers.
-    :ivar connection_lost_ms: when a connection was first closed since the last
-        answer, ``None`` if none was.
+    :ivar connection_lost_ms: time at which a connection was first closed since
+        the last answer, ``None`` if none was.
     :ivar replaced: whether another incarnation answered in its place.
     :ivar inherited_lease_until_ms: latest end of leases of previous owners.
     :ivar unknown_runs: unknown runs that the server lists, with the time at
         which their stop was last sent.
-    :ivar refusal_backoff_until_ms: until when it gets no starts because it
-        refused one.
-    :ivar excluded_until_ms: until when it gets no starts because of failed
-        runs.
+    :ivar refusal_backoff_until_ms: time until which it gets no starts because
+        it refused one.
+    :ivar excluded_until_ms: time until which it gets no starts because of
+        failed runs.
     :ivar penalty: decaying score of runs that failed or made no progress.
-    :ivar penalty_updated_ms: when the decay of this score was last applied.
+    :ivar penalty_updated_ms: time at which this score last decayed.
     :ivar change_count: number of runs added or removed so far.
     :ivar awaited: whether the wait for the end of its leases was noted.
     """
@@ -119,23 +120,16 @@
     awaited: bool = False
 
     def __post_init__(self) -> None:
-        """Initialise the free resources."""
         self._update_room()
 
     @property
     def address(self) -> Address:
-        """Address to which orders are sent.
-
-        :returns: incarnation and endpoint.
-        """
+        """Address to which orders are sent."""
         return Address(self.entry.server_id, self.entry.endpoint)
 
     @property
     def no_starts_until_ms(self) -> int:
-        """Time until which the server gets no starts.
-
-        :returns: monotonic time in ms.
-        """
+        """Monotonic time in ms until which the server gets no starts."""
         return max(self.refusal_backoff_until_ms, self.excluded_until_ms)
 
     @property
@@ -150,20 +144,13 @@
         return answers and not leaves
 
     def register(self, entry: ServerEntry) -> None:
-        """Apply a newer registration.
-
-        :param entry: registration of the server.
-        """
+        """Apply a newer registration."""
         self.entry = entry
         self.registered = True
         self._update_room()
 
     def add(self, run: Run, step: Step) -> None:
-        """Add a run and reserve its resources.
-
-        :param run: run placed on this server.
-        :param step: step of the run.
-        """
+        """Add a run and reserve its resources."""
         self.run_by_key[run.key] = run
         self.step_by_run[run.key] = step
         if not run.outlived:
@@ -171,10 +158,7 @@
         self._count(step, 1)
 
     def remove(self, key: RunKey) -> None:
-        """Remove a run, if present, and release its resources.
-
-        :param key: key of the run.
-        """
+        """Remove a run, if present, and release its resources."""
         if self.run_by_key.pop(key, None) is not None:
             self.unanswered.discard(key)
             self.recent_starts.discard(key)
@@ -183,8 +167,6 @@
     def enter(self, run: Run, phase: RunPhase, now_ms: int) -> None:
         """Set the phase of a run on this server.
 
-        :param run: run on this server.
-        :param phase: new phase.
         :param now_ms: current monotonic time, in ms.
         """
         run.enter(phase, now_ms)
@@ -207,9 +189,8 @@
     def outlived_ms(self, run: Run) -> int | None:
         """Time for which the server is known to have stayed up since a start.
 
-        :param run: run on this server.
-        :returns: ms of the server's clock, ``None`` if the run isn't known to
-            have begun.
+        :returns: duration in ms by the server's clock, ``None`` if the run
+            isn't known to have begun.
         """
         if run.started_server_clock_ms is None:
             return None
@@ -240,7 +221,6 @@
         twice.
 
         :param now_ms: current monotonic time, in ms.
-        :returns: whether no run can still be active there.
         """
         return self.lease_left_ms(now_ms) <= 0
 
@@ -248,8 +228,8 @@
         """Upper bound of the time for which runs may still be active there.
 
         :param now_ms: current monotonic time, in ms.
-        :returns: ms until the leases expire unless they are extended, 0 or
-            less if all of them certainly have.
+        :returns: time in ms until the leases expire unless they are extended, 0
+            or less if all of them certainly have.
         """
         if self.replaced:
             return 0
--- a/waxwingford/scheduling/_state.py
+++ b/waxwingford/scheduling/_state.py
@@ -39,25 +39,23 @@
     Times are monotonic times of the owner in milliseconds unless stated
     otherwise.
 
-    :ivar key: task and number of the run.
     :ivar server_id: incarnation of the server.
-    :ivar phase: what the owner knows about the run.
-    :ivar phase_since_ms: when the run entered its phase.
-    :ivar planned_ms: when the run was placed.
+    :ivar phase_since_ms: time at which the run entered its phase.
+    :ivar planned_ms: time at which the run was placed.
     :ivar checkpoint: newest checkpoint that the server listed.
-    :ivar percent: progress that the server listed.
-    :ivar progress_changed_ms: when the progress last changed.
+    :ivar percent: progress that the server listed, in percent.
+    :ivar progress_changed_ms: time at which the progress last changed.
     :ivar measured_value: tail latency or CPU usage that the server listed, see
         ``RunningReport.measured_value``.
     :ivar pace: pace in percent; ``None`` if it is unknown, because an order got
         no answer or a previous owner set the pace of this best-effort run.
-    :ivar paced_ms: when the pace last changed.
-    :ivar over_target_since_ms: since when the tail latency exceeds its target,
-        0 if it doesn't.
+    :ivar paced_ms: time at which the pace last changed.
+    :ivar over_target_since_ms: time since which the tail latency exceeds its
+        target, 0 if it doesn't.
     :ivar stopping: whether the run is to be stopped.
-    :ivar stop_sent_ms: when a stop order was last sent, 0 for never.
-    :ivar stop_acknowledged_ms: when the server first accepted a stop order, 0
-        for never.
+    :ivar stop_sent_ms: time at which a stop order was last sent, 0 for never.
+    :ivar stop_acknowledged_ms: time at which the server first accepted a stop
+        order, 0 for never.
     :ivar adopted: whether a previous owner started the run.
     :ivar started_server_clock_ms: server clock when the server accepted the
         start order or first listed the run; ``None`` before.
@@ -87,7 +85,6 @@
     def enter(self, phase: RunPhase, now_ms: int) -> None:
         """Set the phase and when it was entered.
 
-        :param phase: new phase.
         :param now_ms: current monotonic time, in ms.
         """
         if phase is not self.phase:
@@ -99,7 +96,6 @@
 class Task:
     """One task of a step.
 
-    :ivar key: identifier of the task.
     :ivar last_run: highest run number so far.
     :ivar failures: number of runs that failed.
     :ivar crash_evidence: evidence that the task crashes its servers, see
@@ -113,7 +109,8 @@
     :ivar invalid_starts: start orders that servers rejected as invalid.
     :ivar not_before_ms: monotonic time in ms before which the task isn't
         placed.
-    :ivar pending_since_ms: monotonic time in ms since when the task is pending.
+    :ivar pending_since_ms: monotonic time in ms since which the task is
+        pending.
     :ivar best_effort: whether the task uses only CPU that other tasks leave
         idle.
     """
@@ -137,8 +134,6 @@
 class Step:
     """A step of one repetition of a job.
 
-    :ivar job: job that the step belongs to.
-    :ivar spec: specification of the step as submitted.
     :ivar occurrence: index of the repetition, from 0.
     :ivar index: index of the step in the job.
     :ivar tasks: tasks in the order of their index.
@@ -177,7 +172,6 @@
 class Job:
     """A job and its progress.
 
-    :ivar spec: specification of the job as submitted.
     :ivar received_ms: monotonic time in ms at which this owner received the
         job.
     :ivar critical_path_ms: estimated length of the critical path through its
@@ -211,8 +205,7 @@
     def task(self, key: TaskKey) -> Task | None:
         """Find a task.
 
-        :param key: identifier of the task.
-        :returns: the task, ``None`` if the job has no such task or its
+        :returns: task, ``None`` if the job has no such task or its
             repetition has not begun.
         """
         steps = self.steps_by_occurrence.get(key.occurrence)
@@ -225,7 +218,6 @@
         """Create the steps of a repetition unless they exist.
 
         :param occurrence: index of the repetition, from 0.
-        :returns: steps of the repetition.
         """
         steps = self.steps_by_occurrence.get(occurrence)
         if steps is None:
@@ -240,9 +232,8 @@
 def new_job(spec: JobSpec, now_ms: int) -> Job:
     """Create the state of a newly received job.
 
-    :param spec: specification of the job as submitted.
     :param now_ms: current monotonic time, in ms.
-    :returns: a job without any started repetition.
+    :returns: job without any started repetition.
     """
     return Job(
         spec,
--- a/waxwingford/scheduling/tests/interfering_servers.py
+++ b/waxwingford/scheduling/tests/interfering_servers.py
@@ -46,8 +46,6 @@
 
 @dataclasses.dataclass(slots=True)
 class SimulatedRun:
-    """A run on a server."""
-
     spec: StepSpec
     server_id: str
     phase: float
@@ -65,9 +63,9 @@
 class SimulatedCluster:
     """An engine and its servers in virtual time.
 
-    :ivar over_ms: time that serving runs were over their target.
-    :ivar served_ms: time that serving runs were running.
-    :ivar used: core-seconds of best-effort runs.
+    :ivar over_ms: time that serving runs were over their target, in ms.
+    :ivar served_ms: time that serving runs were running, in ms.
+    :ivar used: CPU time of best-effort runs, in core-seconds.
     """
 
     def __init__(self, servers, coefficients, swing=0.5, period_s=10, seed=1):
@@ -240,12 +238,6 @@
 
 
 def add_servers(cluster, count, service='service'):
-    """Register further servers.
-
-    :param cluster: to extend.
-    :param count: number of servers.
-    :param service: whose tasks they run.
-    """
     begin = len(cluster.entries)
     cluster.entries += [
         ServerEntry(
--- a/waxwingford/scheduling/tests/pressure_steps.py
+++ b/waxwingford/scheduling/tests/pressure_steps.py
@@ -112,10 +112,9 @@
 def run_overloaded(context, span_ms, until):
     """Let time pass with more pending short tasks than fit on the servers.
 
-    :param context: of the scenario.
-    :param span_ms: time limit.
-    :param until: condition that ends it earlier.
-    :returns: elapsed milliseconds.
+    :param span_ms: time limit, in ms.
+    :param until: condition that ends the wait earlier.
+    :returns: elapsed time, in ms.
     """
     harness = context.harness
     begin_ms = harness.now_ms
