--- a/waxwingford/adapters/_http_log.py
+++ b/waxwingford/adapters/_http_log.py
@@ -17,8 +17,8 @@
 from waxwingford.ports import (
     Appended,
     AppendOutcome,
+    AppendOutcomeUnknown,
     AppendRefused,
-    AppendUnknown,
     LogUnavailable,
     ReadOutcome,
 )
@@ -66,7 +66,7 @@
             case NotSent(reason):
                 return AppendRefused(reason, _NOT_SENT_RETRY_AFTER_MS)
             case NoResponse(reason):
-                return AppendUnknown(reason)
+                return AppendOutcomeUnknown(reason)
 
     async def read(
         self,
@@ -113,11 +113,11 @@
         try:
             return Appended(decode_append_reply(response.body).offset)
         except msgspec.DecodeError as error:
-            return AppendUnknown(f'cannot decode response: {error}')
+            return AppendOutcomeUnknown(f'cannot decode response: {error}')
     reason = f'log returned HTTP status {response.status}'
     if response.status in _REFUSED_STATUSES or response.not_run():
         return AppendRefused(reason, response.retry_after_ms())
-    return AppendUnknown(reason)
+    return AppendOutcomeUnknown(reason)
 
 
 def _read_outcome(response: CompleteResponse) -> ReadOutcome:
--- a/waxwingford/adapters/_http_servers.py
+++ b/waxwingford/adapters/_http_servers.py
@@ -19,13 +19,13 @@
 )
 from waxwingford.ports import (
     ControlOutcome,
+    ControlOutcomeUnknown,
     ControlRequest,
-    ControlUnknown,
     ServiceAnswer,
     ServiceCall,
     ServiceNotRun,
     ServiceOutcome,
-    ServiceUnknown,
+    ServiceOutcomeUnknown,
 )
 
 #: Twice the usual number of request slots, so that control exchanges do not
@@ -91,9 +91,9 @@
             case CompleteResponse(status=status, body=body):
                 return _control_outcome(status, body)
             case NotSent(reason):
-                return ControlUnknown(reason, not_sent=True)
+                return ControlOutcomeUnknown(reason, not_sent=True)
             case NoResponse(reason):
-                return ControlUnknown(reason)
+                return ControlOutcomeUnknown(reason)
 
     async def serve(
         self,
@@ -128,7 +128,7 @@
                 return ServiceNotRun(reason)
             case NoResponse(reason, truncated):
                 self.discarded_responses.truncated += truncated
-                return ServiceUnknown(reason)
+                return ServiceOutcomeUnknown(reason)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -149,7 +149,9 @@
         request_id = response.headers.get(REQUEST_ID_HEADER, '')
         if request_id != call.request_id:
             self.discarded_responses.mismatched += 1
-            return ServiceUnknown('response has the ID of another request')
+            return ServiceOutcomeUnknown(
+                'response has the ID of another request'
+            )
         if response.not_run():
             return ServiceNotRun(
                 f'server returned HTTP status {response.status}'
@@ -177,8 +179,8 @@
 
 def _control_outcome(status: int, body: bytes) -> ControlOutcome:
     if status != _OK:
-        return ControlUnknown(f'server returned HTTP status {status}')
+        return ControlOutcomeUnknown(f'server returned HTTP status {status}')
     try:
         return decode_control_reply(body)
     except msgspec.DecodeError as error:
-        return ControlUnknown(f'cannot decode response: {error}')
+        return ControlOutcomeUnknown(f'cannot decode response: {error}')
--- a/waxwingford/adapters/_wire.py
+++ b/waxwingford/adapters/_wire.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from waxwingford.ports import (
+    AttemptKey,
     CheckpointTask,
     ControlDenied,
     ControlGranted,
@@ -18,7 +19,6 @@
     ServerCommand,
     StartTask,
     StopTask,
-    TaskKey,
     ThrottleTask,
     Vm,
     VmList,
@@ -45,13 +45,13 @@
     holder: str
     epoch: int
     lease_ms: int
-    renew: tuple[TaskKey, ...]
+    renew: tuple[AttemptKey, ...]
     task_lease_ms: int
     commands: tuple[tuple[str, msgspec.Raw], ...]
     stamp_ms: int = 0
     good_for_ms: int = 0
     known: int = 0
-    renew_except: tuple[TaskKey, ...] | None = None
+    renew_except: tuple[AttemptKey, ...] | None = None
 
 
 class _WireReply(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/waxwingford/adapters/tests/outcomes.feature
+++ b/waxwingford/adapters/tests/outcomes.feature
@@ -8,17 +8,17 @@
     Then its outcome is "<outcome>"
 
     Examples:
-      | server                                     | outcome        |
-      | returns the complete body "whole"          | ServiceAnswer  |
-      | refuses connections                        | ServiceNotRun  |
-      | does not accept connections                | ServiceNotRun  |
-      | states that it did not run the request     | ServiceNotRun  |
-      | never responds                             | ServiceUnknown |
-      | closes the connection after the request    | ServiceUnknown |
-      | truncates the response                     | ServiceUnknown |
-      | returns a response without a length        | ServiceUnknown |
-      | responds to another request                | ServiceUnknown |
-      | states that it did not run another request | ServiceUnknown |
+      | server                                     | outcome               |
+      | returns the complete body "whole"          | ServiceAnswer         |
+      | refuses connections                        | ServiceNotRun         |
+      | does not accept connections                | ServiceNotRun         |
+      | states that it did not run the request     | ServiceNotRun         |
+      | never responds                             | ServiceOutcomeUnknown |
+      | closes the connection after the request    | ServiceOutcomeUnknown |
+      | truncates the response                     | ServiceOutcomeUnknown |
+      | returns a response without a length        | ServiceOutcomeUnknown |
+      | responds to another request                | ServiceOutcomeUnknown |
+      | states that it did not run another request | ServiceOutcomeUnknown |
 
   # Guards against passing on the response to another request, or part of one.
   Scenario Outline: Discarded responses are counted
@@ -48,7 +48,7 @@
   Scenario Outline: A control exchange
     Given a server that <server>
     When a control exchange is sent with a timeout of 400 ms
-    Then the control outcome is "ControlUnknown" and "<sent>"
+    Then the control outcome is "ControlOutcomeUnknown" and "<sent>"
 
     Examples:
       | server                                  | sent               |
@@ -64,13 +64,13 @@
     Then its outcome is "<outcome>"
 
     Examples:
-      | server                                  | outcome       |
-      | refuses connections                     | AppendRefused |
-      | states that it did not run the request  | AppendRefused |
-      | returns status 429                      | AppendRefused |
-      | returns status 500                      | AppendUnknown |
-      | never responds                          | AppendUnknown |
-      | closes the connection after the request | AppendUnknown |
+      | server                                  | outcome              |
+      | refuses connections                     | AppendRefused        |
+      | states that it did not run the request  | AppendRefused        |
+      | returns status 429                      | AppendRefused        |
+      | returns status 500                      | AppendOutcomeUnknown |
+      | never responds                          | AppendOutcomeUnknown |
+      | closes the connection after the request | AppendOutcomeUnknown |
 
   Scenario: The retry delay of an append is taken from the response
     Given a server that returns status 429
@@ -80,7 +80,7 @@
   Scenario: A POST on a reused connection that the server closes is not resent
     Given a server that closes the connection after the second request
     When two service requests are sent one after the other
-    Then its outcome is "ServiceUnknown"
+    Then its outcome is "ServiceOutcomeUnknown"
     And the server received 2 requests
 
   Scenario: A URL scheme without an adapter is named in the error
--- a/waxwingford/batch/_control_results.py
+++ b/waxwingford/batch/_control_results.py
@@ -12,7 +12,7 @@
 from waxwingford.ports import (
     ControlDenied,
     ControlGranted,
-    ControlUnknown,
+    ControlOutcomeUnknown,
 )
 from waxwingford.records import AttemptEnded
 
@@ -54,7 +54,7 @@
                 return self._handle_granted(server, result, answer, now_ms)
             case ControlDenied() as denial:
                 return self._handle_denied(server, denial, now_ms)
-            case ControlUnknown() as unknown:
+            case ControlOutcomeUnknown() as unknown:
                 return self._handle_unknown(server, control, unknown, now_ms)
 
     def _handle_granted(
@@ -67,7 +67,7 @@
         lease = server.lease
         was_held = lease.is_valid(now_ms)
         handed_over = result.request.lease_ms == 0
-        changed = lease.note_granted(
+        changed = lease.record_grant(
             result.sent_ms, now_ms, result.request.lease_ms, answer
         )
         server.take_grant(result.request, answer, changed)
@@ -75,7 +75,7 @@
         _require_epoch_for_lost_starts(server, result)
         effects = _started_events(server, result)
         if handed_over:
-            server.preference.note_tried(now_ms)
+            server.preference.schedule_retry(now_ms)
             self._fleet.schedule_acquisition(server, now_ms)
             self._fleet.released.append(server.vm.server_id)
             detail = f'epoch {answer.epoch}'
@@ -90,7 +90,7 @@
         )
         if was_held:
             return effects
-        server.preference.note_granted(now_ms)
+        server.preference.record_grant(now_ms)
         self._fleet.room_changed = True
         detail = f'epoch {answer.epoch}'
         return [*effects, server_event('lease.acquired', server, detail)]
@@ -99,10 +99,10 @@
         self, server: ServerControl, denial: ControlDenied, now_ms: int
     ) -> list[Effect]:
         was_held = server.lease.is_valid(now_ms)
-        server.lease.note_denied()
+        server.lease.record_denial()
         server.unreachable_since_ms = None
         if denial.holder != self._settings.writer:
-            server.preference.note_tried(now_ms)
+            server.preference.schedule_retry(now_ms)
         self._fleet.schedule_acquisition(server, now_ms + 1)
         if not was_held:
             return []
@@ -112,7 +112,7 @@
         self,
         server: ServerControl,
         control: Control,
-        unknown: ControlUnknown,
+        unknown: ControlOutcomeUnknown,
         now_ms: int,
     ) -> list[Effect]:
         starts = started_keys(control.request)
@@ -125,7 +125,7 @@
         if server.lease.is_valid(now_ms):
             self._fleet.reschedule(server, now_ms + _RETRY_MS)
         else:
-            server.preference.note_tried(now_ms)
+            server.preference.schedule_retry(now_ms)
             self._fleet.schedule_acquisition(server, now_ms)
         return [server_event('control.unknown', server, unknown.reason)]
 
--- a/waxwingford/batch/_controller.py
+++ b/waxwingford/batch/_controller.py
@@ -218,7 +218,7 @@
         for server_id in server_ids:
             server = self.fleet.server_by_id.get(server_id)
             if server is not None and not server.lease.is_valid(now_ms):
-                server.preference.note_free(now_ms)
+                server.preference.record_release(now_ms)
                 self.fleet.schedule_acquisition(server, now_ms)
 
     def _drain(self, now_ms: int) -> None:
--- a/waxwingford/batch/_exchanges.py
+++ b/waxwingford/batch/_exchanges.py
@@ -90,7 +90,7 @@
     ) -> list[Effect]:
         now_ms = plan_input.now_ms
         effects: list[Effect] = []
-        if server.lease.note_time(now_ms):
+        if server.lease.expire_if_due(now_ms):
             effects.append(server_event('lease.lost', server, 'expired'))
         if server.lease.may_command(now_ms):
             control = self._plan_held(
@@ -118,8 +118,8 @@
     def _acquire(self, server: ServerControl, now_ms: int) -> Control:
         # Sent without commands: a late one under an epoch that this daemon does
         # not know yet could not be told from a new one.
-        server.lease.note_asked()
-        server.preference.note_asked()
+        server.lease.record_request()
+        server.preference.record_request()
         lease_ms = self._fleet.lease_timing.control_lease_ms
         request = ControlRequest(self._settings.writer, 0, lease_ms)
         return self._control(server, request, now_ms + lease_ms)
@@ -137,7 +137,7 @@
             server, plan_input.now_ms, claiming
         )
         if should_release:
-            server.lease.note_handing_over()
+            server.lease.start_handover()
         report_version = server.known
         if server.answers_since_full_report >= _ANSWERS_PER_FULL_REPORT:
             report_version = 0
--- a/waxwingford/batch/_executor.py
+++ b/waxwingford/batch/_executor.py
@@ -15,7 +15,7 @@
 from waxwingford.ports import (
     BackendServerPort,
     ControlOutcome,
-    ControlUnknown,
+    ControlOutcomeUnknown,
     LogPort,
 )
 from waxwingford.records import DomainState, encode_group
@@ -78,7 +78,7 @@
         generation = self._generation
         sent_ms = self._clock.monotonic_ms()
         if is_too_late(effect, sent_ms):
-            outcome: ControlOutcome = ControlUnknown(
+            outcome: ControlOutcome = ControlOutcomeUnknown(
                 _LEASE_EXPIRED, not_sent=True
             )
         else:
--- a/waxwingford/batch/_fleet.py
+++ b/waxwingford/batch/_fleet.py
@@ -7,8 +7,8 @@
 from waxwingford.batch._server import ServerControl
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.ownership import (
+    AcquisitionSchedule,
     ControlLease,
-    Preference,
     rank_of,
     shared_out,
 )
@@ -184,7 +184,9 @@
         server = ServerControl(
             vm,
             ControlLease(settings.margin_ms),
-            Preference(settings.times, self.rank(vm.server_id), now_ms),
+            AcquisitionSchedule(
+                settings.times, self.rank(vm.server_id), now_ms
+            ),
         )
         self.server_by_id[vm.server_id] = server
         self.schedule_acquisition(server, now_ms)
--- a/waxwingford/batch/_placer.py
+++ b/waxwingford/batch/_placer.py
@@ -270,7 +270,7 @@
     def _may_use(self, server_id: str, now_ms: int) -> bool:
         return (
             server_id not in self.quarantined_servers()
-            or self.trackers.quarantine.may_probe(server_id, now_ms)
+            or self.trackers.quarantine.is_probe_due(server_id, now_ms)
         )
 
     def _view_pending(self, wall_ms: int) -> PendingViewFactory:
--- a/waxwingford/batch/_placing.py
+++ b/waxwingford/batch/_placing.py
@@ -15,8 +15,8 @@
     ServerView,
 )
 from waxwingford.ports import (
+    AttemptPhase,
     Resources,
-    TaskPhase,
     add_resources,
     fits_resources,
     subtract_resources,
@@ -147,7 +147,7 @@
     :returns: true if a running attempt has no claim there.
     """
     return any(
-        report.phase == TaskPhase.running
+        report.phase == AttemptPhase.running
         and state.claimed(report.key, server.vm.server_id) is None
         for report in server.report_by_key.values()
     )
--- a/waxwingford/batch/_plan.py
+++ b/waxwingford/batch/_plan.py
@@ -9,13 +9,13 @@
 from waxwingford.batch._server import ServerControl
 from waxwingford.kernel import Invariant, require
 from waxwingford.ports import (
+    AttemptPhase,
+    AttemptReport,
     CheckpointTask,
     ForgetTask,
     Resources,
     StartTask,
     StopTask,
-    TaskPhase,
-    TaskReport,
     ThrottleTask,
     add_resources,
     fits_resources,
@@ -23,9 +23,9 @@
 )
 from waxwingford.records import (
     NOT_SUSPECTED,
-    AttemptAlive,
     AttemptEnded,
     DomainState,
+    SuspicionRefuted,
     TaskState,
 )
 
@@ -78,23 +78,29 @@
 
 
 def _plan_reported(
-    server: ServerControl, plan_input: PlanInput, plan: Plan, report: TaskReport
+    server: ServerControl,
+    plan_input: PlanInput,
+    plan: Plan,
+    report: AttemptReport,
 ) -> None:
     task = plan_input.state.claimed(report.key, server.vm.server_id)
     if task is None:
         _plan_unclaimed(server, plan_input, plan, report)
-    elif report.phase == TaskPhase.running:
+    elif report.phase == AttemptPhase.running:
         _plan_running(server, plan_input, plan, task)
     else:
         plan.record_by_key[report.key] = _end_record(server, report)
 
 
 def _plan_unclaimed(
-    server: ServerControl, plan_input: PlanInput, plan: Plan, report: TaskReport
+    server: ServerControl,
+    plan_input: PlanInput,
+    plan: Plan,
+    report: AttemptReport,
 ) -> None:
     key = report.key
     since_ms = server.unclaimed_since_ms.setdefault(key, plan_input.now_ms)
-    is_running = report.phase == TaskPhase.running
+    is_running = report.phase == AttemptPhase.running
     plan.has_unclaimed = plan.has_unclaimed or is_running
     # A claim precedes its start in the log, so a read to the head that began
     # after the report would have returned it.
@@ -115,7 +121,7 @@
 ) -> None:
     plan.running = add_resources(plan.running, task.resources)
     if task.suspected_offset != NOT_SUSPECTED:
-        alive = AttemptAlive((task.key,), plan_input.settings.writer)
+        alive = SuspicionRefuted((task.key,), plan_input.settings.writer)
         plan.record_by_key['alive', task.key] = alive
     if _may_renew(plan_input, plan, task):
         plan.renew.append(task.key)
@@ -247,10 +253,12 @@
         plan.commands.append(command)
 
 
-def _end_record(server: ServerControl, report: TaskReport) -> AttemptEnded:
+def _end_record(server: ServerControl, report: AttemptReport) -> AttemptEnded:
     # ``lapsed`` in the stream is reserved for ends by the suspicion protocol;
     # here the server itself reports that it stopped the attempt.
-    how = 'stopped' if report.phase == TaskPhase.lapsed else report.phase.value
+    how = (
+        'stopped' if report.phase == AttemptPhase.lapsed else report.phase.value
+    )
     return AttemptEnded(
         report.key,
         server.vm.server_id,
--- a/waxwingford/batch/_plan_types.py
+++ b/waxwingford/batch/_plan_types.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from waxwingford.batch._settings import BatchSettings, LeaseTiming
-from waxwingford.ports import Resources, ServerCommand, TaskKey
+from waxwingford.ports import AttemptKey, Resources, ServerCommand
 from waxwingford.records import DomainState, Record
 
 _NO_RESOURCES = Resources(0, 0, 0)
@@ -45,7 +45,7 @@
     """
 
     valid_until_ms: int
-    renew: list[TaskKey] = dataclasses.field(default_factory=list)
+    renew: list[AttemptKey] = dataclasses.field(default_factory=list)
     commands: list[ServerCommand] = dataclasses.field(default_factory=list)
     record_by_key: dict[object, Record] = dataclasses.field(
         default_factory=dict,
@@ -54,7 +54,7 @@
     has_unclaimed: bool = False
 
 
-def is_over(state: DomainState, key: TaskKey, server_id: str) -> bool:
+def is_over(state: DomainState, key: AttemptKey, server_id: str) -> bool:
     """Return whether the stream shows that an attempt is over.
 
     An attempt that is not in the stream does not count as over: this daemon
--- a/waxwingford/batch/_queue.py
+++ b/waxwingford/batch/_queue.py
@@ -9,7 +9,7 @@
 
 from waxwingford.batch._quotas import TeamLimits
 from waxwingford.placement import PendingTask, QuotaTracker, TeamName
-from waxwingford.ports import Resources, TaskKey
+from waxwingford.ports import AttemptKey, Resources
 from waxwingford.records import TaskStage, TaskState
 
 #: Unsuccessful rounds after which a task is queued behind its team's others.
@@ -72,11 +72,11 @@
         self.tracker = QuotaTracker(Resources(1, 1, 1))
         self._deferred: list[_DeferredTask] = []
         self._order = itertools.count()
-        self._entry_by_key: dict[TaskKey, _Entry] = {}
+        self._entry_by_key: dict[AttemptKey, _Entry] = {}
         self._tracked_by_team: collections.Counter[TeamName] = (
             collections.Counter()
         )
-        self._demoted_by_team: dict[TeamName, list[TaskKey]] = {}
+        self._demoted_by_team: dict[TeamName, list[AttemptKey]] = {}
 
     def add(self, task: TaskState, now_ms: int, due_ms: int) -> None:
         """Add a pending task.
@@ -98,7 +98,7 @@
         """
         return bool(self._deferred) and self._deferred[0].due_ms <= now_ms
 
-    def offers(self, key: TaskKey) -> int | None:
+    def offers(self, key: AttemptKey) -> int | None:
         """Return the number of rounds in which a task was not placed.
 
         :param key: key of its next attempt.
@@ -147,7 +147,9 @@
             for task, ordered_task in zip(tasks, ordered, strict=True)
         ]
 
-    def drop(self, key: TaskKey, now_ms: int, view: PendingViewFactory) -> None:
+    def drop(
+        self, key: AttemptKey, now_ms: int, view: PendingViewFactory
+    ) -> None:
         """Remove a task that is claimed or over.
 
         :param key: key of the attempt under which it was pending.
@@ -159,7 +161,7 @@
             self._untrack(key, entry, now_ms, view)
 
     def record_unplaced(
-        self, keys: Iterable[TaskKey], now_ms: int, view: PendingViewFactory
+        self, keys: Iterable[AttemptKey], now_ms: int, view: PendingViewFactory
     ) -> None:
         """Count a round in which tasks were not placed.
 
@@ -182,7 +184,7 @@
         while self.has_due(now_ms):
             deferred = heapq.heappop(self._deferred)
             task = deferred.task
-            key = TaskKey(task.task_id, deferred.attempt + 1)
+            key = AttemptKey(task.task_id, deferred.attempt + 1)
             is_open = task.stage == TaskStage.pending and task.next_key == key
             if is_open and key not in self._entry_by_key:
                 entry = _Entry(task, deferred.since_ms)
@@ -196,7 +198,11 @@
         self._tracked_by_team[_team_of(entry.task)] += 1
 
     def _untrack(
-        self, key: TaskKey, entry: _Entry, now_ms: int, view: PendingViewFactory
+        self,
+        key: AttemptKey,
+        entry: _Entry,
+        now_ms: int,
+        view: PendingViewFactory,
     ) -> None:
         self.tracker.remove(key)
         team = _team_of(entry.task)
@@ -211,7 +217,7 @@
             else:
                 self._entry_by_key.pop(demoted, None)
 
-    def _is_still_pending(self, key: TaskKey) -> bool:
+    def _is_still_pending(self, key: AttemptKey) -> bool:
         entry = self._entry_by_key.get(key)
         return (
             entry is not None
@@ -224,7 +230,7 @@
     """Accepts tasks within the limits of their teams, counting each."""
 
     def __init__(
-        self, limits: TeamLimits, entry_by_key: dict[TaskKey, _Entry]
+        self, limits: TeamLimits, entry_by_key: dict[AttemptKey, _Entry]
     ) -> None:
         self._limits = limits
         self._entry_by_key = entry_by_key
--- a/waxwingford/batch/_reactions.py
+++ b/waxwingford/batch/_reactions.py
@@ -6,7 +6,7 @@
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._server import ServerControl
 from waxwingford.placement import Evict, Stop, Throttle
-from waxwingford.ports import TaskKey
+from waxwingford.ports import AttemptKey
 from waxwingford.records import DomainState
 
 
@@ -46,7 +46,7 @@
 def _server_of(
     state: DomainState,
     held: Mapping[str, ServerControl],
-    key: TaskKey,
+    key: AttemptKey,
 ) -> ServerControl | None:
     task = state.task(key.task_id)
     if task is None or task.attempt != key.attempt:
--- a/waxwingford/batch/_server.py
+++ b/waxwingford/batch/_server.py
@@ -4,16 +4,16 @@
 from collections.abc import Iterable
 
 from waxwingford.batch._effects import Control, EmitEvent
-from waxwingford.ownership import ControlLease, Preference
+from waxwingford.ownership import AcquisitionSchedule, ControlLease
 from waxwingford.placement import ServerView
 from waxwingford.ports import (
+    AttemptKey,
+    AttemptPhase,
+    AttemptReport,
     ControlGranted,
     ControlRequest,
     ForgetTask,
     StartTask,
-    TaskKey,
-    TaskPhase,
-    TaskReport,
     Vm,
     VmState,
 )
@@ -65,26 +65,26 @@
 
     vm: Vm
     lease: ControlLease
-    preference: Preference
-    report_by_key: dict[TaskKey, TaskReport] = dataclasses.field(
+    preference: AcquisitionSchedule
+    report_by_key: dict[AttemptKey, AttemptReport] = dataclasses.field(
         default_factory=dict,
     )
     known: int = 0
     answers_since_full_report: int = 0
     report_offset: int = -1
-    unclaimed_since_ms: dict[TaskKey, int] = dataclasses.field(
+    unclaimed_since_ms: dict[AttemptKey, int] = dataclasses.field(
         default_factory=dict,
     )
-    started: set[TaskKey] = dataclasses.field(default_factory=set)
-    abandoned_by_key: dict[TaskKey, AttemptEnded] = dataclasses.field(
+    started: set[AttemptKey] = dataclasses.field(default_factory=set)
+    abandoned_by_key: dict[AttemptKey, AttemptEnded] = dataclasses.field(
         default_factory=dict,
     )
-    evicting: set[TaskKey] = dataclasses.field(default_factory=set)
-    stopping: set[TaskKey] = dataclasses.field(default_factory=set)
-    throttle_percent_by_key: dict[TaskKey, int] = dataclasses.field(
+    evicting: set[AttemptKey] = dataclasses.field(default_factory=set)
+    stopping: set[AttemptKey] = dataclasses.field(default_factory=set)
+    throttle_percent_by_key: dict[AttemptKey, int] = dataclasses.field(
         default_factory=dict,
     )
-    commanded_ms_by_key: dict[TaskKey, int] = dataclasses.field(
+    commanded_ms_by_key: dict[AttemptKey, int] = dataclasses.field(
         default_factory=dict
     )
     in_flight: Control | None = None
@@ -166,7 +166,9 @@
         self.evicting &= self.report_by_key.keys()
         self.stopping &= self.report_by_key.keys()
 
-    def running_except(self, renew: Iterable[TaskKey]) -> tuple[TaskKey, ...]:
+    def running_except(
+        self, renew: Iterable[AttemptKey]
+    ) -> tuple[AttemptKey, ...]:
         """List running attempts whose leases are not to be renewed.
 
         :param renew: attempts to renew.
@@ -179,17 +181,17 @@
             if key not in renewed and self.is_running(key)
         )
 
-    def is_running(self, key: TaskKey) -> bool:
+    def is_running(self, key: AttemptKey) -> bool:
         """Return whether the server reported an attempt as running.
 
         :param key: key of the attempt.
         :returns: true if it was running in the last report.
         """
         report = self.report_by_key.get(key)
-        return report is not None and report.phase == TaskPhase.running
+        return report is not None and report.phase == AttemptPhase.running
 
 
-def started_keys(request: ControlRequest) -> list[TaskKey]:
+def started_keys(request: ControlRequest) -> list[AttemptKey]:
     """List the attempts that a request starts.
 
     :param request: request of an exchange.
--- a/waxwingford/batch/_settings.py
+++ b/waxwingford/batch/_settings.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from waxwingford.ownership import OwnershipTimes
+from waxwingford.ownership import AcquisitionDelays
 
 #: Renewal intervals in one control lease.
 _RENEWALS_PER_CONTROL_LEASE = 3
@@ -70,7 +70,7 @@
     urgent_rank_delay_ms: int = 100
     snapshot_entries: int = 5000
     snapshot_ms: int = 600_000
-    times: OwnershipTimes = OwnershipTimes()
+    times: AcquisitionDelays = AcquisitionDelays()
 
     @property
     def writer(self) -> str:
--- a/waxwingford/batch/_snapshots.py
+++ b/waxwingford/batch/_snapshots.py
@@ -6,7 +6,7 @@
 from waxwingford.records import (
     DomainState,
     SnapshotAssembler,
-    snapshot_chunks,
+    encode_snapshot,
 )
 
 #: Offset past any head; a read from it returns the head and no entries.
@@ -72,7 +72,7 @@
     :param state: the state; it may change while the chunks are appended.
     :returns: why the write failed; empty if all chunks were appended.
     """
-    for chunk in snapshot_chunks(state, state.next_offset):
+    for chunk in encode_snapshot(state, state.next_offset):
         outcome = await log.append(stream, chunk)
         if not isinstance(outcome, Appended):
             return outcome.reason
--- a/waxwingford/batch/_stream.py
+++ b/waxwingford/batch/_stream.py
@@ -15,7 +15,7 @@
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.batch._submissions import RETRY_AFTER_MS, reply_for
 from waxwingford.batch._suspicion import LapseTimers
-from waxwingford.ports import TaskKey
+from waxwingford.ports import AttemptKey
 from waxwingford.records import (
     NOT_SUSPECTED,
     AttemptEnded,
@@ -186,7 +186,7 @@
         for server_id in claimed_at:
             self._fleet.schedule_exchange(server_id, now_ms)
 
-    def _start_timers(self, keys: Iterable[TaskKey], now_ms: int) -> None:
+    def _start_timers(self, keys: Iterable[AttemptKey], now_ms: int) -> None:
         for key in keys:
             task = self.state.task(key.task_id)
             if task is not None and task.suspected_offset != NOT_SUSPECTED:
--- a/waxwingford/batch/_submissions.py
+++ b/waxwingford/batch/_submissions.py
@@ -21,7 +21,7 @@
     JobSpec,
     Valid,
     Verdict,
-    refuse_job,
+    validate_job,
 )
 
 #: Retry delay for members after a refusal.
@@ -139,7 +139,7 @@
 def _validate_spec(spec: JobSpec) -> str:
     if len(spec.payload) > PAYLOAD_CHARACTERS:
         return f'payload must have at most {PAYLOAD_CHARACTERS} characters'
-    return refuse_job(spec)
+    return validate_job(spec)
 
 
 def _answer_duplicate(state: DomainState, spec: JobSpec) -> SubmissionOutcome:
--- a/waxwingford/batch/_suspicion.py
+++ b/waxwingford/batch/_suspicion.py
@@ -5,7 +5,7 @@
 
 from waxwingford.batch._server import ServerControl
 from waxwingford.batch._settings import BatchSettings
-from waxwingford.ports import TaskKey
+from waxwingford.ports import AttemptKey
 from waxwingford.records import (
     NOT_SUSPECTED,
     AttemptEnded,
@@ -19,7 +19,7 @@
 
 class _LapseTimer(NamedTuple):
     due_ms: int
-    key: TaskKey
+    key: AttemptKey
     suspected_offset: int
     server_id: str
 
--- a/waxwingford/batch/_trackers.py
+++ b/waxwingford/batch/_trackers.py
@@ -6,7 +6,7 @@
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._messages import BundleSettings
 from waxwingford.placement import (
-    NOTHING,
+    NO_RESOURCES,
     Quarantine,
     QuarantineLimits,
     QuotaTracker,
@@ -15,9 +15,9 @@
     fits,
     largest,
     subtract,
-    total_of,
+    sum_resources,
 )
-from waxwingford.ports import Resources, TaskKey, UsageSample
+from waxwingford.ports import AttemptKey, Resources, UsageSample
 from waxwingford.records import (
     AttemptEnded,
     DomainState,
@@ -60,11 +60,11 @@
         self.quarantine = Quarantine()
         self._fleet = fleet
         self._capacities: frozenset[Resources] = frozenset()
-        self._largest_capacity = NOTHING
-        self._total_capacity = NOTHING
-        self._weighed_capacity = NOTHING
+        self._largest_capacity = NO_RESOURCES
+        self._total_capacity = NO_RESOURCES
+        self._weighed_capacity = NO_RESOURCES
         self._running_by_id: dict[str, TaskState] = {}
-        self._peak_by_key: dict[TaskKey, Resources] = {}
+        self._peak_by_key: dict[AttemptKey, Resources] = {}
 
     def restore(self, state: DomainState, now_ms: int) -> None:
         """Initialize from a snapshot's state, in time linear in its size.
@@ -95,7 +95,7 @@
 
         :param bundle: batch settings in force.
         """
-        self.quarantine.keep_servers(self._fleet.server_by_id)
+        self.quarantine.retain_servers(self._fleet.server_by_id)
         self._measure_fleet()
         # Small changes of capacity hardly affect the shares, and an update
         # costs time linear in the number of pending tasks.
@@ -134,7 +134,7 @@
             for key in sample.running:
                 used = sample.used_by_task_id.get(key.task_id)
                 if used is not None and key.task_id in self._running_by_id:
-                    before = self._peak_by_key.get(key, NOTHING)
+                    before = self._peak_by_key.get(key, NO_RESOURCES)
                     self._peak_by_key[key] = largest(before, used)
 
     def allocation(self, spec: JobSpec) -> Resources:
@@ -194,11 +194,11 @@
             return
         spec = task.job.spec
         if peak is not None:
-            self.sizes.observe_use(spec.member, spec.kind, peak)
+            self.sizes.record_peak_usage(spec.member, spec.kind, peak)
         if record.how == 'failed':
             self._record_failure(task_id, record.server_id, now_ms)
         elif record.how == 'done':
-            self.sizes.observe_run(
+            self.sizes.record_run_time(
                 spec.member, spec.kind, spec.run_ms, task.ran_ms
             )
             self.quarantine.succeeded(task_id, record.server_id)
@@ -219,15 +219,15 @@
         rooms = [
             subtract(
                 server.vm.resources,
-                reserved_by_service.get(server.vm.service, NOTHING),
+                reserved_by_service.get(server.vm.service, NO_RESOURCES),
             )
             for server in self._fleet.server_by_id.values()
         ]
         self._capacities = frozenset(rooms)
-        self._largest_capacity = NOTHING
+        self._largest_capacity = NO_RESOURCES
         for capacity in self._capacities:
             self._largest_capacity = largest(self._largest_capacity, capacity)
-        self._total_capacity = total_of(rooms)
+        self._total_capacity = sum_resources(rooms)
 
     def _update_weights(self, bundle: BundleSettings) -> None:
         self._weighed_capacity = self._total_capacity
@@ -240,7 +240,7 @@
             )
             for name, quota in bundle.quota_by_team.items()
         }
-        self.quotas.reweigh(
+        self.quotas.update_quotas(
             self._total_capacity,
             _weights(bundle.share_by_member),
             _weights(quota_by_team),
--- a/waxwingford/batch/_validation.py
+++ b/waxwingford/batch/_validation.py
@@ -8,8 +8,8 @@
 from waxwingford.batch._quotas import TeamLimits
 from waxwingford.placement import Placement, Quarantine, ServerView
 from waxwingford.ports import (
+    AttemptKey,
     Resources,
-    TaskKey,
     fits_resources,
     subtract_resources,
 )
@@ -41,7 +41,7 @@
         :param quarantine: decides when a quarantined server may get a task.
         :param now_ms: monotonic time, in milliseconds.
         """
-        self.unplaced: list[TaskKey] = []
+        self.unplaced: list[AttemptKey] = []
         self.placed: list[tuple[Placement, TaskState]] = []
         self.events: list[EmitEvent] = []
         self._view_by_id = {view.server_id: view for view in views}
@@ -93,9 +93,9 @@
         if not view.quarantined:
             return True
         server_id = view.server_id
-        if view.running or not self._quarantine.may_probe(
+        if view.running or not self._quarantine.is_probe_due(
             server_id, self._now_ms
         ):
             return False
-        self._quarantine.note_probe(server_id, self._now_ms)
+        self._quarantine.record_probe(server_id, self._now_ms)
         return True
--- a/waxwingford/batch/_views.py
+++ b/waxwingford/batch/_views.py
@@ -101,7 +101,7 @@
         ),
         *(
             view_finished(job)
-            for job in state.finished.kept_by_id.values()
+            for job in state.finished.summary_by_id.values()
             if job.member == member
         ),
     ]
@@ -124,7 +124,7 @@
     """
     job = state.jobs_by_id.get(job_id)
     if job is None:
-        finished = state.finished.kept_by_id.get(job_id)
+        finished = state.finished.summary_by_id.get(job_id)
         if finished is None or finished.member != member:
             return None
         return view_finished(finished)
--- a/waxwingford/batch/tests/mutations.py
+++ b/waxwingford/batch/tests/mutations.py
@@ -6,7 +6,7 @@
 from waxwingford.batch import _plan, _stream, _suspicion
 from waxwingford.batch._appender import Appender
 from waxwingford.ownership import ControlLease
-from waxwingford.ports import ForgetTask, Resources, TaskPhase
+from waxwingford.ports import AttemptPhase, ForgetTask, Resources
 from waxwingford.records import (
     AttemptEnded,
     _fold,
@@ -48,7 +48,7 @@
         gone = task is None or task.stage > 1 or task.job.cancelled
         return 'over' if gone else ''
 
-    return (mock.patch.object(_fold, 'refuse_claim', _refuse),)
+    return (mock.patch.object(_fold, 'validate_claim', _refuse),)
 
 
 def send_after_expiry():
@@ -94,7 +94,7 @@
 
     def _plan_reported(server, given, made, report):
         plan(server, given, made, report)
-        if report.phase != TaskPhase.running:
+        if report.phase != AttemptPhase.running:
             made.commands.append(ForgetTask(report.key))
 
     return (mock.patch.object(_plan, '_plan_reported', _plan_reported),)
@@ -102,13 +102,13 @@
 
 def accept_any_suspicion():
     """Accept an end by lapse that names any suspicion."""
-    refuse = _rules.refuse_end
+    validate = _rules.validate_end
 
     def _refuse(task, record):
-        reason = refuse(task, record)
+        reason = validate(task, record)
         return '' if reason.startswith('suspicion stands') else reason
 
-    return (mock.patch.object(_fold, 'refuse_end', _refuse),)
+    return (mock.patch.object(_fold, 'validate_end', _refuse),)
 
 
 def lapse_immediately():
--- a/waxwingford/batch/tests/placing_steps.py
+++ b/waxwingford/batch/tests/placing_steps.py
@@ -20,11 +20,11 @@
 from waxwingford.batch._pending_reason import pending_reason
 from waxwingford.placement import Placement
 from waxwingford.ports import (
+    AttemptKey,
+    AttemptPhase,
+    AttemptReport,
     ControlGranted,
     Resources,
-    TaskKey,
-    TaskPhase,
-    TaskReport,
     Vm,
     VmList,
     VmState,
@@ -100,7 +100,7 @@
         return ()
     index = context.controller.state.index
     return tuple(
-        TaskReport(task.key, TaskPhase.running)
+        AttemptReport(task.key, AttemptPhase.running)
         for task in index.attempts_by_server.get(server_id, {}).values()
     )
 
@@ -194,7 +194,7 @@
 @when('a job of 1 task is read that failed on the held server')
 def failed_job_is_read(context):
     context.effects.clear()
-    key = TaskKey('qadri.j/0', 1)
+    key = AttemptKey('qadri.j/0', 1)
     claimed = TasksClaimed('x#1', 's0', 'old', 0, (Claim(key),))
     ended = AttemptEnded(key, 's0', 'failed', 'x')
     read(context, JobAccepted(spec_of(1)), claimed, ended)
--- a/waxwingford/batch/tests/protections_steps.py
+++ b/waxwingford/batch/tests/protections_steps.py
@@ -10,17 +10,20 @@
 from waxwingford.batch._server import ServerControl
 from waxwingford.batch.tests.mutations import disabled
 from waxwingford.kernel import BrokenInvariant
-from waxwingford.ownership import ControlLease, OwnershipTimes, Preference
+from waxwingford.ownership import (
+    AcquisitionDelays,
+    AcquisitionSchedule,
+    ControlLease,
+)
 from waxwingford.ports import (
+    AttemptKey,
     ControlGranted,
     Resources,
     StartTask,
-    TaskKey,
     Vm,
     VmState,
 )
 from waxwingford.records import (
-    AttemptAlive,
     AttemptEnded,
     AttemptSuspected,
     Claim,
@@ -28,6 +31,7 @@
     JobAccepted,
     JobSpec,
     RecordGroup,
+    SuspicionRefuted,
     TasksClaimed,
     Valid,
 )
@@ -213,7 +217,7 @@
     ]  # fmt: skip
     assert names
     domain = context.domain
-    key = TaskKey('qadri.j/0', 1)
+    key = AttemptKey('qadri.j/0', 1)
     record = AttemptSuspected((key,), f'{names[0]}1')
     context.domain.server_by_id['s1'].rejoin(domain.now_ms)
     group = RecordGroup(f'{names[0]}x', 1, (record,))
@@ -259,12 +263,12 @@
     size = Resources(8000, 8000)
     vm = Vm('s0', 'g', 'r', '127.0.0.1', 1, VmState.leaving, size, 8, 8, 'd')
     lease = ControlLease(500)
-    lease.note_asked()
-    lease.note_granted(0, 1, 6000, ControlGranted(3, 'boot', False, ()))
-    preference = Preference(OwnershipTimes(), 0, 0)
+    lease.record_request()
+    lease.record_grant(0, 1, 6000, ControlGranted(3, 'boot', False, ()))
+    preference = AcquisitionSchedule(AcquisitionDelays(), 0, 0)
     context.server = ServerControl(vm, lease, preference)
     spec = JobSpec('qadri.j', 'qadri', 't', 'k', 1, Resources(1000, 1000), 1)
-    claim = Claim(TaskKey('qadri.j/0', 1))
+    claim = Claim(AttemptKey('qadri.j/0', 1))
     claimed = TasksClaimed('d0#1', 's0', 'boot', 3, (claim,))
     state = DomainState()
     state.apply(0, RecordGroup('d0#1', 1, (JobAccepted(spec), claimed)))
@@ -299,7 +303,7 @@
 
 
 def is_refuted_lapse_valid():
-    key = TaskKey('qadri.j/0', 1)
+    key = AttemptKey('qadri.j/0', 1)
     spec = JobSpec(
         'qadri.j', 'qadri', 't', 'k', 1, Resources(1, 1), 1, lost_after_ms=9
     )
@@ -307,7 +311,7 @@
         JobAccepted(spec),
         TasksClaimed('a#1', 's0', 'boot', 1, (Claim(key),)),
         AttemptSuspected((key,), 'b#1'),
-        AttemptAlive((key,), 'a#1'),
+        SuspicionRefuted((key,), 'a#1'),
         AttemptSuspected((key,), 'c#1'),
         AttemptEnded(key, 's0', 'lapsed', suspected_offset=2),
     )
--- a/waxwingford/batch/tests/trackers_steps.py
+++ b/waxwingford/batch/tests/trackers_steps.py
@@ -211,5 +211,5 @@
 
 @then('the job "{name}" is over with 1 failed task')
 def job_over(context, name):
-    kept = context.controller.state.finished.kept_by_id[f'qadri.{name}']
+    kept = context.controller.state.finished.summary_by_id[f'qadri.{name}']
     assert kept.failed == 1, kept
--- a/waxwingford/bundles/_publish.py
+++ b/waxwingford/bundles/_publish.py
@@ -30,8 +30,8 @@
 from waxwingford.ports import (
     Appended,
     AppendOutcome,
+    AppendOutcomeUnknown,
     AppendRefused,
-    AppendUnknown,
     LogPort,
     LogUnavailable,
 )
@@ -232,5 +232,5 @@
             return PublishUnknown(
                 f'entry at offset {offset} is not readable yet'
             )
-        case AppendRefused(reason) | AppendUnknown(reason):
+        case AppendRefused(reason) | AppendOutcomeUnknown(reason):
             return PublishUnknown(reason)
--- a/waxwingford/colocation/_capacity.py
+++ b/waxwingford/colocation/_capacity.py
@@ -4,7 +4,7 @@
     PendingTask,
     ServerView,
     fits,
-    free_on,
+    free_resources,
     subtract,
 )
 from waxwingford.ports import Resources
@@ -34,7 +34,7 @@
         """
         free = self._free_by_id.get(server_id)
         if free is None:
-            free = free_on(self.server_by_id[server_id])
+            free = free_resources(self.server_by_id[server_id])
             self._free_by_id[server_id] = free
         return free
 
--- a/waxwingford/colocation/_escalation.py
+++ b/waxwingford/colocation/_escalation.py
@@ -10,7 +10,7 @@
 from waxwingford.colocation._mechanisms import Mechanisms
 from waxwingford.colocation._state import Interference, Prediction, Predictor
 from waxwingford.placement import Evict, Reaction, Stop, Throttle
-from waxwingford.ports import TaskKey
+from waxwingford.ports import AttemptKey
 
 #: CPU percentages of the throttle steps.
 _THROTTLED_PERCENT = 50
@@ -254,7 +254,7 @@
 
 def _throttle(
     prediction: Prediction,
-    key: TaskKey,
+    key: AttemptKey,
     cpu_percent: int,
     now_ms: int,
 ) -> Throttle:
--- a/waxwingford/colocation/_samples.py
+++ b/waxwingford/colocation/_samples.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from waxwingford.colocation._model import WorkloadMix, cpu_units
-from waxwingford.ports import TaskKey, UsageSample
+from waxwingford.ports import AttemptKey, UsageSample
 
 #: Sample weight of a window in which the set of running tasks changed.
 _CHANGED_WINDOW_WEIGHT = 0.25
@@ -38,7 +38,7 @@
     :ivar observation: measurement; None if the sample cannot be used.
     """
 
-    running: frozenset[TaskKey]
+    running: frozenset[AttemptKey]
     observation: Observation | None
 
 
--- a/waxwingford/colocation/_state.py
+++ b/waxwingford/colocation/_state.py
@@ -9,7 +9,7 @@
 from waxwingford.colocation._thresholds import Thresholds
 from waxwingford.colocation._utilization import UtilizationTracker
 from waxwingford.placement import RunningTask, ServerView
-from waxwingford.ports import TaskKey
+from waxwingford.ports import AttemptKey
 
 #: Weight of the newest load in the moving average.
 _LOAD_SMOOTHING = 0.4
@@ -39,7 +39,7 @@
     """
 
     load: float | None = None
-    signature: list[tuple[TaskKey, bool]] = dataclasses.field(
+    signature: list[tuple[AttemptKey, bool]] = dataclasses.field(
         default_factory=list,
     )
     running_by_id: dict[str, RunningTask] = dataclasses.field(
@@ -47,13 +47,13 @@
     )
     prediction: 'Prediction | None' = None
     cooldown_until_ms: int = 0
-    eviction_ordered_ms_by_key: dict[TaskKey, int] = dataclasses.field(
+    eviction_ordered_ms_by_key: dict[AttemptKey, int] = dataclasses.field(
         default_factory=dict,
     )
-    throttle_changed_ms_by_key: dict[TaskKey, int] = dataclasses.field(
+    throttle_changed_ms_by_key: dict[AttemptKey, int] = dataclasses.field(
         default_factory=dict,
     )
-    cpu_percent_by_key: dict[TaskKey, int] = dataclasses.field(
+    cpu_percent_by_key: dict[AttemptKey, int] = dataclasses.field(
         default_factory=dict,
     )
 
@@ -99,7 +99,9 @@
         return self.cpu_percent_by_key.get(task.key, _ADOPTED_PERCENT)
 
 
-def _discard_ended(by_key: dict[TaskKey, int], present: set[TaskKey]) -> None:
+def _discard_ended(
+    by_key: dict[AttemptKey, int], present: set[AttemptKey]
+) -> None:
     for key in by_key.keys() - present:
         by_key.pop(key)
 
--- a/waxwingford/colocation/tests/colocation_policies_steps.py
+++ b/waxwingford/colocation/tests/colocation_policies_steps.py
@@ -13,11 +13,11 @@
     ServerView,
     Throttle,
     fits,
-    free_on,
+    free_resources,
     policies,
     subtract,
 )
-from waxwingford.ports import Resources, TaskKey, UsageSample
+from waxwingford.ports import AttemptKey, Resources, UsageSample
 
 load_plugins(['waxwingford.colocation'])
 
@@ -33,7 +33,7 @@
 PENDING = st.builds(
     PendingTask,
     st.builds(
-        TaskKey,
+        AttemptKey,
         st.sampled_from(['m.a/0', 'm.a/1', 'n.b/0', 'n.b/1']),
         st.integers(1, 3),
     ),
@@ -57,7 +57,7 @@
         size = draw(SIZES)
         if fits(size, free):
             free = subtract(free, size)
-            key = TaskKey(f'm.r{number}/{index}', 1)
+            key = AttemptKey(f'm.r{number}/{index}', 1)
             kind = draw(st.sampled_from(KINDS))
             running.append(
                 RunningTask(key, 'm', 't', kind, size, 0, draw(st.booleans())),
@@ -106,7 +106,9 @@
 def _check_placements(placements, pending, servers):
     task_by_key = {task.key: task for task in pending}
     server_by_id = {server.server_id: server for server in servers}
-    free_by_id = {server.server_id: free_on(server) for server in servers}
+    free_by_id = {
+        server.server_id: free_resources(server) for server in servers
+    }
     assert len({key for key, _ in placements}) == len(placements)
     for key, server_id in placements:
         task, server = task_by_key.pop(key), server_by_id[server_id]
--- a/waxwingford/colocation/tests/learned_steps.py
+++ b/waxwingford/colocation/tests/learned_steps.py
@@ -13,7 +13,7 @@
     Throttle,
     policies,
 )
-from waxwingford.ports import Resources, TaskKey, UsageSample
+from waxwingford.ports import AttemptKey, Resources, UsageSample
 
 load_plugins(['waxwingford.colocation'])
 
@@ -43,7 +43,7 @@
 
 
 def _running(context, kind, count):
-    keys = [TaskKey(f'm.{kind}/{index}', 1) for index in range(count)]
+    keys = [AttemptKey(f'm.{kind}/{index}', 1) for index in range(count)]
     return tuple(
         RunningTask(
             key,
@@ -80,7 +80,7 @@
 
 
 def _observe(context, kind, count, p99_ms, age_ms=LAG_MS, server='w0'):
-    keys = tuple(TaskKey(f'm.{kind}/{index}', 1) for index in range(count))
+    keys = tuple(AttemptKey(f'm.{kind}/{index}', 1) for index in range(count))
     used = {key.task_id: _used(context, key, age_ms) for key in keys}
     context.policy.observe(
         server,
@@ -248,7 +248,7 @@
     'it reacts for {seconds:d} s to one adopted "{kind}" task that is throttled'
 )
 def react_to_adopted_task(context, seconds, kind):
-    context.percent_by_key[TaskKey(f'm.{kind}/0', 1)] = 50
+    context.percent_by_key[AttemptKey(f'm.{kind}/0', 1)] = 50
     react_for(context, seconds, 1, kind)
 
 
@@ -300,7 +300,7 @@
 
 def _pending(kind, index):
     return PendingTask(
-        TaskKey(f'm.{kind}/{index}', 1), 'm', 't', kind, SIZE, 1000
+        AttemptKey(f'm.{kind}/{index}', 1), 'm', 't', kind, SIZE, 1000
     )
 
 
--- a/waxwingford/daemon/_bundle_settings.py
+++ b/waxwingford/daemon/_bundle_settings.py
@@ -82,7 +82,7 @@
         return None
     return QuarantineLimits(
         tasks_per_server=bundle.batch.failures_before_quarantine,
-        capped_share=bundle.batch.quarantine_share,
+        max_quarantined_share=bundle.batch.quarantine_share,
         probation_ms=bundle.batch.probation_ms,
     )
 
--- a/waxwingford/ownership/_preference.py
+++ b/waxwingford/ownership/_acquisition_schedule.py
@@ -8,7 +8,7 @@
 _STAMP_BYTES = 8
 
 
-class OwnershipTimes(NamedTuple):
+class AcquisitionDelays(NamedTuple):
     """Delays for acquiring and handing over leases, in milliseconds.
 
     :ivar retry_ms: delay between tries of the first choice.
@@ -31,13 +31,15 @@
     retry_spread: float = 0.5
 
 
-class Preference:
+class AcquisitionSchedule:
     """Schedule of this daemon for the lease of one server, by rank.
 
     :ivar rank: rank of this daemon, 0 for the first choice.
     """
 
-    def __init__(self, times: OwnershipTimes, rank: int, now_ms: int) -> None:
+    def __init__(
+        self, times: AcquisitionDelays, rank: int, now_ms: int
+    ) -> None:
         """Schedule the first try.
 
         :param times: delays, in milliseconds.
@@ -72,7 +74,7 @@
         """
         return self._next_try_ms
 
-    def note_free(self, now_ms: int) -> None:
+    def record_release(self, now_ms: int) -> None:
         """Reschedule the next try after the holder released the lease.
 
         :param now_ms: monotonic time, in milliseconds.
@@ -80,7 +82,7 @@
         release_try_ms = now_ms + self.rank * self._times.release_step_ms
         self._next_try_ms = min(self._next_try_ms, release_try_ms)
 
-    def note_tried(self, now_ms: int) -> None:
+    def schedule_retry(self, now_ms: int) -> None:
         """Schedule the next try after a denial, a timeout or a handover.
 
         :param now_ms: monotonic time, in milliseconds.
@@ -108,7 +110,7 @@
         share = self._times.retry_spread * (fraction - 1 / 2)
         return round(delay_ms * (1 + share))
 
-    def note_asked(self) -> None:
+    def record_request(self) -> None:
         """Record that the lease was requested with the current rank.
 
         The rank may change before the answer arrives.  A daemon that requested
@@ -116,7 +118,7 @@
         """
         self._requested_as_fallback = self.rank > 0
 
-    def note_granted(self, now_ms: int) -> None:
+    def record_grant(self, now_ms: int) -> None:
         """Record that the lease was acquired.
 
         :param now_ms: monotonic time, in milliseconds.
--- a/waxwingford/ownership/_lease.py
+++ b/waxwingford/ownership/_lease.py
@@ -87,7 +87,7 @@
         """
         return self.is_valid(now_ms) and not self.needs_new_epoch
 
-    def note_asked(self) -> None:
+    def record_request(self) -> None:
         """Record that a new epoch was requested."""
         if self.state in {LeaseState.unheld, LeaseState.lost}:
             self.trigger('ask')
@@ -104,7 +104,7 @@
             return 0, 0
         return self._stamp_ms, max(1, until_ms - self._stamp_received_ms)
 
-    def note_granted(
+    def record_grant(
         self,
         sent_ms: int,
         now_ms: int,
@@ -135,7 +135,7 @@
             self.trigger('grant')
         return changed
 
-    def note_denied(self) -> None:
+    def record_denial(self) -> None:
         """Record that another daemon holds the lease or the epoch is stale."""
         if self.state == LeaseState.acquiring:
             self.trigger('deny')
@@ -143,7 +143,7 @@
             self.trigger('lose')
         self.needs_new_epoch = False
 
-    def note_time(self, now_ms: int) -> bool:
+    def expire_if_due(self, now_ms: int) -> bool:
         """Mark the lease as lost if it has expired.
 
         :param now_ms: monotonic time, in milliseconds.
@@ -156,6 +156,6 @@
         self.trigger('lose')
         return True
 
-    def note_handing_over(self) -> None:
+    def start_handover(self) -> None:
         """Record that the lease is being handed over; no more commands follow."""
         self.trigger('hand_over')
--- a/waxwingford/ownership/tests/lease_steps.py
+++ b/waxwingford/ownership/tests/lease_steps.py
@@ -5,9 +5,9 @@
 from behave import given, then, when
 
 from waxwingford.ownership import (
+    AcquisitionDelays,
+    AcquisitionSchedule,
     ControlLease,
-    OwnershipTimes,
-    Preference,
     shared_out,
 )
 from waxwingford.ports import ControlGranted
@@ -24,7 +24,7 @@
     'read at {now_ms:d}'
 )
 def requested_and_granted(context, epoch, sent_ms, now_ms):
-    context.lease.note_asked()
+    context.lease.record_request()
     granted(context, epoch, sent_ms, now_ms)
 
 
@@ -34,12 +34,12 @@
 )
 def granted(context, epoch, sent_ms, now_ms):
     answer = ControlGranted(epoch, 'boot', False, (), stamp_ms=77)
-    context.lease.note_granted(sent_ms, now_ms, context.lease_ms, answer)
+    context.lease.record_grant(sent_ms, now_ms, context.lease_ms, answer)
 
 
 @when('the holder checks for expiry at {now_ms:d}')
 def checks_expiry(context, now_ms):
-    assert context.lease.note_time(now_ms)
+    assert context.lease.expire_if_due(now_ms)
 
 
 @when('the outcome of a start command is unknown')
@@ -49,12 +49,12 @@
 
 @when('it is handed over')
 def handed_over(context):
-    context.lease.note_handing_over()
+    context.lease.start_handover()
 
 
 @when('it is denied')
 def denied(context):
-    context.lease.note_denied()
+    context.lease.record_denial()
 
 
 @then('it is held at {now_ms:d}')
@@ -111,7 +111,7 @@
 
 @given('a holder that was the first choice')
 def first_choice(context):
-    context.preference = Preference(OwnershipTimes(), 0, 0)
+    context.preference = AcquisitionSchedule(AcquisitionDelays(), 0, 0)
     context.now_ms = 1000
 
 
@@ -141,7 +141,7 @@
 
 @given('a daemon that is third choice from time 0')
 def third_choice(context):
-    context.preference = Preference(OwnershipTimes(), 2, 0)
+    context.preference = AcquisitionSchedule(AcquisitionDelays(), 2, 0)
 
 
 @then('it tries at {now_ms:d}')
@@ -151,8 +151,8 @@
 
 @when('it gets the lease at {now_ms:d}')
 def gets_lease(context, now_ms):
-    context.preference.note_asked()
-    context.preference.note_granted(now_ms)
+    context.preference.record_request()
+    context.preference.record_grant(now_ms)
 
 
 @then('it keeps the lease at {now_ms:d}')
@@ -162,17 +162,17 @@
 
 @when('it learns at {now_ms:d} that the lease was released')
 def learns_of_release(context, now_ms):
-    context.preference.note_free(now_ms)
+    context.preference.record_release(now_ms)
 
 
 @given('a daemon that requests a lease as the first choice')
 def requests_as_first(context):
-    context.preference = Preference(OwnershipTimes(), 0, 0)
-    context.preference.note_asked()
+    context.preference = AcquisitionSchedule(AcquisitionDelays(), 0, 0)
+    context.preference.record_request()
 
 
 @when('it is second choice before the lease is granted at {now_ms:d}')
 def second_before_grant(context, now_ms):
     context.preference.update(1, now_ms - 1)
-    context.preference.note_granted(now_ms)
-    context.now_ms = now_ms + OwnershipTimes().handover_delay_ms
+    context.preference.record_grant(now_ms)
+    context.now_ms = now_ms + AcquisitionDelays().handover_delay_ms
--- a/waxwingford/placement/__init__.py
+++ b/waxwingford/placement/__init__.py
@@ -8,16 +8,16 @@
     TaskStopped,
 )
 from waxwingford.placement._fit import (
-    NOTHING,
+    NO_RESOURCES,
     InfeasibleSize,
     add,
+    check_feasibility,
     fits,
-    free_on,
+    free_resources,
     largest,
-    never_fits,
     smallest,
     subtract,
-    total_of,
+    sum_resources,
 )
 from waxwingford.placement._quarantine import Quarantine
 from waxwingford.placement._quotas import QuotaTracker, TeamName
@@ -37,7 +37,7 @@
 )
 
 __all__ = (
-    'NOTHING',
+    'NO_RESOURCES',
     'ColocationPolicy',
     'Evict',
     'FailureVerdict',
@@ -61,11 +61,11 @@
     'RetryElsewhere',
     'add',
     'fits',
-    'free_on',
+    'free_resources',
     'largest',
-    'never_fits',
+    'check_feasibility',
     'policies',
     'smallest',
     'subtract',
-    'total_of',
+    'sum_resources',
 )
--- a/waxwingford/placement/_failures.py
+++ b/waxwingford/placement/_failures.py
@@ -11,19 +11,19 @@
         server, with no success in between, before it is quarantined.
     :ivar servers_per_task: number of distinct healthy servers on which a task
         must fail before it is stopped.
-    :ivar capped_share: largest fraction of servers in quarantine, 0 to 1.
+    :ivar max_quarantined_share: largest fraction of servers in quarantine, 0 to 1.
     :ivar probation_ms: delay before the first probation task, in
         milliseconds; doubled after each failed probation task.
-    :ivar probation_cap_ms: upper bound of that delay, in milliseconds.
+    :ivar max_probation_ms: upper bound of that delay, in milliseconds.
     :ivar probation_tasks: consecutive probation tasks that must succeed
         before the server leaves quarantine.
     """
 
     tasks_per_server: int = 3
     servers_per_task: int = 3
-    capped_share: float = 0.1
+    max_quarantined_share: float = 0.1
     probation_ms: int = 60_000
-    probation_cap_ms: int = 1_800_000
+    max_probation_ms: int = 1_800_000
     probation_tasks: int = 2
 
 
--- a/waxwingford/placement/_fit.py
+++ b/waxwingford/placement/_fit.py
@@ -9,7 +9,7 @@
 from waxwingford.ports import fits_resources as fits
 from waxwingford.ports import subtract_resources as subtract
 
-NOTHING = Resources(0, 0, 0)
+NO_RESOURCES = Resources(0, 0, 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -19,7 +19,7 @@
     :ivar dimension: field of :class:`Resources` that exceeds the capacity.
     :ivar declared: declared amount, in the unit of the field.
     :ivar largest: capacity that the declared amount exceeds, in the same
-        unit; see :func:`never_fits`.
+        unit; see :func:`check_feasibility`.
     """
 
     dimension: str
@@ -47,19 +47,19 @@
     return Resources(*map(min, left, right))
 
 
-def total_of(sizes: Iterable[Resources]) -> Resources:
+def sum_resources(sizes: Iterable[Resources]) -> Resources:
     """Sum resource vectors.
 
     :param sizes: vectors to add.
     :returns: the element-wise sum; all zero if there are none.
     """
-    total = NOTHING
+    total = NO_RESOURCES
     for size in sizes:
         total = add(total, size)
     return total
 
 
-def free_on(server: ServerView) -> Resources:
+def free_resources(server: ServerView) -> Resources:
     """Compute the unallocated batch capacity of a server.
 
     :param server: view of the server.
@@ -67,11 +67,11 @@
         attempts; negative if the reservation was raised above what running
         attempts leave.
     """
-    allocated = total_of(task.resources for task in server.running)
+    allocated = sum_resources(task.resources for task in server.running)
     return subtract(subtract(server.total, server.reserved), allocated)
 
 
-def never_fits(
+def check_feasibility(
     declared: Resources,
     capacities: Iterable[Resources],
 ) -> InfeasibleSize | None:
@@ -90,13 +90,13 @@
     known_capacities = list(capacities)
     if any(fits(declared, capacity) for capacity in known_capacities):
         return None
-    maxima = NOTHING
+    maxima = NO_RESOURCES
     for capacity in known_capacities:
         maxima = largest(maxima, capacity)
     nearest = max(
         known_capacities,
         key=lambda capacity: sum(map(int.__ge__, capacity, declared)),
-        default=NOTHING,
+        default=NO_RESOURCES,
     )
     reference = nearest if fits(declared, maxima) else maxima
     return next(
--- a/waxwingford/placement/_pending.py
+++ b/waxwingford/placement/_pending.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from waxwingford.placement._views import PendingTask
-from waxwingford.ports import TaskKey
+from waxwingford.ports import AttemptKey
 
 #: Waiting time that one unit of priority is equivalent to.
 _WAIT_MS_PER_PRIORITY = 6000
@@ -48,7 +48,7 @@
 
     rank_ms: int
     sequence: int
-    key: TaskKey
+    key: AttemptKey
 
 
 class TrackedTask(NamedTuple):
@@ -103,7 +103,7 @@
 
 def pop_stale_entries(
     heap: list[TaskHeapEntry],
-    tracked_by_key: Mapping[TaskKey, TrackedTask],
+    tracked_by_key: Mapping[AttemptKey, TrackedTask],
 ) -> None:
     """Pop the stale entries at the top of a heap.
 
--- a/waxwingford/placement/_quarantine.py
+++ b/waxwingford/placement/_quarantine.py
@@ -136,7 +136,7 @@
         self._record_job_failure(_job_id(task_id), server_id)
         probation = self._probation_by_server.get(server_id)
         if probation is not None:
-            probation.back_off(now_ms, self.limits.probation_cap_ms)
+            probation.back_off(now_ms, self.limits.max_probation_ms)
             return RetryElsewhere()
         if self._should_quarantine(server_id, server_count):
             return self._start_probation(server_id, now_ms)
@@ -187,7 +187,7 @@
             task_ids = self._failed_tasks_by_server.get(server_id, set())
             task_ids -= {one for one in task_ids if _job_id(one) == job_id}
 
-    def keep_servers(self, server_ids: Container[str]) -> None:
+    def retain_servers(self, server_ids: Container[str]) -> None:
         """Discard the records of servers that no longer exist.
 
         :param server_ids: identifiers of the existing servers.
@@ -209,7 +209,7 @@
         """
         return server_id in self._probation_by_server
 
-    def may_probe(self, server_id: str, now_ms: int) -> bool:
+    def is_probe_due(self, server_id: str, now_ms: int) -> bool:
         """Check whether a quarantined server may get a probation task.
 
         Quarantined servers for which this is False must not be passed to
@@ -223,7 +223,7 @@
         probation = self._probation_by_server.get(server_id)
         return probation is not None and now_ms >= probation.next_probe_ms
 
-    def note_probe(self, server_id: str, now_ms: int) -> None:
+    def record_probe(self, server_id: str, now_ms: int) -> None:
         """Record the start of a probation task and defer the next one.
 
         :param server_id: identifier of the server.
@@ -270,7 +270,9 @@
     def _should_quarantine(self, server_id: str, server_count: int) -> bool:
         if not self._has_enough_failures(server_id):
             return False
-        max_quarantined = max(1, int(self.limits.capped_share * server_count))
+        max_quarantined = max(
+            1, int(self.limits.max_quarantined_share * server_count)
+        )
         if len(self._probation_by_server) < max_quarantined:
             return True
         # Release the quarantined server with the fewest failures, so that the
--- a/waxwingford/placement/_quotas.py
+++ b/waxwingford/placement/_quotas.py
@@ -12,7 +12,7 @@
 import itertools
 from collections.abc import Callable, Mapping
 
-from waxwingford.placement._fit import NOTHING, subtract
+from waxwingford.placement._fit import NO_RESOURCES, subtract
 from waxwingford.placement._pending import (
     TaskHeapEntry,
     TeamHeapEntry,
@@ -24,7 +24,7 @@
 )
 from waxwingford.placement._shares import DominantShares
 from waxwingford.placement._views import PendingTask
-from waxwingford.ports import Resources, TaskKey
+from waxwingford.ports import AttemptKey, Resources
 
 #: Heap entries per team above which stale entries are removed.
 _MAX_ENTRIES_PER_TEAM = 8
@@ -51,7 +51,7 @@
         """
         self.shares = DominantShares(capacity, quota_by_member, quota_by_team)
         self._sequence = itertools.count()
-        self._tracked_by_key: dict[TaskKey, TrackedTask] = {}
+        self._tracked_by_key: dict[AttemptKey, TrackedTask] = {}
         self._task_heap_by_team: dict[TeamName, list[TaskHeapEntry]] = {}
         self._teams_by_member: dict[str, set[TeamName]] = {}
         self._team_heap_by_member: dict[str, list[TeamHeapEntry]] = {}
@@ -63,7 +63,7 @@
         """
         return len(self._tracked_by_key)
 
-    def reweigh(
+    def update_quotas(
         self,
         capacity: Resources,
         quota_by_member: Mapping[str, float],
@@ -107,7 +107,7 @@
         entry = TaskHeapEntry(rank_ms(task, now_ms), sequence, task.key)
         self._push_task(TeamName(task.member, task.team), entry)
 
-    def remove(self, key: TaskKey) -> None:
+    def remove(self, key: AttemptKey) -> None:
         """Remove a task that was placed, cancelled or moved elsewhere.
 
         Takes O(1): the task's heap entry is discarded lazily.
@@ -132,7 +132,7 @@
         :param name: qualified name of the team.
         :param allocated: resources that were allocated to the task.
         """
-        self.charge(name, subtract(NOTHING, allocated))
+        self.charge(name, subtract(NO_RESOURCES, allocated))
 
     def member_share(self, member: str) -> float:
         """Look up a member's dominant share, weighted by its quota.
--- a/waxwingford/placement/_shares.py
+++ b/waxwingford/placement/_shares.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from waxwingford.placement._fit import NOTHING, add
+from waxwingford.placement._fit import NO_RESOURCES, add
 from waxwingford.placement._pending import TeamName
 from waxwingford.ports import Resources
 
@@ -39,12 +39,12 @@
         :param name: qualified name of the team.
         :param allocated: resources allocated to a task; negative to release.
         """
-        used = add(self._used_by_team.get(name, NOTHING), allocated)
+        used = add(self._used_by_team.get(name, NO_RESOURCES), allocated)
         self._used_by_team[name] = used
         quota = self._quota_by_team.get(name, _DEFAULT_QUOTA)
         self._share_by_team[name] = self.dominant_share(used) / quota
         member = name.member
-        used = add(self._used_by_member.get(member, NOTHING), allocated)
+        used = add(self._used_by_member.get(member, NO_RESOURCES), allocated)
         self._used_by_member[member] = used
         quota = self._quota_by_member.get(member, _DEFAULT_QUOTA)
         self._share_by_member[member] = self.dominant_share(used) / quota
--- a/waxwingford/placement/_sizes.py
+++ b/waxwingford/placement/_sizes.py
@@ -105,7 +105,9 @@
         """Create a tracker without measurements."""
         self._measurements_by_class: dict[_TaskClass, _Measurements] = {}
 
-    def observe_use(self, member: str, kind: str, peak: Resources) -> None:
+    def record_peak_usage(
+        self, member: str, kind: str, peak: Resources
+    ) -> None:
         """Learn the usage_quantile of one task.
 
         :param member: owner of the task.
@@ -114,7 +116,7 @@
         """
         self._measurements_of(member, kind).add_peak_usage(peak)
 
-    def observe_run(
+    def record_run_time(
         self,
         member: str,
         kind: str,
--- a/waxwingford/placement/_views.py
+++ b/waxwingford/placement/_views.py
@@ -3,7 +3,7 @@
 import dataclasses
 from typing import NamedTuple, Protocol
 
-from waxwingford.ports import Resources, TaskKey, UsageSample
+from waxwingford.ports import AttemptKey, Resources, UsageSample
 
 
 class PendingTask(NamedTuple):
@@ -24,7 +24,7 @@
     :ivar checkpoint_server: server that wrote the latest checkpoint, or empty.
     """
 
-    key: TaskKey
+    key: AttemptKey
     member: str
     team: str
     kind: str
@@ -52,7 +52,7 @@
         milliseconds; None without a deadline.
     """
 
-    key: TaskKey
+    key: AttemptKey
     member: str
     team: str
     kind: str
@@ -95,7 +95,7 @@
     :ivar server_id: identifier of the server.
     """
 
-    key: TaskKey
+    key: AttemptKey
     server_id: str
 
 
@@ -107,7 +107,7 @@
     :ivar percent: 1 to 100; 100 removes the limit.
     """
 
-    key: TaskKey
+    key: AttemptKey
     percent: int
 
 
@@ -118,7 +118,7 @@
     :ivar key: identifier of the attempt.
     """
 
-    key: TaskKey
+    key: AttemptKey
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -128,7 +128,7 @@
     :ivar key: identifier of the attempt.
     """
 
-    key: TaskKey
+    key: AttemptKey
 
 
 Reaction = Throttle | Evict | Stop
--- a/waxwingford/placement/tests/placement_steps.py
+++ b/waxwingford/placement/tests/placement_steps.py
@@ -8,9 +8,9 @@
     QuotaTracker,
     SizeTracker,
     TeamName,
-    never_fits,
+    check_feasibility,
 )
-from waxwingford.ports import Resources, TaskKey
+from waxwingford.ports import AttemptKey, Resources
 
 SIZE = Resources(1000, 1000, 0)
 CAPACITIES = (Resources(8000, 2000, 0), Resources(4000, 8000, 1))
@@ -29,7 +29,7 @@
 def _add_pending(context, member, team, now_ms=0, **details):
     if 'tracker' not in context:
         use_fixture(quota_tracker, context)
-    key = TaskKey(f'{member}.{team}/{len(context.tasks)}', 1)
+    key = AttemptKey(f'{member}.{team}/{len(context.tasks)}', 1)
     task = PendingTask(key, member, team, 'kind', SIZE, 1000, **details)
     context.tasks.append(task)
     context.tracker.add(task, now_ms)
@@ -133,7 +133,7 @@
 )
 def record_usage(context, member, kind, memory, milli):
     context.sizes = SizeTracker()
-    context.sizes.observe_use(member, kind, Resources(milli, memory, 0))
+    context.sizes.record_peak_usage(member, kind, Resources(milli, memory, 0))
 
 
 @then(
@@ -166,7 +166,7 @@
     if 'sizes' not in context:
         context.sizes = SizeTracker()
     for _ in range(count):
-        context.sizes.observe_run(member, kind, 1000, 1000 * factor)
+        context.sizes.record_run_time(member, kind, 1000, 1000 * factor)
 
 
 @then(
@@ -182,7 +182,7 @@
     ' is infeasible as "{dimension}" exceeds {available:d}',
 )
 def check_infeasible(context, milli, memory, devices, dimension, available):
-    found = never_fits(Resources(milli, memory, devices), CAPACITIES)
+    found = check_feasibility(Resources(milli, memory, devices), CAPACITIES)
     assert (found.dimension, found.largest) == (dimension, available), found
 
 
@@ -190,7 +190,9 @@
     'a size of {milli:d} millicores, {memory:d} MB, {devices:d} accelerators is feasible'
 )
 def check_feasible(context, milli, memory, devices):
-    assert never_fits(Resources(milli, memory, devices), CAPACITIES) is None
+    assert (
+        check_feasibility(Resources(milli, memory, devices), CAPACITIES) is None
+    )
 
 
 @fixture
@@ -287,8 +289,8 @@
     'server "{server}" may get a probation task at {late:d} s but not at {early:d} s'
 )
 def check_probation_due(context, server, late, early):
-    assert context.quarantine.may_probe(server, late * MS_IN_S)
-    assert not context.quarantine.may_probe(server, early * MS_IN_S)
+    assert context.quarantine.is_probe_due(server, late * MS_IN_S)
+    assert not context.quarantine.is_probe_due(server, early * MS_IN_S)
 
 
 @when('job "{job_id}" is discarded from the quarantine')
--- a/waxwingford/ports/_log.py
+++ b/waxwingford/ports/_log.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AppendUnknown:
+class AppendOutcomeUnknown:
     """The outcome is unknown: the entry may or may not have been appended.
 
     :ivar reason: human-readable cause.
@@ -71,7 +71,7 @@
     reason: str
 
 
-AppendOutcome = Appended | AppendRefused | AppendUnknown
+AppendOutcome = Appended | AppendRefused | AppendOutcomeUnknown
 ReadOutcome = LogRead | LogUnavailable
 
 
--- a/waxwingford/ports/_servers.py
+++ b/waxwingford/ports/_servers.py
@@ -12,7 +12,7 @@
 from waxwingford.ports._services import ServiceCall, ServiceOutcome
 
 
-class TaskKey(NamedTuple):
+class AttemptKey(NamedTuple):
     """Identifies one attempt of a task.
 
     :ivar task_id: task ID, ``<job id>/<index>``.
@@ -23,7 +23,7 @@
     attempt: int
 
 
-class TaskPhase(enum.StrEnum):
+class AttemptPhase(enum.StrEnum):
     """Phase of an attempt as reported by its backend server."""
 
     running = 'running'
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TaskReport:
+class AttemptReport:
     """State of one attempt at its backend server.
 
     The server keeps ended attempts until it receives :class:`ForgetTask`.
@@ -48,8 +48,8 @@
     :ivar ran_ms: wall-clock run time so far, in milliseconds.
     """
 
-    key: TaskKey
-    phase: TaskPhase
+    key: AttemptKey
+    phase: AttemptPhase
     detail: str = ''
     throttled: bool = False
     ran_ms: int = 0
@@ -68,7 +68,7 @@
         renew the lease; the server stops the attempt when it expires.
     """
 
-    key: TaskKey
+    key: AttemptKey
     kind: str
     resources: Resources
     payload: str
@@ -83,7 +83,7 @@
     :ivar key: attempt.
     """
 
-    key: TaskKey
+    key: AttemptKey
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
     :ivar percent: percent of its CPU that the attempt may use, 1 to 100.
     """
 
-    key: TaskKey
+    key: AttemptKey
     percent: int
 
 
@@ -105,7 +105,7 @@
     :ivar key: attempt.
     """
 
-    key: TaskKey
+    key: AttemptKey
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -115,7 +115,7 @@
     :ivar key: attempt.
     """
 
-    key: TaskKey
+    key: AttemptKey
 
 
 ServerCommand = (
@@ -143,7 +143,7 @@
     service: str
     service_load: float
     service_p99_ms: float
-    running: tuple[TaskKey, ...]
+    running: tuple[AttemptKey, ...]
     used_by_task_id: dict[str, Resources]
 
 
@@ -172,13 +172,13 @@
     holder: str
     epoch: int
     lease_ms: int
-    renew: tuple[TaskKey, ...] = ()
+    renew: tuple[AttemptKey, ...] = ()
     task_lease_ms: int = 0
     commands: tuple[ServerCommand, ...] = ()
     stamp_ms: int = 0
     good_for_ms: int = 0
     known: int = 0
-    renew_except: tuple[TaskKey, ...] | None = None
+    renew_except: tuple[AttemptKey, ...] | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -203,8 +203,8 @@
     epoch: int
     boot_id: str
     leaving: bool
-    tasks: tuple[TaskReport, ...]
-    refused: tuple[tuple[TaskKey, str], ...] = ()
+    tasks: tuple[AttemptReport, ...]
+    refused: tuple[tuple[AttemptKey, str], ...] = ()
     usage: tuple[UsageSample, ...] = ()
     stamp_ms: int = 0
     version: int = 0
@@ -229,7 +229,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ControlUnknown:
+class ControlOutcomeUnknown:
     """No answer was received; commands may or may not have been executed.
 
     :ivar reason: human-readable cause.
@@ -240,7 +240,7 @@
     not_sent: bool = False
 
 
-ControlOutcome = ControlGranted | ControlDenied | ControlUnknown
+ControlOutcome = ControlGranted | ControlDenied | ControlOutcomeUnknown
 
 
 class BackendServerPort(Protocol):
--- a/waxwingford/ports/_services.py
+++ b/waxwingford/ports/_services.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ServiceUnknown:
+class ServiceOutcomeUnknown:
     """The request may have been executed, but has no complete response.
 
     :ivar reason: human-readable cause.
@@ -58,4 +58,4 @@
     reason: str
 
 
-ServiceOutcome = ServiceAnswer | ServiceNotRun | ServiceUnknown
+ServiceOutcome = ServiceAnswer | ServiceNotRun | ServiceOutcomeUnknown
--- a/waxwingford/records/__init__.py
+++ b/waxwingford/records/__init__.py
@@ -2,7 +2,6 @@
 
 from waxwingford.records._fold import DomainState
 from waxwingford.records._messages import (
-    AttemptAlive,
     AttemptEnded,
     AttemptSuspected,
     Claim,
@@ -13,15 +12,16 @@
     RecordGroup,
     ServerLost,
     SnapshotTaken,
+    SuspicionRefuted,
     TasksClaimed,
     decode_group,
     encode_group,
 )
-from waxwingford.records._rules import refuse_job
+from waxwingford.records._rules import validate_job
 from waxwingford.records._snapshot import (
     SnapshotAssembler,
+    encode_snapshot,
     restore,
-    snapshot_chunks,
 )
 from waxwingford.records._state import (
     NOT_SUSPECTED,
@@ -34,7 +34,7 @@
 from waxwingford.records._verdicts import Invalid, Valid, Verdict
 
 __all__ = (
-    'AttemptAlive',
+    'SuspicionRefuted',
     'AttemptEnded',
     'AttemptSuspected',
     'Claim',
@@ -58,8 +58,8 @@
     'Verdict',
     'decode_group',
     'encode_group',
-    'refuse_job',
+    'validate_job',
     'restore',
-    'snapshot_chunks',
+    'encode_snapshot',
     'team_key',
 )
--- a/waxwingford/records/_fold.py
+++ b/waxwingford/records/_fold.py
@@ -7,14 +7,13 @@
 import collections
 
 from waxwingford.kernel import Invariant, require
-from waxwingford.ports import TaskKey
+from waxwingford.ports import AttemptKey
 from waxwingford.records._index import (
     FinishedJobs,
     TaskIndex,
     record_sequence,
 )
 from waxwingford.records._messages import (
-    AttemptAlive,
     AttemptEnded,
     AttemptSuspected,
     Claim,
@@ -24,14 +23,15 @@
     RecordGroup,
     ServerLost,
     SnapshotTaken,
+    SuspicionRefuted,
     TasksClaimed,
 )
 from waxwingford.records._rules import (
     next_stage,
     record_failure,
-    refuse_claim,
-    refuse_end,
-    refuse_job,
+    validate_claim,
+    validate_end,
+    validate_job,
 )
 from waxwingford.records._state import (
     NOT_SUSPECTED,
@@ -81,7 +81,7 @@
         number = int(index)
         return job.tasks[number] if number < len(job.tasks) else None
 
-    def claimed(self, key: TaskKey, server_id: str) -> TaskState | None:
+    def claimed(self, key: AttemptKey, server_id: str) -> TaskState | None:
         """Look up the task of an attempt that is claimed on a server.
 
         :param key: identifier of the attempt.
@@ -130,7 +130,7 @@
                 return self._claim_tasks(offset, record)
             case AttemptSuspected():
                 return self._update_suspicion(record, offset)
-            case AttemptAlive():
+            case SuspicionRefuted():
                 return self._update_suspicion(record, NOT_SUSPECTED)
         return [self._apply_single(offset, record)]
 
@@ -149,7 +149,7 @@
 
     def _accept_job(self, offset: int, record: JobAccepted) -> Verdict:
         spec = record.job
-        reason = refuse_job(spec)
+        reason = validate_job(spec)
         if spec.job_id in self.jobs_by_id or spec.job_id in self.finished:
             reason = 'duplicate'
         if reason:
@@ -175,11 +175,11 @@
         return Valid(record)
 
     def _claim_tasks(self, offset: int, record: TasksClaimed) -> list[Verdict]:
-        claimed_keys: list[TaskKey] = []
+        claimed_keys: list[AttemptKey] = []
         verdicts: list[Verdict] = []
         for claim in record.claims:
             task = self.task(claim.key.task_id)
-            reason = refuse_claim(task, claim)
+            reason = validate_claim(task, claim)
             if reason or task is None:
                 verdicts.append(Invalid(record, reason, (claim.key,)))
                 continue
@@ -217,7 +217,7 @@
 
     def _end_attempt(self, record: AttemptEnded) -> Verdict:
         task = self.claimed(record.key, record.server_id)
-        reason = refuse_end(task, record)
+        reason = validate_end(task, record)
         if reason or task is None:
             return Invalid(record, reason, (record.key,))
         task.ran_ms += record.ran_ms
@@ -236,10 +236,10 @@
         return Valid(record, (record.key,))
 
     def _update_suspicion(
-        self, record: AttemptSuspected | AttemptAlive, offset: int
+        self, record: AttemptSuspected | SuspicionRefuted, offset: int
     ) -> list[Verdict]:
-        changed_keys: list[TaskKey] = []
-        refused_keys: list[TaskKey] = []
+        changed_keys: list[AttemptKey] = []
+        refused_keys: list[AttemptKey] = []
         for key in record.keys:
             task = self.task(key.task_id)
             can_be_suspected = (
--- a/waxwingford/records/_index.py
+++ b/waxwingford/records/_index.py
@@ -102,13 +102,13 @@
 class FinishedJobs:
     """Bounded history of finished jobs: summaries, then only id hashes.
 
-    :ivar kept_by_id: summaries of the latest finished jobs by id, oldest first.
+    :ivar summary_by_id: summaries of the latest finished jobs by id, oldest first.
     :ivar tombstones: id hashes of older jobs, oldest first.
     """
 
     def __init__(self) -> None:
         """Create an empty history."""
-        self.kept_by_id: dict[str, FinishedJob] = {}
+        self.summary_by_id: dict[str, FinishedJob] = {}
         self.tombstones: dict[int, None] = {}
 
     def __contains__(self, job_id: str) -> bool:
@@ -118,7 +118,9 @@
         :returns: True unless the job is unfinished, unknown or older than the
             history.
         """
-        return job_id in self.kept_by_id or job_hash(job_id) in self.tombstones
+        return (
+            job_id in self.summary_by_id or job_hash(job_id) in self.tombstones
+        )
 
     def add(self, job: JobState) -> None:
         """Add a finished job and evict the oldest entries beyond the limits.
@@ -131,7 +133,7 @@
             for task in job.tasks
             if task.stage == TaskStage.failed
         )
-        self.kept_by_id[job.spec.job_id] = FinishedJob(
+        self.summary_by_id[job.spec.job_id] = FinishedJob(
             job.spec.job_id,
             job.spec.member,
             counts[TaskStage.done],
@@ -139,9 +141,9 @@
             counts[TaskStage.cancelled],
             tuple(itertools.islice(reasons, _MAX_REASONS)),
         )
-        if len(self.kept_by_id) > MAX_FINISHED_JOBS:
-            oldest = next(iter(self.kept_by_id))
-            self.kept_by_id.pop(oldest)
+        if len(self.summary_by_id) > MAX_FINISHED_JOBS:
+            oldest = next(iter(self.summary_by_id))
+            self.summary_by_id.pop(oldest)
             self.tombstones[job_hash(oldest)] = None
         if len(self.tombstones) > MAX_TOMBSTONES:
             self.tombstones.pop(next(iter(self.tombstones)))
--- a/waxwingford/records/_messages.py
+++ b/waxwingford/records/_messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from waxwingford.ports import Resources, TaskKey
+from waxwingford.ports import AttemptKey, Resources
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
@@ -74,7 +74,7 @@
     :ivar resume_from: checkpoint reference, empty to start from scratch.
     """
 
-    key: TaskKey
+    key: AttemptKey
     resume_from: str = ''
 
 
@@ -109,7 +109,7 @@
         :class:`AttemptSuspected` record that it refers to.
     """
 
-    key: TaskKey
+    key: AttemptKey
     server_id: str
     how: str
     detail: str = ''
@@ -128,18 +128,20 @@
     :ivar by: ``<daemon>#<incarnation>`` that suspects them.
     """
 
-    keys: tuple[TaskKey, ...]
+    keys: tuple[AttemptKey, ...]
     by: str
 
 
-class AttemptAlive(msgspec.Struct, frozen=True, array_like=True, tag='alive'):
+class SuspicionRefuted(
+    msgspec.Struct, frozen=True, array_like=True, tag='alive'
+):
     """The holder refutes a suspicion: it still renews the attempts.
 
     :ivar keys: identifiers of the renewed attempts.
     :ivar by: ``<daemon>#<incarnation>`` of the holder.
     """
 
-    keys: tuple[TaskKey, ...]
+    keys: tuple[AttemptKey, ...]
     by: str
 
 
@@ -173,7 +175,7 @@
     | TasksClaimed
     | AttemptEnded
     | AttemptSuspected
-    | AttemptAlive
+    | SuspicionRefuted
     | ServerLost
     | SnapshotTaken
 )
--- a/waxwingford/records/_rules.py
+++ b/waxwingford/records/_rules.py
@@ -19,7 +19,7 @@
 )
 
 
-def refuse_job(spec: JobSpec) -> str:
+def validate_job(spec: JobSpec) -> str:
     """Validate a job specification.
 
     :param spec: job specification.
@@ -38,7 +38,7 @@
     return ''
 
 
-def refuse_claim(task: TaskState | None, claim: Claim) -> str:
+def validate_claim(task: TaskState | None, claim: Claim) -> str:
     """Validate a claim against the state of its task.
 
     A task becomes pending again only when the stream records the end of its
@@ -61,7 +61,7 @@
     return ''
 
 
-def refuse_end(task: TaskState | None, record: AttemptEnded) -> str:
+def validate_end(task: TaskState | None, record: AttemptEnded) -> str:
     """Validate the end of an attempt.
 
     A ``lapsed`` outcome must refer to the current suspicion.  One that is
--- a/waxwingford/records/_snapshot.py
+++ b/waxwingford/records/_snapshot.py
@@ -138,14 +138,14 @@
         state.next_offset,
         state.snapshot_offset,
         [_job_row(job) for job in jobs],
-        [_finished_row(job) for job in state.finished.kept_by_id.values()],
+        [_finished_row(job) for job in state.finished.summary_by_id.values()],
         list(state.finished.tombstones),
         dict(sorted(state.failing_by_server.items())),
         list(state.sequence_by_writer.items()),
     )
 
 
-def snapshot_chunks(state: DomainState, covers_offset: int) -> list[bytes]:
+def encode_snapshot(state: DomainState, covers_offset: int) -> list[bytes]:
     """Encode a state as snapshot chunks.
 
     :param state: state to encode.
@@ -214,7 +214,7 @@
 
 def _restore_finished(body: _SnapshotBody) -> FinishedJobs:
     finished = FinishedJobs()
-    finished.kept_by_id = {
+    finished.summary_by_id = {
         row.job_id: FinishedJob(
             row.job_id,
             row.member,
--- a/waxwingford/records/_state.py
+++ b/waxwingford/records/_state.py
@@ -3,7 +3,7 @@
 import dataclasses
 import enum
 
-from waxwingford.ports import Resources, TaskKey
+from waxwingford.ports import AttemptKey, Resources
 from waxwingford.records._messages import JobSpec
 
 #: ``suspected_offset`` of an attempt that is not suspected.
@@ -68,20 +68,20 @@
     detail: str = ''
 
     @property
-    def key(self) -> TaskKey:
+    def key(self) -> AttemptKey:
         """Identifier of the latest attempt.
 
         :returns: task id and attempt number.
         """
-        return TaskKey(self.task_id, self.attempt)
+        return AttemptKey(self.task_id, self.attempt)
 
     @property
-    def next_key(self) -> TaskKey:
+    def next_key(self) -> AttemptKey:
         """Identifier of the next attempt.
 
         :returns: task id and attempt number.
         """
-        return TaskKey(self.task_id, self.attempt + 1)
+        return AttemptKey(self.task_id, self.attempt + 1)
 
     @property
     def resources(self) -> Resources:
--- a/waxwingford/records/_verdicts.py
+++ b/waxwingford/records/_verdicts.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from waxwingford.ports import TaskKey
+from waxwingford.ports import AttemptKey
 from waxwingford.records._messages import Record
 
 
@@ -16,7 +16,7 @@
     """
 
     record: Record
-    keys: tuple[TaskKey, ...] = ()
+    keys: tuple[AttemptKey, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
     record: Record
     reason: str
-    keys: tuple[TaskKey, ...] = ()
+    keys: tuple[AttemptKey, ...] = ()
 
 
 Verdict = Valid | Invalid
--- a/waxwingford/records/tests/fold_steps.py
+++ b/waxwingford/records/tests/fold_steps.py
@@ -3,9 +3,8 @@
 import msgspec
 from behave import given, then, when
 
-from waxwingford.ports import Resources, TaskKey
+from waxwingford.ports import AttemptKey, Resources
 from waxwingford.records import (
-    AttemptAlive,
     AttemptEnded,
     AttemptSuspected,
     Claim,
@@ -16,9 +15,10 @@
     JobSpec,
     RecordGroup,
     SnapshotAssembler,
+    SuspicionRefuted,
     TasksClaimed,
     TaskStage,
-    snapshot_chunks,
+    encode_snapshot,
 )
 
 
@@ -38,22 +38,22 @@
 
 
 def end_record(task_id, attempt, server_id, how, *detail):
-    key = TaskKey(task_id, int(attempt))
+    key = AttemptKey(task_id, int(attempt))
     return AttemptEnded(key, server_id, how, ''.join(detail))
 
 
 def lapse_record(task_id, attempt, server_id, offset):
-    key = TaskKey(task_id, int(attempt))
+    key = AttemptKey(task_id, int(attempt))
     return AttemptEnded(key, server_id, 'lapsed', suspected_offset=int(offset))
 
 
 def claim_record(task_id, attempt, server_id, *resume):
-    one = Claim(TaskKey(task_id, int(attempt)), ''.join(resume))
+    one = Claim(AttemptKey(task_id, int(attempt)), ''.join(resume))
     return TasksClaimed('a#1', server_id, 'boot', 1, (one,))
 
 
 def attempt_keys(task_id, attempt):
-    return (TaskKey(task_id, int(attempt)),)
+    return (AttemptKey(task_id, int(attempt)),)
 
 
 RECORD_BUILDERS = {
@@ -65,7 +65,7 @@
     'end': end_record,
     'lapse': lapse_record,
     'suspect': lambda *key: AttemptSuspected(attempt_keys(*key), 'b#1'),
-    'alive': lambda *key: AttemptAlive(attempt_keys(*key), 'a#1'),
+    'alive': lambda *key: SuspicionRefuted(attempt_keys(*key), 'a#1'),
     'cancel': JobCancelled,
 }
 
@@ -122,7 +122,7 @@
     '{cancelled:d} cancelled'
 )
 def check_finished_job(context, job_id, done, failed, cancelled):
-    job = context.domain_state.finished.kept_by_id[job_id]
+    job = context.domain_state.finished.summary_by_id[job_id]
     assert (job.done, job.failed, job.cancelled) == (done, failed, cancelled)
     assert not context.domain_state.index.attempts_by_server
     assert not context.domain_state.index.used_by_team
@@ -168,7 +168,7 @@
 @when('the state is written as a snapshot and restored')
 def write_and_restore(context):
     state = context.domain_state
-    context.restored = assemble(snapshot_chunks(state, state.next_offset))
+    context.restored = assemble(encode_snapshot(state, state.next_offset))
 
 
 @then('both states apply further records identically')
@@ -200,7 +200,7 @@
 def check_same_bytes(context):
     offset = context.restored.next_offset
     one, other = (
-        snapshot_chunks(state, offset)
+        encode_snapshot(state, offset)
         for state in (context.domain_state, context.restored)
     )
     assert one == other
@@ -216,10 +216,10 @@
         big = job_spec(f'qadri.big{number}', 1, payload=f'{number}{filler}')
         apply_records(context, 'a', JobAccepted(big))
     context.offsets = [state.next_offset]
-    older = snapshot_chunks(state, state.next_offset)
+    older = encode_snapshot(state, state.next_offset)
     apply_records(context, 'a', parse_record('accept qadri.last 1'))
     context.offsets.append(state.next_offset)
-    newer = snapshot_chunks(state, state.next_offset)
+    newer = encode_snapshot(state, state.next_offset)
     assert len(older) > 1
     assert max(map(len, older)) < 256 * 1024
     context.missing = newer.pop()
@@ -241,7 +241,7 @@
 @when('all chunks of the newer snapshot are added')
 def add_newer_snapshot(context):
     state = context.domain_state
-    for chunk in snapshot_chunks(state, state.next_offset):
+    for chunk in encode_snapshot(state, state.next_offset):
         context.assembler.add(chunk)
 
 
@@ -256,7 +256,7 @@
     state = context.domain_state
     rejected = False
     try:
-        snapshot_chunks(state, state.next_offset + 1)
+        encode_snapshot(state, state.next_offset + 1)
     except ValueError:
         rejected = True
     assert rejected
--- a/waxwingford/routing/_calls.py
+++ b/waxwingford/routing/_calls.py
@@ -11,7 +11,7 @@
     ServiceCall,
     ServiceNotRun,
     ServiceOutcome,
-    ServiceUnknown,
+    ServiceOutcomeUnknown,
 )
 from waxwingford.routing._messages import Answered, Request
 from waxwingford.routing._ports import RequestMetrics
@@ -141,13 +141,13 @@
         self, task: asyncio.Task[ServiceOutcome], call: ServiceCall
     ) -> ServiceOutcome:
         if task.cancelled():
-            return ServiceUnknown('call was cancelled')
+            return ServiceOutcomeUnknown('call was cancelled')
         error = task.exception()
         if error is not None:
             # An exception in the adapter must not leak the slot and does not
             # prove that the server did not execute the call.
             self._metrics.count('server_port_faults_total')
-            return ServiceUnknown(f'{type(error).__name__}: {error}')
+            return ServiceOutcomeUnknown(f'{type(error).__name__}: {error}')
         outcome = task.result()
         is_mismatched = (
             isinstance(outcome, ServiceAnswer)
@@ -155,7 +155,7 @@
         )
         if is_mismatched:
             self._metrics.count('foreign_answers_total')
-            return ServiceUnknown(
+            return ServiceOutcomeUnknown(
                 'request id of the answer does not match the call'
             )
         return outcome
@@ -183,7 +183,7 @@
                 self._table.release(slot, now_ms)
                 self._record_failure(slot, now_ms)
                 return NotExecuted(server_id, reason)
-            case ServiceUnknown(reason=reason):
+            case ServiceOutcomeUnknown(reason=reason):
                 # The server may run the call until the deadline it was given.
                 end_ms = slot.taken_ms + call.deadline_ms + self._overrun_ms
                 self._table.abandon(slot, end_ms)
@@ -236,5 +236,5 @@
             case ServiceNotRun(reason=reason):
                 self._table.release(slot, now_ms)
                 self.on_late_outcome(request, NotExecuted(server_id, reason))
-            case ServiceUnknown():
+            case ServiceOutcomeUnknown():
                 self._metrics.count('late_unknown_total')
--- a/waxwingford/routing/tests/fakes.py
+++ b/waxwingford/routing/tests/fakes.py
@@ -4,7 +4,11 @@
 import contextvars
 import dataclasses
 
-from waxwingford.ports import ServiceAnswer, ServiceNotRun, ServiceUnknown
+from waxwingford.ports import (
+    ServiceAnswer,
+    ServiceNotRun,
+    ServiceOutcomeUnknown,
+)
 from waxwingford.routing import RecallAnswer, RecallState, Refused, Unknown
 
 _MS_IN_S = 1000
@@ -55,7 +59,7 @@
         )
         if self.drops_connection:
             await sleep_ms(_NETWORK_DELAY_MS)
-            return ServiceUnknown('connection reset')
+            return ServiceOutcomeUnknown('connection reset')
         return await asyncio.shield(running)
 
     async def _run(self, call):
@@ -69,7 +73,7 @@
         self.in_flight -= 1
         await sleep_ms(self.late_ms)
         if is_lost:
-            return ServiceUnknown('connection lost')
+            return ServiceOutcomeUnknown('connection lost')
         request_id = 'other/1/1.0' if self.wrong_request_id else call.request_id
         return ServiceAnswer(request_id, 200, 'text/plain', call.body)
 
--- a/waxwingford_bench/colocation/_attempts.py
+++ b/waxwingford_bench/colocation/_attempts.py
@@ -3,7 +3,7 @@
 import dataclasses
 from typing import NamedTuple
 
-from waxwingford.ports import Resources, TaskKey
+from waxwingford.ports import AttemptKey, Resources
 from waxwingford_bench.colocation._truth import KINDS
 from waxwingford_bench.colocation._workload import Task
 
@@ -30,7 +30,7 @@
     """
 
     task: Task
-    key: TaskKey
+    key: AttemptKey
     allocated: Resources
     started_s: int
     ran_s: float = 0
@@ -53,7 +53,7 @@
     outcome: str
 
 
-def cores_by_kind(attempts: dict[TaskKey, Attempt]) -> list[float]:
+def cores_by_kind(attempts: dict[AttemptKey, Attempt]) -> list[float]:
     """Sum the cores in use by batch kind.
 
     :param attempts: attempts on one server, by key.
--- a/waxwingford_bench/colocation/_backlog.py
+++ b/waxwingford_bench/colocation/_backlog.py
@@ -5,11 +5,11 @@
     QuotaTracker,
     SizeTracker,
     TeamName,
-    never_fits,
+    check_feasibility,
     subtract,
-    total_of,
+    sum_resources,
 )
-from waxwingford.ports import TaskKey
+from waxwingford.ports import AttemptKey
 from waxwingford_bench.colocation._attempts import Attempt
 from waxwingford_bench.colocation._deployments import VM_RESERVED, VM_TOTAL
 from waxwingford_bench.colocation._views import slack_ms
@@ -30,9 +30,11 @@
 
         :param servers: number of servers in the failure domain.
         """
-        self.quotas = QuotaTracker(total_of(_OFFER for _ in range(servers)))
+        self.quotas = QuotaTracker(
+            sum_resources(_OFFER for _ in range(servers))
+        )
         self._sizes = SizeTracker()
-        self._task_by_key: dict[TaskKey, Task] = {}
+        self._task_by_key: dict[AttemptKey, Task] = {}
 
     def can_run(self, task: Task) -> bool:
         """Check whether a task fits on an empty server.
@@ -40,7 +42,7 @@
         :param task: submitted task.
         :returns: False if the task must be refused.
         """
-        return never_fits(task.declared, [_OFFER]) is None
+        return check_feasibility(task.declared, [_OFFER]) is None
 
     def add(self, task: Task, now_s: int) -> None:
         """Add a pending task unless it was cancelled.
@@ -50,7 +52,7 @@
         """
         if task.cancelled:
             return
-        key = TaskKey(task.task_id, task.attempt)
+        key = AttemptKey(task.task_id, task.attempt)
         given = self._sizes.given(task.member, task.kind, task.declared, _OFFER)
         declared_ms = int(task.declared_run_s * _MS_IN_S)
         run_ms = self._sizes.run_ms(task.member, task.kind, declared_ms)
@@ -94,7 +96,7 @@
         """
         task = attempt.task
         self.quotas.release(TeamName(task.member, task.team), attempt.allocated)
-        self._sizes.observe_use(task.member, task.kind, task.used)
+        self._sizes.record_peak_usage(task.member, task.kind, task.used)
 
     def record_completion(self, task: Task) -> None:
         """Record the run time of a completed task.
@@ -103,4 +105,4 @@
         """
         declared_ms = int(task.declared_run_s * _MS_IN_S)
         ran_ms = int(task.run_s * _MS_IN_S)
-        self._sizes.observe_run(task.member, task.kind, declared_ms, ran_ms)
+        self._sizes.record_run_time(task.member, task.kind, declared_ms, ran_ms)
--- a/waxwingford_bench/colocation/_scheduler.py
+++ b/waxwingford_bench/colocation/_scheduler.py
@@ -15,7 +15,7 @@
     TaskStopped,
     Throttle,
     fits,
-    free_on,
+    free_resources,
     subtract,
 )
 from waxwingford.ports import UsageSample
@@ -211,12 +211,12 @@
             view
             for view in self._views(servers, now_s)
             if not view.quarantined
-            or self._quarantine.may_probe(view.server_id, now_s * _MS_IN_S)
+            or self._quarantine.is_probe_due(view.server_id, now_s * _MS_IN_S)
         ]
         if not self._backlog.quotas or not has_room(views):
             return
         pending = self._backlog.quotas.order(_ORDER_LIMIT, now_s * _MS_IN_S)
-        free_by_id = {view.server_id: free_on(view) for view in views}
+        free_by_id = {view.server_id: free_resources(view) for view in views}
         pending_by_key = {task.key: task for task in pending}
         for key, server_id in policy.place(pending, views, now_s * _MS_IN_S):
             need = pending_by_key[key].resources
--- a/waxwingford_bench/colocation/_views.py
+++ b/waxwingford_bench/colocation/_views.py
@@ -1,6 +1,6 @@
 """Views of emulated servers and attempts that are passed to a policy."""
 
-from waxwingford.placement import RunningTask, ServerView, free_on
+from waxwingford.placement import RunningTask, ServerView, free_resources
 from waxwingford_bench.colocation._attempts import Attempt
 from waxwingford_bench.colocation._deployments import (
     VM_RESERVED,
@@ -75,7 +75,8 @@
     :returns: whether placement can succeed.
     """
     return any(
-        free.processors_milli >= _SMALLEST_MILLI for free in map(free_on, views)
+        free.processors_milli >= _SMALLEST_MILLI
+        for free in map(free_resources, views)
     )
 
 
--- a/waxwingford_bench/colocation/_world.py
+++ b/waxwingford_bench/colocation/_world.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 
-from waxwingford.ports import TaskKey, UsageSample
+from waxwingford.ports import AttemptKey, UsageSample
 from waxwingford_bench.colocation._attempts import (
     WINDOW_S,
     Attempt,
@@ -72,10 +72,12 @@
         self._times: deque[np.ndarray] = deque(maxlen=WINDOW_S)
         self._busy: deque[np.ndarray] = deque(maxlen=WINDOW_S)
         self._in_flight: deque[tuple[int, list[UsageSample | None]]] = deque()
-        self._sampled_attempts: list[dict[TaskKey, Attempt]] = [
+        self._sampled_attempts: list[dict[AttemptKey, Attempt]] = [
+            {} for _ in range(count)
+        ]
+        self.attempts: list[dict[AttemptKey, Attempt]] = [
             {} for _ in range(count)
         ]
-        self.attempts: list[dict[TaskKey, Attempt]] = [{} for _ in range(count)]
         self.up = np.ones(count, bool)
         self.bad_servers: set[int] = set()
         self.racks = [
@@ -101,7 +103,7 @@
         self.attempts[server][attempt.key] = attempt
         self._sampled_attempts[server][attempt.key] = attempt
 
-    def checkpoint(self, server: int, key: TaskKey, now_s: int) -> None:
+    def checkpoint(self, server: int, key: AttemptKey, now_s: int) -> None:
         """Begin a checkpoint unless one is in progress.
 
         :param server: index of the server.
--- a/waxwingford_bench/colocation/cost.py
+++ b/waxwingford_bench/colocation/cost.py
@@ -15,7 +15,7 @@
     ServerView,
     policies,
 )
-from waxwingford.ports import Resources, TaskKey, UsageSample
+from waxwingford.ports import AttemptKey, Resources, UsageSample
 
 _SERVICE = 'service'
 _KINDS = tuple(f'kind{number}' for number in range(12))
@@ -145,7 +145,7 @@
 def _server(index: int, rng: random.Random) -> ServerView:
     running = tuple(
         RunningTask(
-            TaskKey(f'member.job{index}/{number}', 1),
+            AttemptKey(f'member.job{index}/{number}', 1),
             'member',
             'team',
             rng.choice(_KINDS),
@@ -167,7 +167,7 @@
 
 def _pending(round_number: int, index: int) -> PendingTask:
     return PendingTask(
-        TaskKey(f'member.new{round_number}/{index}', 1),
+        AttemptKey(f'member.new{round_number}/{index}', 1),
         'member',
         'team',
         _KINDS[index % len(_KINDS)],
--- a/waxwingford_bench/recovery/__main__.py
+++ b/waxwingford_bench/recovery/__main__.py
@@ -17,7 +17,7 @@
     SnapshotAssembler,
     decode_group,
     encode_group,
-    snapshot_chunks,
+    encode_snapshot,
 )
 from waxwingford_bench.recovery.output import print_line
 from waxwingford_bench.recovery.state import (
@@ -36,7 +36,7 @@
     for tasks in (1000, 10_000, 100_000):
         state = make_state(tasks)
         started = time.process_time()
-        chunks = snapshot_chunks(state, state.next_offset)
+        chunks = encode_snapshot(state, state.next_offset)
         written = time.process_time()
         assembler = SnapshotAssembler()
         for chunk in chunks:
--- a/waxwingford_bench/recovery/state.py
+++ b/waxwingford_bench/recovery/state.py
@@ -1,6 +1,6 @@
 """Jobs and states of a failure domain with many tasks."""
 
-from waxwingford.ports import Resources, TaskKey
+from waxwingford.ports import AttemptKey, Resources
 from waxwingford.records import (
     Claim,
     DomainState,
@@ -42,7 +42,7 @@
         record = JobAccepted(spec)
         groups.append(RecordGroup('w#1', number, (record,)))
         keys.extend(
-            TaskKey(f'{spec.job_id}/{index}', 1)
+            AttemptKey(f'{spec.job_id}/{index}', 1)
             for index in range(TASKS_PER_JOB)
         )
     for index in range(servers):
--- a/waxwingford_bench/recovery/ticks.py
+++ b/waxwingford_bench/recovery/ticks.py
@@ -15,10 +15,10 @@
     VmListRead,
 )
 from waxwingford.ports import (
+    AttemptPhase,
+    AttemptReport,
     ControlGranted,
     Resources,
-    TaskPhase,
-    TaskReport,
     UsageSample,
     Vm,
     VmList,
@@ -69,7 +69,7 @@
             effect.server_id, {}
         )
         reports = tuple(
-            TaskReport(task.key, TaskPhase.running, ran_ms=now_ms)
+            AttemptReport(task.key, AttemptPhase.running, ran_ms=now_ms)
             for task in attempts.values()
         )
         keys = tuple(report.key for report in reports)
--- a/waxwingford_bench/storms/daemon.py
+++ b/waxwingford_bench/storms/daemon.py
@@ -18,7 +18,7 @@
     VmList,
     VmListUnavailable,
 )
-from waxwingford.records import DomainState, snapshot_chunks
+from waxwingford.records import DomainState, encode_snapshot
 from waxwingford_bench.storms.surroundings import StormSurroundings
 from waxwingford_bench.virtual.daemon import VirtualDaemon
 from waxwingford_bench.virtual.network import SNAPSHOTS, STREAM
@@ -136,7 +136,7 @@
     def _write_snapshot(self, covers_offset: int) -> None:
         if self.controller is not None:
             now_ms = self._domain.now_ms
-            for chunk in snapshot_chunks(self.controller.state, covers_offset):
+            for chunk in encode_snapshot(self.controller.state, covers_offset):
                 self._domain.meter.count_message(
                     self.daemon_id, 'append', len(chunk), now_ms
                 )
--- a/waxwingford_bench/virtual/daemon.py
+++ b/waxwingford_bench/virtual/daemon.py
@@ -19,12 +19,12 @@
     is_too_late,
     read_group,
 )
-from waxwingford.ports import ControlUnknown
+from waxwingford.ports import ControlOutcomeUnknown
 from waxwingford.records import (
     DomainState,
     SnapshotAssembler,
     encode_group,
-    snapshot_chunks,
+    encode_snapshot,
 )
 from waxwingford_bench.virtual.network import DOMAIN, SNAPSHOTS, STREAM
 from waxwingford_bench.virtual.surroundings import Surroundings
@@ -211,7 +211,7 @@
             self._deliver_to(life, result)
 
         if is_too_late(effect, sent_ms):
-            _on_outcome(ControlUnknown('too late', not_sent=True))
+            _on_outcome(ControlOutcomeUnknown('too late', not_sent=True))
         else:
             self._domain.network.control(self.daemon_id, effect, _on_outcome)
 
@@ -220,7 +220,7 @@
             self.daemon_id, 'log'
         ):
             return
-        for chunk in snapshot_chunks(self.controller.state, covers_offset):
+        for chunk in encode_snapshot(self.controller.state, covers_offset):
             self._domain.network.log.append(
                 SNAPSHOTS, chunk, self._domain.now_ms
             )
--- a/waxwingford_bench/virtual/network.py
+++ b/waxwingford_bench/virtual/network.py
@@ -7,11 +7,11 @@
 from waxwingford.ports import (
     Appended,
     AppendOutcome,
+    AppendOutcomeUnknown,
     AppendRefused,
-    AppendUnknown,
     ControlOutcome,
+    ControlOutcomeUnknown,
     ControlRequest,
-    ControlUnknown,
     LogRead,
 )
 from waxwingford.records import (
@@ -102,7 +102,7 @@
         :param payload: entry to append.
         :param take: callback that receives the outcome.
         """
-        unknown = AppendUnknown('timeout')
+        unknown = AppendOutcomeUnknown('timeout')
         if self.is_cut(daemon_id, 'log'):
             refused = AppendRefused('not connected', 500)
             outcome = self._rng.choice((refused, unknown))
@@ -151,13 +151,13 @@
             self._time.at(
                 delay_ms, lambda: self._deliver_control(daemon_id, effect, take)
             )
-        unknown = ControlUnknown('no answer', not_sent=not_sent)
+        unknown = ControlOutcomeUnknown('no answer', not_sent=not_sent)
         self._time.at(_TIMEOUT_MS, lambda: take(unknown))
 
     def _append(self, payload: bytes, take: TakeAppend) -> None:
         outcome = self.land(decode_group(payload))
         if self._draw(self.lost_share):
-            unknown = AppendUnknown('answer lost')
+            unknown = AppendOutcomeUnknown('answer lost')
             self._time.at(_LOG_TIMEOUT_MS, lambda: take(unknown))
         else:
             self._time.at(self._rng.randrange(2, 15), lambda: take(outcome))
--- a/waxwingford_bench/virtual/oracle.py
+++ b/waxwingford_bench/virtual/oracle.py
@@ -11,11 +11,11 @@
     SubmissionOutcome,
 )
 from waxwingford.ports import (
+    AttemptKey,
+    AttemptPhase,
+    AttemptReport,
     Resources,
     StartTask,
-    TaskKey,
-    TaskPhase,
-    TaskReport,
     add_resources,
     fits_resources,
 )
@@ -48,12 +48,12 @@
         self.accepted: dict[str, JobSpec] = {}
         self.starts = 0
         self.evictions = 0
-        self.done: dict[str, TaskKey] = {}
+        self.done: dict[str, AttemptKey] = {}
         self._job_by_submission: dict[int, JobSpec] = {}
-        self._server_by_attempt: dict[TaskKey, str] = {}
-        self._attempt_by_reference: dict[str, TaskKey] = {}
+        self._server_by_attempt: dict[AttemptKey, str] = {}
+        self._attempt_by_reference: dict[str, AttemptKey] = {}
         self._min_resume_attempt: dict[str, int] = {}
-        self._exempt_attempts: set[TaskKey] = set()
+        self._exempt_attempts: set[AttemptKey] = set()
 
     def note_submitted(self, submission_id: int, job: JobSpec) -> None:
         """Record a submission.
@@ -100,16 +100,16 @@
             raise Violation(f'{key} started after {done} was done')
         self._check_resume(start)
 
-    def note_ended(self, server_id: str, report: TaskReport) -> None:
+    def note_ended(self, server_id: str, report: AttemptReport) -> None:
         """Record that an attempt ended.
 
         :param server_id: id of the server.
         :param report: state of the attempt.
         """
         match report.phase:
-            case TaskPhase.done:
+            case AttemptPhase.done:
                 self.done[report.key.task_id] = report.key
-            case TaskPhase.checkpointed:
+            case AttemptPhase.checkpointed:
                 self._attempt_by_reference[report.detail] = report.key
 
     def _check_resume(self, start: StartTask) -> None:
@@ -131,7 +131,7 @@
             )
         self._min_resume_attempt[task_id] = attempt
 
-    def note_forgotten(self, report: TaskReport) -> None:
+    def note_forgotten(self, report: AttemptReport) -> None:
         """Record that a server forgot an ended attempt.
 
         A checkpoint that is forgotten must be used from now on.
@@ -139,13 +139,15 @@
         :param report: last state of the attempt.
         """
         counts = report.key not in self._exempt_attempts
-        if counts and report.phase is TaskPhase.checkpointed:
+        if counts and report.phase is AttemptPhase.checkpointed:
             self.evictions += 1
             task_id, attempt = report.key
             min_attempt = self._min_resume_attempt.get(task_id, 0)
             self._min_resume_attempt[task_id] = max(min_attempt, attempt)
 
-    def note_died(self, server_id: str, reports: Iterable[TaskReport]) -> None:
+    def note_died(
+        self, server_id: str, reports: Iterable[AttemptReport]
+    ) -> None:
         """Record that a server crashed and lost its attempts.
 
         :param server_id: id of the server.
--- a/waxwingford_bench/virtual/server.py
+++ b/waxwingford_bench/virtual/server.py
@@ -5,12 +5,12 @@
 """
 
 from waxwingford.ports import (
+    AttemptPhase,
     ControlDenied,
     ControlGranted,
     ControlRequest,
     ForgetTask,
     StartTask,
-    TaskPhase,
     Vm,
     VmState,
 )
@@ -88,7 +88,7 @@
         """
         self.core.advance(now_ms)
         for report in self.core.attempts.reports():
-            if report.phase is not TaskPhase.running:
+            if report.phase is not AttemptPhase.running:
                 self._oracle.note_ended(self.vm.server_id, report)
 
     def running(self) -> list[StartTask]:
--- a/waxwingford_standins/platform_log.py
+++ b/waxwingford_standins/platform_log.py
@@ -15,8 +15,8 @@
 from waxwingford.ports import (
     Appended,
     AppendOutcome,
+    AppendOutcomeUnknown,
     AppendRefused,
-    AppendUnknown,
     LogEntry,
     LogRead,
     LogUnavailable,
@@ -117,7 +117,7 @@
             case Outage.refuse:
                 return AppendRefused(OUT_OF_SERVICE, _OUTAGE_RETRY_MS)
             case Outage.hang:
-                return AppendUnknown('log does not answer')
+                return AppendOutcomeUnknown('log does not answer')
         refused = self._check_limits(payload, now_ms)
         if refused is not None:
             return refused
@@ -128,7 +128,7 @@
         offset = stored.first + len(stored.payloads) - 1
         self._apply_retention(stored, now_ms)
         if self._random.random() < self.faults.lost_share:
-            return AppendUnknown('acknowledgement was lost')
+            return AppendOutcomeUnknown('acknowledgement was lost')
         return Appended(offset)
 
     def read(
--- a/waxwingford_standins/platform_main.py
+++ b/waxwingford_standins/platform_main.py
@@ -23,8 +23,8 @@
 from waxwingford.kernel import Clock, SystemClock
 from waxwingford.ports import (
     Appended,
+    AppendOutcomeUnknown,
     AppendRefused,
-    AppendUnknown,
     LogRead,
     LogUnavailable,
     Vm,
@@ -111,7 +111,7 @@
             case AppendRefused(reason, retry_after_ms):
                 self.counts.refused += 1
                 return _refused_response(reason, retry_after_ms)
-            case AppendUnknown():
+            case AppendOutcomeUnknown():
                 self._count_append(payload)
                 return _drop_response(request)
 
--- a/waxwingford_standins/report.py
+++ b/waxwingford_standins/report.py
@@ -134,7 +134,7 @@
 
 def _finished_jobs(trackers: Iterable[DomainTracker]) -> Iterator[FinishedJob]:
     for tracker in trackers:
-        for job in tracker.state.finished.kept_by_id.values():
+        for job in tracker.state.finished.summary_by_id.values():
             yield FinishedJob(job.job_id, job.done, job.failed, job.cancelled)
 
 
--- a/waxwingford_standins/server_attempts.py
+++ b/waxwingford_standins/server_attempts.py
@@ -1,15 +1,15 @@
 """Table of the batch attempts of a simulated backend server."""
 
 from waxwingford.ports import (
+    AttemptKey,
+    AttemptPhase,
+    AttemptReport,
     CheckpointTask,
     ForgetTask,
     Resources,
     ServerCommand,
     StartTask,
     StopTask,
-    TaskKey,
-    TaskPhase,
-    TaskReport,
     ThrottleTask,
 )
 from waxwingford_standins.server_tasks import (
@@ -37,7 +37,7 @@
         self.fails_starts = False
         self._server_id = server_id
         self._total = total
-        self._attempt_by_key: dict[TaskKey, ServerAttempt] = {}
+        self._attempt_by_key: dict[AttemptKey, ServerAttempt] = {}
         self._history: list[AttemptRun] = []
 
     def advance(self, now_ms: int) -> None:
@@ -49,7 +49,7 @@
             attempt.advance(now_ms)
 
     def renew(
-        self, keys: tuple[TaskKey, ...], lease_ms: int, now_ms: int
+        self, keys: tuple[AttemptKey, ...], lease_ms: int, now_ms: int
     ) -> None:
         """Renew task leases, ignoring unknown attempts.
 
@@ -71,14 +71,14 @@
         attempt = self._attempt_by_key.get(command.key)
         if attempt is None:
             return _UNKNOWN_ATTEMPT
-        running = attempt.phase is TaskPhase.running
+        running = attempt.phase is AttemptPhase.running
         match command:
             case CheckpointTask() if running:
                 attempt.checkpoint(now_ms)
             case ThrottleTask(percent=percent) if running:
                 attempt.percent = min(max(percent, 1), _FULL_PERCENT)
             case StopTask() if running:
-                attempt.end(TaskPhase.stopped, 'by its holder', now_ms)
+                attempt.end(AttemptPhase.stopped, 'by its holder', now_ms)
             case ForgetTask() if not running:
                 self._history.append(attempt.run(self._server_id, boot_id))
                 self._attempt_by_key.pop(command.key)
@@ -99,7 +99,7 @@
         attempt = create_attempt(start, now_ms)
         self._attempt_by_key[start.key] = attempt
         if self.fails_starts:
-            attempt.end(TaskPhase.failed, 'server fails each start', now_ms)
+            attempt.end(AttemptPhase.failed, 'server fails each start', now_ms)
         return ''
 
     def running(self) -> list[ServerAttempt]:
@@ -110,7 +110,7 @@
         return [
             attempt
             for attempt in self._attempt_by_key.values()
-            if attempt.phase is TaskPhase.running
+            if attempt.phase is AttemptPhase.running
         ]
 
     def ran_since(self, since_ms: int) -> list[ServerAttempt]:
@@ -125,7 +125,7 @@
             if not attempt.ended_ms or attempt.ended_ms > since_ms
         ]
 
-    def reports(self) -> tuple[TaskReport, ...]:
+    def reports(self) -> tuple[AttemptReport, ...]:
         """Report every attempt that is not forgotten.
 
         :returns: reports of the attempts.
@@ -155,7 +155,7 @@
         :param boot_id: id of the boot that ended.
         """
         for attempt in self.running():
-            attempt.end(TaskPhase.stopped, 'server died', now_ms)
+            attempt.end(AttemptPhase.stopped, 'server died', now_ms)
         self._history = self.runs(boot_id)
         self._attempt_by_key.clear()
 
--- a/waxwingford_standins/server_changes.py
+++ b/waxwingford_standins/server_changes.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from waxwingford.ports import TaskKey, TaskReport
+from waxwingford.ports import AttemptKey, AttemptReport
 
 
 class ChangeTracker:
@@ -14,11 +14,11 @@
     def __init__(self) -> None:
         """Create a tracker without changes."""
         self.version = 0
-        self._version_by_key: dict[TaskKey, int] = {}
-        self._first_version_by_key: dict[TaskKey, int] = {}
-        self._reported_by_key: dict[TaskKey, tuple[str, bool]] = {}
+        self._version_by_key: dict[AttemptKey, int] = {}
+        self._first_version_by_key: dict[AttemptKey, int] = {}
+        self._reported_by_key: dict[AttemptKey, tuple[str, bool]] = {}
 
-    def record(self, reports: Iterable[TaskReport]) -> None:
+    def record(self, reports: Iterable[AttemptReport]) -> None:
         """Record the changes since the previous call.
 
         :param reports: reports of all attempts of the server.
@@ -38,8 +38,8 @@
             self._first_version_by_key.pop(key)
 
     def changed_since(
-        self, reports: Iterable[TaskReport], version: int
-    ) -> tuple[TaskReport, ...]:
+        self, reports: Iterable[AttemptReport], version: int
+    ) -> tuple[AttemptReport, ...]:
         """Select the reports that changed after a version.
 
         :param reports: reports of all attempts, as last recorded.
@@ -52,7 +52,7 @@
             if self._version_by_key[report.key] > version
         )
 
-    def reported_by(self, version: int) -> tuple[TaskKey, ...]:
+    def reported_by(self, version: int) -> tuple[AttemptKey, ...]:
         """List attempts that responses up to a version reported.
 
         :param version: version of the last such response.
--- a/waxwingford_standins/server_tasks.py
+++ b/waxwingford_standins/server_tasks.py
@@ -6,11 +6,11 @@
 import msgspec
 
 from waxwingford.ports import (
+    AttemptKey,
+    AttemptPhase,
+    AttemptReport,
     Resources,
     StartTask,
-    TaskKey,
-    TaskPhase,
-    TaskReport,
 )
 
 _DEFAULT_RUN_MS = 1000
@@ -84,12 +84,12 @@
     lease_until_ms: int
     progress_ms: float
     percent: int = _FULL_PERCENT
-    phase: TaskPhase = TaskPhase.running
+    phase: AttemptPhase = AttemptPhase.running
     detail: str = ''
     ended_ms: int = 0
 
     @property
-    def key(self) -> TaskKey:
+    def key(self) -> AttemptKey:
         """Key of the attempt.
 
         :returns: task id and attempt number.
@@ -114,7 +114,7 @@
 
         :param now_ms: monotonic time, in milliseconds.
         """
-        if self.phase is not TaskPhase.running:
+        if self.phase is not AttemptPhase.running:
             return
         until_ms = min(now_ms, self.lease_until_ms)
         speed = self.percent / _FULL_PERCENT
@@ -128,9 +128,9 @@
         self.progress_ms += max(until_ms - self.updated_ms, 0) * speed
         self.updated_ms = max(until_ms, self.updated_ms)
         if now_ms >= self.lease_until_ms:
-            self.end(TaskPhase.lapsed, 'task lease', self.lease_until_ms)
+            self.end(AttemptPhase.lapsed, 'task lease', self.lease_until_ms)
 
-    def end(self, phase: TaskPhase, detail: str, now_ms: int) -> None:
+    def end(self, phase: AttemptPhase, detail: str, now_ms: int) -> None:
         """End the attempt.
 
         :param phase: final phase.
@@ -150,15 +150,15 @@
             f'{_CHECKPOINT_PREFIX}{self.key.task_id}:{self.key.attempt}'
             f':{int(self.progress_ms)}'
         )
-        self.end(TaskPhase.checkpointed, reference, now_ms)
+        self.end(AttemptPhase.checkpointed, reference, now_ms)
 
-    def report(self) -> TaskReport:
+    def report(self) -> AttemptReport:
         """Build the report for the lease holder.
 
         :returns: report of the attempt.
         """
         until_ms = self.ended_ms or self.updated_ms
-        return TaskReport(
+        return AttemptReport(
             self.key,
             self.phase,
             self.detail,
@@ -187,9 +187,9 @@
 
     def _complete(self, now_ms: int) -> None:
         if self.work.fail:
-            self.end(TaskPhase.failed, 'work failed', now_ms)
+            self.end(AttemptPhase.failed, 'work failed', now_ms)
         else:
-            self.end(TaskPhase.done, self.work.result, now_ms)
+            self.end(AttemptPhase.done, self.work.result, now_ms)
 
 
 def create_attempt(start: StartTask, now_ms: int) -> ServerAttempt:
--- a/waxwingford_standins/tests/backend_server_steps.py
+++ b/waxwingford_standins/tests/backend_server_steps.py
@@ -5,6 +5,7 @@
 
 from waxwingford.kernel import ManualClock
 from waxwingford.ports import (
+    AttemptKey,
     CheckpointTask,
     ControlDenied,
     ControlGranted,
@@ -13,7 +14,6 @@
     Resources,
     ServiceCall,
     StartTask,
-    TaskKey,
     ThrottleTask,
     Vm,
     VmState,
@@ -45,7 +45,7 @@
     payload = msgspec.json.encode(Work(run_ms)).decode()
     fields = {'resume_from': '', 'lease_ms': LEASE_MS} | fields
     return StartTask(
-        TaskKey(task_id, attempt),
+        AttemptKey(task_id, attempt),
         'kind',
         Resources(milli, 1000),
         payload,
@@ -137,23 +137,23 @@
 
 @when('"{holder}" renews task "{task_id}" to {lease_ms:d} ms')
 def renew_task(context, holder, task_id, lease_ms):
-    keys = (TaskKey(task_id, 1),)
+    keys = (AttemptKey(task_id, 1),)
     exchange(context, holder, renew=keys, task_lease_ms=lease_ms)
 
 
 @when('"{holder}" checkpoints task "{task_id}"')
 def checkpoint_task(context, holder, task_id):
-    exchange(context, holder, CheckpointTask(TaskKey(task_id, 1)))
+    exchange(context, holder, CheckpointTask(AttemptKey(task_id, 1)))
 
 
 @when('"{holder}" throttles task "{task_id}" to {percent:d} percent')
 def throttle_task(context, holder, task_id, percent):
-    exchange(context, holder, ThrottleTask(TaskKey(task_id, 1), percent))
+    exchange(context, holder, ThrottleTask(AttemptKey(task_id, 1), percent))
 
 
 @when('"{holder}" forgets task "{task_id}"')
 def forget_task(context, holder, task_id):
-    exchange(context, holder, ForgetTask(TaskKey(task_id, 1)))
+    exchange(context, holder, ForgetTask(AttemptKey(task_id, 1)))
 
 
 @when('no other event occurs')
@@ -206,7 +206,7 @@
     """Request the report of an attempt as the current holder."""
     reply = exchange(context, next(iter(context.epochs)))
     reports = {report.key: report for report in reply.tasks}
-    return reports.get(TaskKey(task_id, attempt))
+    return reports.get(AttemptKey(task_id, attempt))
 
 
 @then('task "{task_id}" is reported "{phase}"')
--- a/waxwingford_standins/tests/platform_steps.py
+++ b/waxwingford_standins/tests/platform_steps.py
@@ -5,8 +5,8 @@
 from waxwingford.kernel import ManualClock
 from waxwingford.ports import (
     Appended,
+    AppendOutcomeUnknown,
     AppendRefused,
-    AppendUnknown,
     LogRead,
     LogUnavailable,
     Resources,
@@ -97,7 +97,7 @@
 
 @then('the outcome of the append is unknown')
 def append_unknown(context):
-    assert isinstance(context.appended, AppendUnknown), context.appended
+    assert isinstance(context.appended, AppendOutcomeUnknown), context.appended
 
 
 @then('the append is refused')
--- a/waxwingford_standins/tests/server_changes_steps.py
+++ b/waxwingford_standins/tests/server_changes_steps.py
@@ -3,14 +3,18 @@
 from behave import given, then, when
 
 from waxwingford.batch._server import ServerControl
-from waxwingford.ownership import ControlLease, OwnershipTimes, Preference
+from waxwingford.ownership import (
+    AcquisitionDelays,
+    AcquisitionSchedule,
+    ControlLease,
+)
 from waxwingford.ports import (
+    AttemptKey,
     ControlRequest,
     ForgetTask,
     Resources,
     StartTask,
     StopTask,
-    TaskKey,
     Vm,
     VmState,
 )
@@ -22,7 +26,7 @@
 
 
 def task_key(name):
-    return TaskKey(f'qadri.{name}/0', 1)
+    return AttemptKey(f'qadri.{name}/0', 1)
 
 
 def exchange(context, *commands, known=None, **fields):
@@ -61,7 +65,7 @@
         Resources(8000, 8000), 8, 8, 'dispatcher',
     )  # fmt: skip
     context.core = BackendServerCore(vm, ServiceModel('dispatcher'))
-    preference = Preference(OwnershipTimes(), 0, 0)
+    preference = AcquisitionSchedule(AcquisitionDelays(), 0, 0)
     context.holder = ServerControl(vm, ControlLease(500), preference)
     context.epoch = 0
     context.now_ms = 0
