--- a/waxwingford/adapters/__init__.py
+++ b/waxwingford/adapters/__init__.py
@@ -3,7 +3,7 @@
 from waxwingford.adapters._http_directory import HttpDirectory
 from waxwingford.adapters._http_log import HttpLog
 from waxwingford.adapters._http_platform import HttpPlatform
-from waxwingford.adapters._http_servers import AnswerCounts, HttpServers
+from waxwingford.adapters._http_servers import DiscardedResponses, HttpServers
 from waxwingford.adapters._registry import (
     PlatformAdapter,
     PlatformPorts,
@@ -30,7 +30,7 @@
     'NOT_RUN_HEADER',
     'REQUEST_ID_HEADER',
     'RETRY_AFTER_MS_HEADER',
-    'AnswerCounts',
+    'DiscardedResponses',
     'AppendReply',
     'HttpDirectory',
     'HttpLog',
--- a/waxwingford/adapters/_http_servers.py
+++ b/waxwingford/adapters/_http_servers.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class AnswerCounts:
+class DiscardedResponses:
     """Counts of responses that were discarded.
 
     :ivar mismatched: responses with a missing or different request ID.
@@ -62,7 +62,7 @@
         :param connections_per_server: maximum number of TCP connections to one
             server.
         """
-        self.discarded_responses = AnswerCounts()
+        self.discarded_responses = DiscardedResponses()
         self._session = HttpSession(connections_per_server)
 
     async def control(
--- a/waxwingford/batch/_executor.py
+++ b/waxwingford/batch/_executor.py
@@ -11,7 +11,7 @@
 )
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.batch._snapshots import write_snapshot
-from waxwingford.kernel import Clock, Invariant, require
+from waxwingford.kernel import Clock, Invariant, check_invariant
 from waxwingford.ports import (
     BackendServerPort,
     ControlOutcome,
@@ -113,7 +113,7 @@
             self._deliver(generation, SnapshotWritten(covers_offset))
 
     async def _send(self, effect: Control, sent_ms: int) -> ControlOutcome:
-        require(
+        check_invariant(
             sent_ms < effect.valid_until_ms,
             Invariant.lease_before_effect,
             f'{effect.server_id}: sent at {sent_ms}, '
--- a/waxwingford/batch/_placing.py
+++ b/waxwingford/batch/_placing.py
@@ -7,7 +7,7 @@
 from waxwingford.batch._server import ServerControl
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.batch._trackers import Trackers
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 from waxwingford.placement import (
     PendingTask,
     Placement,
@@ -186,14 +186,16 @@
 
     :param server: the backend server.
     :param now_ms: monotonic time, in milliseconds.
-    :raises BrokenInvariant: if its lease is not held, or it is leaving.
+    :raises InvariantViolation: if its lease is not held, or it is leaving.
     """
-    require(
+    check_invariant(
         server.lease.may_command(now_ms),
         Invariant.lease_before_effect,
         f'claim on {server.vm.server_id}',
     )
-    require(not server.leaving, Invariant.leaving_server, server.vm.server_id)
+    check_invariant(
+        not server.leaving, Invariant.leaving_server, server.vm.server_id
+    )
 
 
 def require_capacity(
@@ -211,7 +213,7 @@
     :param server_by_id: held servers.
     :param reserved_by_service: resources reserved on each VM for its service,
         by service.
-    :raises BrokenInvariant: if a VM would be over-committed.
+    :raises InvariantViolation: if a VM would be over-committed.
     """
     for record in claims:
         vm = server_by_id[record.server_id].vm
@@ -222,7 +224,7 @@
             committed = add_resources(
                 committed, task.resources if task else _NO_RESOURCES
             )
-        require(
+        check_invariant(
             fits_resources(committed, vm.resources),
             Invariant.capacity,
             f'{committed} at {record.server_id}, which has {vm.resources}',
--- a/waxwingford/batch/_plan.py
+++ b/waxwingford/batch/_plan.py
@@ -7,7 +7,7 @@
 
 from waxwingford.batch._plan_types import Plan, PlanInput, is_over
 from waxwingford.batch._server import ServerControl
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 from waxwingford.ports import (
     AttemptPhase,
     AttemptReport,
@@ -204,17 +204,17 @@
     running: Resources,
 ) -> StartTask:
     claimed = plan_input.state.claimed(task.key, server.vm.server_id)
-    require(
+    check_invariant(
         claimed is task and task.holder == plan_input.settings.writer,
         Invariant.claim_before_start,
         f'{task.key} at {server.vm.server_id}',
     )
-    require(
+    check_invariant(
         fits_resources(running, server.vm.resources),
         Invariant.capacity,
         f'{running} at {server.vm.server_id}, which has {server.vm.resources}',
     )
-    require(
+    check_invariant(
         not server.leaving,
         Invariant.leaving_server,
         f'{task.key} at {server.vm.server_id}',
--- a/waxwingford/batch/_submissions.py
+++ b/waxwingford/batch/_submissions.py
@@ -13,7 +13,7 @@
 )
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._views import oversize_reason
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 from waxwingford.records import (
     DomainState,
     JobAccepted,
@@ -107,7 +107,7 @@
         return ImmediateReply(JobCancelledOutcome(job_id))
     if admission.refusal:
         return ImmediateReply(JobRefused(admission.refusal, RETRY_AFTER_MS))
-    require(
+    check_invariant(
         job.spec.member == member,
         Invariant.member_isolation,
         f'{member} cancels {job_id}',
--- a/waxwingford/batch/tests/protections_steps.py
+++ b/waxwingford/batch/tests/protections_steps.py
@@ -9,7 +9,7 @@
 from waxwingford.batch._plan_types import PlanInput
 from waxwingford.batch._server import ServerControl
 from waxwingford.batch.tests.mutations import disabled
-from waxwingford.kernel import BrokenInvariant
+from waxwingford.kernel import InvariantViolation
 from waxwingford.ownership import (
     AcquisitionDelays,
     AcquisitionSchedule,
@@ -51,7 +51,7 @@
 def violation_of(seed):
     try:
         play(seed, STEPS, silent)
-    except (Violation, BrokenInvariant) as error:
+    except (Violation, InvariantViolation) as error:
         return str(error)
     return ''
 
--- a/waxwingford/bundles/__init__.py
+++ b/waxwingford/bundles/__init__.py
@@ -24,7 +24,7 @@
     PeerBundle,
     PeerBundleAnswer,
     PeerBundles,
-    PeerSilent,
+    PeerUnavailable,
 )
 from waxwingford.bundles._publish import (
     Published,
@@ -106,7 +106,7 @@
     'PeerBundle',
     'PeerBundleAnswer',
     'PeerBundles',
-    'PeerSilent',
+    'PeerUnavailable',
     'PublishOutcome',
     'PublishRefused',
     'PublishUnavailable',
--- a/waxwingford/bundles/_chain.py
+++ b/waxwingford/bundles/_chain.py
@@ -31,7 +31,7 @@
     Source,
     Verdict,
 )
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 
 
 class _Accepted(NamedTuple):
@@ -204,7 +204,7 @@
         record: BundleRecord,
         source: Source,
     ) -> InForce:
-        require(
+        check_invariant(
             bundle.version > self.version,
             Invariant.bundle_monotonic,
             f'version {bundle.version} after version {self.version}',
--- a/waxwingford/bundles/_peers.py
+++ b/waxwingford/bundles/_peers.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerSilent:
+class PeerUnavailable:
     """A peer did not answer.
 
     :ivar reason: error message.
@@ -26,7 +26,7 @@
     reason: str
 
 
-PeerBundleAnswer = PeerBundle | PeerSilent
+PeerBundleAnswer = PeerBundle | PeerUnavailable
 
 
 class PeerBundles(Protocol):
--- a/waxwingford/bundles/tests/interleavings_steps.py
+++ b/waxwingford/bundles/tests/interleavings_steps.py
@@ -10,7 +10,7 @@
 from waxwingford.bundles import (
     CONFIG_STREAM,
     PeerBundle,
-    PeerSilent,
+    PeerUnavailable,
     canonical_bytes,
     digest_of,
     encode_record,
@@ -77,7 +77,7 @@
     async def fetch(self, after_version):
         """Query the other daemons; muted ones do not answer."""
         return {
-            f'd{slot}': PeerSilent('muted')
+            f'd{slot}': PeerUnavailable('muted')
             if slot in self.world.muted or self.slot in self.world.muted
             else PeerBundle(self.world.payloads(slot, after_version))
             for slot in range(DAEMON_COUNT)
--- a/waxwingford/bundles/tests/reader_steps.py
+++ b/waxwingford/bundles/tests/reader_steps.py
@@ -9,7 +9,7 @@
     Bundle,
     NotReady,
     PeerBundle,
-    PeerSilent,
+    PeerUnavailable,
     Published,
     PublishRefused,
     canonical_bytes,
@@ -36,7 +36,7 @@
 
     def __init__(self):
         self.answer_by_id = {
-            name: PeerSilent('down') for name in DOMAIN_DAEMONS
+            name: PeerUnavailable('down') for name in DOMAIN_DAEMONS
         }
 
     async def fetch(self, after_version):
@@ -131,7 +131,7 @@
 
 @given('bundle peer "{name}" does not answer')
 def peer_unavailable(context, name):
-    context.rig.peers.answer_by_id[name] = PeerSilent('down')
+    context.rig.peers.answer_by_id[name] = PeerUnavailable('down')
 
 
 @when('bundle peer "{name}" answers without a bundle')
--- a/waxwingford/commands/settings_files.py
+++ b/waxwingford/commands/settings_files.py
@@ -6,10 +6,10 @@
 from waxwingford.commands._output import add_json_option, print_answer
 from waxwingford.settings import (
     SettingsInvalid,
-    is_for_scheduler,
+    is_scheduler_settings,
     load_scheduler_settings,
     load_settings,
-    settings_page,
+    render_settings_page,
 )
 
 
@@ -19,7 +19,7 @@
 
 
 def _check(args: Namespace) -> ExitCode:
-    if is_for_scheduler(args.file):
+    if is_scheduler_settings(args.file):
         loaded = load_scheduler_settings(args.file)
     else:
         loaded = load_settings(args.file)
@@ -40,7 +40,7 @@
 
 
 def _table(args: Namespace) -> ExitCode:
-    print(settings_page(), end='')
+    print(render_settings_page(), end='')
     return ExitCode.ok
 
 
--- a/waxwingford/daemon/_application.py
+++ b/waxwingford/daemon/_application.py
@@ -9,9 +9,9 @@
 from waxwingford.daemon._components import Components
 from waxwingford.daemon._status import make_status, refresh_gauges
 from waxwingford.entry import (
-    EntryLimits,
-    JobEntry,
-    ServiceEntry,
+    HttpLimits,
+    JobRoutesConfig,
+    ServiceRoutesConfig,
     job_routes,
     service_routes,
 )
@@ -31,20 +31,20 @@
     app = web.Application(client_max_size=limits.body_bytes)
     app.add_routes(_admin(components, request_stop).routes())
     app.add_routes(service_routes(_service_entry(components, limits)))
-    job_entry = JobEntry(
+    job_entry = JobRoutesConfig(
         components.batch, components.verify, components.clock, limits
     )
     app.add_routes(job_routes(job_entry))
     return app
 
 
-def entry_limits(settings: Settings) -> EntryLimits:
+def entry_limits(settings: Settings) -> HttpLimits:
     """Extract the limits of the HTTP entry.
 
     :param settings: settings of the daemon.
     :returns: limits on size, connections and deadlines.
     """
-    return EntryLimits(
+    return HttpLimits(
         body_bytes=settings.limits.body_bytes,
         header_bytes=settings.limits.header_bytes,
         connections=settings.limits.connections,
@@ -66,8 +66,10 @@
     )
 
 
-def _service_entry(components: Components, limits: EntryLimits) -> ServiceEntry:
-    return ServiceEntry(
+def _service_entry(
+    components: Components, limits: HttpLimits
+) -> ServiceRoutesConfig:
+    return ServiceRoutesConfig(
         daemon_id=components.settings.identity.daemon_id,
         incarnation=components.incarnation,
         dispatcher=components.dispatcher,
--- a/waxwingford/daemon/_assembly.py
+++ b/waxwingford/daemon/_assembly.py
@@ -17,7 +17,7 @@
 from waxwingford.daemon._readiness import make_lifecycle
 from waxwingford.kernel import SystemClock, load_plugins
 from waxwingford.metrics import Metrics
-from waxwingford.peers import Membership, PeerLinks
+from waxwingford.peers import Membership, PeerClients
 from waxwingford.routing import DispatchLimits, DispatchPorts, RequestDispatcher
 from waxwingford.settings import Alpn, Settings, client_context
 from waxwingford.timeline import TimeLine
@@ -56,7 +56,7 @@
         settings.platform.directory_url,
         settings.platform.log_timeout_ms,
     )
-    links = PeerLinks(
+    links = PeerClients(
         identity.daemon_id,
         settings.peers,
         clock,
--- a/waxwingford/daemon/_components.py
+++ b/waxwingford/daemon/_components.py
@@ -17,7 +17,7 @@
 from waxwingford.daemon._lifecycle import Lifecycle
 from waxwingford.kernel import SystemClock
 from waxwingford.metrics import Metrics
-from waxwingford.peers import Membership, PeerBeat, PeerLinks
+from waxwingford.peers import Membership, PeerClients, PeerHeartbeat
 from waxwingford.routing import RequestDispatcher
 from waxwingford.settings import PeerAddress, Settings
 from waxwingford.timeline import TimeLine
@@ -49,20 +49,20 @@
     metrics: Metrics
     time_line: TimeLine
     platform: PlatformPorts
-    links: PeerLinks
+    links: PeerClients
     membership: Membership
     batch: BatchTask
     dispatcher: RequestDispatcher
     reader: BundleReader
     nonces: NonceCache
 
-    def own_heartbeat(self) -> PeerBeat:
+    def own_heartbeat(self) -> PeerHeartbeat:
         """Make this daemon's heartbeat.
 
         :returns: heartbeat with the current state of the daemon.
         """
         current = self.reader.current
-        return PeerBeat(
+        return PeerHeartbeat(
             daemon_id=self.settings.identity.daemon_id,
             incarnation=self.incarnation,
             failure_domain=self.settings.identity.failure_domain,
@@ -72,17 +72,17 @@
             draining=self.lifecycle.state == 'draining',
         )
 
-    def exchange_heartbeats(self, heartbeat: PeerBeat) -> PeerBeat:
+    def exchange_heartbeats(self, heartbeat: PeerHeartbeat) -> PeerHeartbeat:
         """Process a peer's heartbeat and respond with this daemon's.
 
         :param heartbeat: heartbeat of the peer.
         :returns: heartbeat of this daemon.
         """
-        self.membership.heard(heartbeat, self.clock.monotonic_ms())
+        self.membership.record_heartbeat(heartbeat, self.clock.monotonic_ms())
         self.handle_heartbeat(heartbeat)
         return self.own_heartbeat()
 
-    def handle_heartbeat(self, heartbeat: PeerBeat) -> None:
+    def handle_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         """Process the released servers in a peer's heartbeat.
 
         :param heartbeat: heartbeat of the peer.
--- a/waxwingford/daemon/_daemon.py
+++ b/waxwingford/daemon/_daemon.py
@@ -11,9 +11,9 @@
 from waxwingford.daemon._components import Components, own_address
 from waxwingford.daemon._heartbeats import HeartbeatHooks, HeartbeatTask
 from waxwingford.daemon._load_sync import sync_batch_and_dispatcher
-from waxwingford.entry import HttpSite
-from waxwingford.kernel import Invariant, on_broken
-from waxwingford.peers import PeerService, beat_targets
+from waxwingford.entry import HttpServer
+from waxwingford.kernel import Invariant, add_violation_listener
+from waxwingford.peers import PeerService, choose_heartbeat_targets
 from waxwingford.settings import Alpn, server_context
 
 _MS_IN_S = 1000
@@ -40,7 +40,7 @@
         self._immediate_stop_requested = asyncio.Event()
         self._exit_code = EXIT_STOPPED
         self._tasks: list[asyncio.Task[None]] = []
-        self._site = HttpSite(
+        self._site = HttpServer(
             make_application(components, self.request_stop),
             entry_limits(components.settings),
         )
@@ -61,7 +61,7 @@
 
         :returns: exit code of the process.
         """
-        on_broken(self._on_invariant_violation)
+        add_violation_listener(self._on_invariant_violation)
         self._add_signal_handlers()
         await self._start()
         await self._stop_requested.wait()
@@ -146,7 +146,7 @@
 
     def _make_heartbeats(self) -> HeartbeatTask:
         components = self._components
-        targets = beat_targets(
+        targets = choose_heartbeat_targets(
             own_address(components.settings), components.settings.peers
         )
         return HeartbeatTask(
--- a/waxwingford/daemon/_heartbeats.py
+++ b/waxwingford/daemon/_heartbeats.py
@@ -8,11 +8,11 @@
 
 from waxwingford.kernel import Clock
 from waxwingford.peers import (
-    BEAT_EVERY_MS,
-    BeatTargets,
+    HEARTBEAT_INTERVAL_MS,
+    HeartbeatTargets,
     Membership,
-    PeerBeat,
-    PeerLinks,
+    PeerClients,
+    PeerHeartbeat,
 )
 from waxwingford.settings import PeerAddress
 
@@ -31,8 +31,8 @@
     :ivar take_released: returns the servers released since its last call.
     """
 
-    own_heartbeat: Callable[[], PeerBeat]
-    on_heartbeat: Callable[[PeerBeat], None]
+    own_heartbeat: Callable[[], PeerHeartbeat]
+    on_heartbeat: Callable[[PeerHeartbeat], None]
     on_round: Callable[[], None]
     take_released: Callable[[], tuple[str, ...]]
 
@@ -43,9 +43,9 @@
     def __init__(
         self,
         *,
-        links: PeerLinks,
+        links: PeerClients,
         membership: Membership,
-        targets: BeatTargets,
+        targets: HeartbeatTargets,
         clock: Clock,
         hooks: HeartbeatHooks,
     ) -> None:
@@ -72,12 +72,14 @@
         """
         while True:
             heartbeat = self._hooks.own_heartbeat()
-            await self._exchange(heartbeat, self._targets.each_interval)
+            await self._exchange(heartbeat, self._targets.periodic)
             self._hooks.on_round()
             jitter = self._random.uniform(
                 1 - _JITTER_FRACTION, 1 + _JITTER_FRACTION
             )
-            polls = int(BEAT_EVERY_MS * jitter / _RELEASED_POLL_INTERVAL_MS)
+            polls = int(
+                HEARTBEAT_INTERVAL_MS * jitter / _RELEASED_POLL_INTERVAL_MS
+            )
             for _ in itertools.repeat(None, polls):
                 await asyncio.sleep(_RELEASED_POLL_INTERVAL_MS / _MS_IN_S)
                 await self.announce_released()
@@ -91,10 +93,10 @@
         released = self._hooks.take_released()
         if released:
             heartbeat = self._hooks.own_heartbeat()._replace(released=released)
-            await self._exchange(heartbeat, self._targets.at_release)
+            await self._exchange(heartbeat, self._targets.on_release)
 
     async def _exchange(
-        self, heartbeat: PeerBeat, targets: tuple[PeerAddress, ...]
+        self, heartbeat: PeerHeartbeat, targets: tuple[PeerAddress, ...]
     ) -> None:
         await asyncio.gather(
             *(
@@ -103,13 +105,17 @@
             )
         )
 
-    async def _exchange_with(self, target: str, heartbeat: PeerBeat) -> None:
+    async def _exchange_with(
+        self, target: str, heartbeat: PeerHeartbeat
+    ) -> None:
         distance_ms = self._membership.distance_ms(target)
         outgoing = heartbeat._replace(distance_ms=distance_ms)
-        response = await self._links.beat(target, outgoing, BEAT_EVERY_MS)
+        response = await self._links.beat(
+            target, outgoing, HEARTBEAT_INTERVAL_MS
+        )
         if response is None:
             return
         peer_heartbeat, round_trip_ms = response
         now_ms = self._clock.monotonic_ms()
-        self._membership.heard(peer_heartbeat, now_ms, round_trip_ms)
+        self._membership.record_heartbeat(peer_heartbeat, now_ms, round_trip_ms)
         self._hooks.on_heartbeat(peer_heartbeat)
--- a/waxwingford/entry/__init__.py
+++ b/waxwingford/entry/__init__.py
@@ -1,19 +1,23 @@
 """HTTP interface of a daemon: services for callers, jobs for operators."""
 
-from waxwingford.entry._job_service import JobService, OperatorCheck
-from waxwingford.entry._jobs import JobEntry, job_routes
-from waxwingford.entry._limits import EntryLimits
-from waxwingford.entry._services import Dispatcher, ServiceEntry, service_routes
-from waxwingford.entry._site import HttpSite
+from waxwingford.entry._job_service import JobService, SignatureVerifier
+from waxwingford.entry._jobs import JobRoutesConfig, job_routes
+from waxwingford.entry._limits import HttpLimits
+from waxwingford.entry._services import (
+    Dispatcher,
+    ServiceRoutesConfig,
+    service_routes,
+)
+from waxwingford.entry._site import HttpServer
 
 __all__ = (
     'Dispatcher',
-    'EntryLimits',
-    'HttpSite',
+    'HttpLimits',
+    'HttpServer',
     'JobService',
-    'JobEntry',
-    'OperatorCheck',
-    'ServiceEntry',
+    'JobRoutesConfig',
+    'SignatureVerifier',
+    'ServiceRoutesConfig',
     'job_routes',
     'service_routes',
 )
--- a/waxwingford/entry/_bodies.py
+++ b/waxwingford/entry/_bodies.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from waxwingford.entry._limits import EntryLimits
+from waxwingford.entry._limits import HttpLimits
 
 _MS_IN_S = 1000
 
@@ -31,7 +31,7 @@
 class BodyReader:
     """Reads request bodies and accounts for the memory that they use."""
 
-    def __init__(self, limits: EntryLimits) -> None:
+    def __init__(self, limits: HttpLimits) -> None:
         """Initialize without reservations.
 
         :param limits: limits on body size, total memory and read time.
--- a/waxwingford/entry/_headers.py
+++ b/waxwingford/entry/_headers.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from waxwingford.entry._limits import EntryLimits
+from waxwingford.entry._limits import HttpLimits
 from waxwingford.routing import Request, Urgency
 
 MEMBER_HEADER = 'Waxwingford-Member'
@@ -96,7 +96,7 @@
 
 
 def read_headers(
-    request: web.Request, limits: EntryLimits
+    request: web.Request, limits: HttpLimits
 ) -> CallerHeaders | InvalidHeader:
     """Parse and validate the headers of a request.
 
--- a/waxwingford/entry/_job_service.py
+++ b/waxwingford/entry/_job_service.py
@@ -8,7 +8,7 @@
 from waxwingford.records import JobSpec
 
 #: Verifies the signature over headers, method, path with query, and body.
-OperatorCheck = Callable[
+SignatureVerifier = Callable[
     [Mapping[str, str], str, str, bytes], Verified | Unverified
 ]
 
--- a/waxwingford/entry/_jobs.py
+++ b/waxwingford/entry/_jobs.py
@@ -21,8 +21,8 @@
     BodyReader,
     InvalidBody,
 )
-from waxwingford.entry._job_service import JobService, OperatorCheck
-from waxwingford.entry._limits import EntryLimits
+from waxwingford.entry._job_service import JobService, SignatureVerifier
+from waxwingford.entry._limits import HttpLimits
 from waxwingford.entry._responses import (
     OutcomeBody,
     outcome_response,
@@ -35,7 +35,7 @@
 _TASK_INDEX = r'{index:\d{1,9}}'
 
 
-class JobEntry(NamedTuple):
+class JobRoutesConfig(NamedTuple):
     """Dependencies of the job routes.
 
     :ivar dispatcher: service that manages the jobs.
@@ -45,9 +45,9 @@
     """
 
     dispatcher: JobService
-    verify: OperatorCheck
+    verify: SignatureVerifier
     clock: Clock
-    limits: EntryLimits = EntryLimits()
+    limits: HttpLimits = HttpLimits()
 
 
 class _SignedRequest(NamedTuple):
@@ -57,7 +57,7 @@
     request: web.Request
 
 
-def job_routes(entry: JobEntry) -> list[web.RouteDef]:
+def job_routes(entry: JobRoutesConfig) -> list[web.RouteDef]:
     """Build the job routes.
 
     :param entry: dependencies of the routes.
@@ -78,7 +78,7 @@
 
 
 class _JobRoutes:
-    def __init__(self, entry: JobEntry) -> None:
+    def __init__(self, entry: JobRoutesConfig) -> None:
         self._entry = entry
         self._bodies = BodyReader(entry.limits)
 
--- a/waxwingford/entry/_limits.py
+++ b/waxwingford/entry/_limits.py
@@ -7,7 +7,7 @@
 _ALL_BODIES_MIB = 64
 
 
-class EntryLimits(NamedTuple):
+class HttpLimits(NamedTuple):
     """Limits of the HTTP interface.
 
     :ivar body_bytes: maximum size of a request body, in bytes.
--- a/waxwingford/entry/_services.py
+++ b/waxwingford/entry/_services.py
@@ -17,10 +17,10 @@
     InvalidHeader,
     read_headers,
 )
-from waxwingford.entry._limits import EntryLimits
+from waxwingford.entry._limits import HttpLimits
 from waxwingford.entry._responses import build_response, write_response
 from waxwingford.kernel import Clock
-from waxwingford.routing import Outcome, Rejected, Request, turn_away
+from waxwingford.routing import Outcome, Rejected, Request, refuse_or_unknown
 
 #: Retry delay while the daemon is not ready or the body memory is exhausted.
 BUSY_RETRY_AFTER_MS = 1000
@@ -38,7 +38,7 @@
         ...
 
 
-class ServiceEntry(NamedTuple):
+class ServiceRoutesConfig(NamedTuple):
     """Dependencies of the service routes.
 
     :ivar daemon_id: ID of this daemon, the first part of request IDs.
@@ -59,10 +59,10 @@
     clock: Clock
     members_by_service: Callable[[], Mapping[str, Collection[str]]]
     not_ready: Callable[[], str]
-    limits: EntryLimits = EntryLimits()
+    limits: HttpLimits = HttpLimits()
 
 
-def service_routes(entry: ServiceEntry) -> list[web.RouteDef]:
+def service_routes(entry: ServiceRoutesConfig) -> list[web.RouteDef]:
     """Build the service routes.
 
     :param entry: dependencies of the routes.
@@ -73,7 +73,7 @@
 
 
 class _ServiceRoutes:
-    def __init__(self, entry: ServiceEntry) -> None:
+    def __init__(self, entry: ServiceRoutesConfig) -> None:
         self._entry = entry
         self._bodies = BodyReader(entry.limits)
         self._sequence = itertools.count(1)
@@ -111,7 +111,7 @@
         )
         not_ready = self._entry.not_ready()
         if not_ready:
-            return turn_away(head, not_ready, BUSY_RETRY_AFTER_MS)
+            return refuse_or_unknown(head, not_ready, BUSY_RETRY_AFTER_MS)
         if not self._is_permitted(head):
             return Rejected(
                 f'service {head.service!r} not found '
@@ -132,7 +132,7 @@
             case InvalidBody(reason=reason, status=status):
                 return Rejected(reason, status)
             case BodyMemoryExhausted():
-                return turn_away(
+                return refuse_or_unknown(
                     head,
                     'memory for request bodies is exhausted',
                     BUSY_RETRY_AFTER_MS,
--- a/waxwingford/entry/_site.py
+++ b/waxwingford/entry/_site.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from waxwingford.entry._limits import EntryLimits
+from waxwingford.entry._limits import HttpLimits
 
 _MS_IN_S = 1000
 #: Time for which the rest of a rejected body is still read, so that the caller
@@ -30,13 +30,13 @@
             transport.close()
 
 
-class HttpSite:
+class HttpServer:
     """Serves one application on one address, within limits.
 
     :ivar port: listening TCP port; 0 before :meth:`start`.
     """
 
-    def __init__(self, app: web.Application, limits: EntryLimits) -> None:
+    def __init__(self, app: web.Application, limits: HttpLimits) -> None:
         """Initialize without listening.
 
         :param app: application to serve.
--- a/waxwingford/entry/tests/entry_support.py
+++ b/waxwingford/entry/tests/entry_support.py
@@ -9,17 +9,17 @@
 from waxwingford.batch import JobAcceptedOutcome, JobCancelledOutcome, JobView
 from waxwingford.bundles import Unverified, Verified
 from waxwingford.entry import (
-    EntryLimits,
-    HttpSite,
-    JobEntry,
-    ServiceEntry,
+    HttpLimits,
+    HttpServer,
+    JobRoutesConfig,
+    ServiceRoutesConfig,
     job_routes,
     service_routes,
 )
 from waxwingford.kernel import SystemClock
 from waxwingford.routing import Answered, Refused, Rejected, Unknown
 
-LIMITS = EntryLimits(
+LIMITS = HttpLimits(
     body_bytes=2500,
     all_bodies_bytes=5000,
     connections=4,
@@ -97,7 +97,7 @@
         self.jobs = FakeJobService()
         clock = SystemClock()
         members = {'dispatcher': {'qadri'}, 'gifts': {'svatbena'}}
-        entry = ServiceEntry(
+        entry = ServiceRoutesConfig(
             daemon_id='gulberg-1',
             incarnation='1',
             dispatcher=self.dispatcher,
@@ -108,8 +108,10 @@
         )
         app = web.Application()
         app.add_routes(service_routes(entry))
-        app.add_routes(job_routes(JobEntry(self.jobs, verify, clock, LIMITS)))
-        self.site = HttpSite(app, LIMITS)
+        app.add_routes(
+            job_routes(JobRoutesConfig(self.jobs, verify, clock, LIMITS))
+        )
+        self.site = HttpServer(app, LIMITS)
         self.run(self.site.start('127.0.0.1', 0))
 
     def run(self, coroutine):
--- a/waxwingford/kernel/__init__.py
+++ b/waxwingford/kernel/__init__.py
@@ -2,16 +2,16 @@
 
 from waxwingford.kernel._clock import Clock, ManualClock, SystemClock
 from waxwingford.kernel._invariants import (
-    BrokenInvariant,
     Invariant,
-    on_broken,
-    require,
+    InvariantViolation,
+    add_violation_listener,
+    check_invariant,
 )
 from waxwingford.kernel._mailbox import Mailbox, MailboxFull, Posted
 from waxwingford.kernel._registry import Registry, UnknownPlugin, load_plugins
 
 __all__ = (
-    'BrokenInvariant',
+    'InvariantViolation',
     'Clock',
     'Invariant',
     'Mailbox',
@@ -22,6 +22,6 @@
     'SystemClock',
     'UnknownPlugin',
     'load_plugins',
-    'on_broken',
-    'require',
+    'add_violation_listener',
+    'check_invariant',
 )
--- a/waxwingford/kernel/_invariants.py
+++ b/waxwingford/kernel/_invariants.py
@@ -26,7 +26,7 @@
     member_isolation = 'a member affects only its own jobs'
 
 
-class BrokenInvariant(Exception):
+class InvariantViolation(Exception):
     """An invariant was violated; the process must stop.
 
     :ivar invariant: the violated invariant.
@@ -45,7 +45,7 @@
 _listeners: list[Callable[[Invariant, str], None]] = []
 
 
-def on_broken(listener: Callable[[Invariant, str], None]) -> None:
+def add_violation_listener(listener: Callable[[Invariant, str], None]) -> None:
     """Register a listener that is called before a violation is raised.
 
     :param listener: function of the invariant and the detail.
@@ -53,16 +53,16 @@
     _listeners.append(listener)
 
 
-def require(holds: bool, invariant: Invariant, detail: str) -> None:
+def check_invariant(holds: bool, invariant: Invariant, detail: str) -> None:
     """Check an invariant, and notify the listeners of a violation.
 
     :param holds: whether the invariant holds.
     :param invariant: the checked invariant.
     :param detail: IDs and values that show the violation.
-    :raises BrokenInvariant: if the invariant does not hold.
+    :raises InvariantViolation: if the invariant does not hold.
     """
     if holds:
         return
     for listener in _listeners:
         listener(invariant, detail)
-    raise BrokenInvariant(invariant, detail)
+    raise InvariantViolation(invariant, detail)
--- a/waxwingford/peers/__init__.py
+++ b/waxwingford/peers/__init__.py
@@ -1,27 +1,27 @@
 """RPCs between daemons: heartbeats, forwarding, recall of keys, bundles."""
 
-from waxwingford.peers._links import PeerClient, PeerLinks
+from waxwingford.peers._clients import PeerClient, PeerClients
 from waxwingford.peers._membership import (
-    BEAT_EVERY_MS,
+    HEARTBEAT_INTERVAL_MS,
     MAX_REMOTE_TARGETS,
     PEER_TIMEOUT_MS,
-    BeatTargets,
+    HeartbeatTargets,
     Membership,
-    PeerBeat,
-    beat_targets,
+    PeerHeartbeat,
+    choose_heartbeat_targets,
 )
 from waxwingford.peers._service import PeerRequestHandler, PeerService
 
 __all__ = (
-    'BEAT_EVERY_MS',
+    'HEARTBEAT_INTERVAL_MS',
     'MAX_REMOTE_TARGETS',
     'PEER_TIMEOUT_MS',
-    'BeatTargets',
+    'HeartbeatTargets',
     'Membership',
-    'PeerBeat',
+    'PeerHeartbeat',
     'PeerClient',
-    'PeerLinks',
+    'PeerClients',
     'PeerRequestHandler',
     'PeerService',
-    'beat_targets',
+    'choose_heartbeat_targets',
 )
--- a/waxwingford/peers/_links.py
+++ b/waxwingford/peers/_clients.py
@@ -7,11 +7,11 @@
 from grpclib.client import Channel
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
-from waxwingford.bundles import PeerBundle, PeerBundleAnswer, PeerSilent
+from waxwingford.bundles import PeerBundle, PeerBundleAnswer, PeerUnavailable
 from waxwingford.kernel import Clock
 from waxwingford.peers import _convert
 from waxwingford.peers import peers_pb2 as wire
-from waxwingford.peers._membership import PeerBeat
+from waxwingford.peers._membership import PeerHeartbeat
 from waxwingford.peers.peers_grpc import PeersStub
 from waxwingford.routing import (
     Outcome,
@@ -66,8 +66,8 @@
         self._channel.close()
 
     async def exchange(
-        self, beat: PeerBeat, timeout_ms: int
-    ) -> PeerBeat | None:
+        self, beat: PeerHeartbeat, timeout_ms: int
+    ) -> PeerHeartbeat | None:
         """Exchange heartbeats.
 
         :param beat: heartbeat of this daemon.
@@ -151,7 +151,7 @@
                 timeout=FETCH_TIMEOUT_MS / _MS_PER_S,
             )
         except _CALL_ERRORS as error:
-            return PeerSilent(str(error) or type(error).__name__)
+            return PeerUnavailable(str(error) or type(error).__name__)
         return PeerBundle(tuple(reply.payloads))
 
     def _unknown_outcome(self, error: Exception) -> Unknown:
@@ -169,7 +169,7 @@
         return True
 
 
-class PeerLinks:
+class PeerClients:
     """gRPC clients for all configured peers of a daemon."""
 
     def __init__(
@@ -263,8 +263,8 @@
         }
 
     async def beat(
-        self, peer_id: str, own: PeerBeat, timeout_ms: int
-    ) -> tuple[PeerBeat, float] | None:
+        self, peer_id: str, own: PeerHeartbeat, timeout_ms: int
+    ) -> tuple[PeerHeartbeat, float] | None:
         """Exchange heartbeats with one peer and measure the round trip.
 
         :param peer_id: id of the peer.
--- a/waxwingford/peers/_convert.py
+++ b/waxwingford/peers/_convert.py
@@ -1,7 +1,7 @@
 """Conversion between domain types and their protobuf messages."""
 
 from waxwingford.peers import peers_pb2 as wire
-from waxwingford.peers._membership import PeerBeat
+from waxwingford.peers._membership import PeerHeartbeat
 from waxwingford.routing import (
     Answered,
     Outcome,
@@ -16,7 +16,7 @@
 from waxwingford.timeline import EventId
 
 
-def beat_to_wire(beat: PeerBeat) -> wire.Beat:
+def beat_to_wire(beat: PeerHeartbeat) -> wire.Beat:
     """Encode a heartbeat.
 
     :param beat: heartbeat to send.
@@ -25,13 +25,13 @@
     return wire.Beat(**beat._asdict())
 
 
-def beat_from_wire(beat: wire.Beat) -> PeerBeat:
+def beat_from_wire(beat: wire.Beat) -> PeerHeartbeat:
     """Decode a heartbeat.
 
     :param beat: received protobuf message.
     :returns: decoded heartbeat.
     """
-    return PeerBeat(
+    return PeerHeartbeat(
         daemon_id=beat.daemon_id,
         incarnation=beat.incarnation,
         failure_domain=beat.failure_domain,
--- a/waxwingford/peers/_membership.py
+++ b/waxwingford/peers/_membership.py
@@ -15,7 +15,7 @@
 from waxwingford.settings import PeerAddress
 
 #: Interval between heartbeats, in milliseconds.
-BEAT_EVERY_MS = 1000
+HEARTBEAT_INTERVAL_MS = 1000
 #: A peer without a heartbeat for this long is not alive, in milliseconds.
 PEER_TIMEOUT_MS = 3500
 #: Largest number of heartbeat targets in other failure domains.
@@ -26,7 +26,7 @@
 _ROUND_TRIP_EWMA_WEIGHT = 0.2
 
 
-class PeerBeat(NamedTuple):
+class PeerHeartbeat(NamedTuple):
     """Heartbeat in which a daemon reports its state to a peer.
 
     :ivar daemon_id: id of the sender.
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _PeerState:
-    beat: PeerBeat
+    beat: PeerHeartbeat
     received_ms: int
     distance_ms: float
 
@@ -79,8 +79,11 @@
         }
         self._state_by_id: dict[str, _PeerState] = {}
 
-    def heard(
-        self, beat: PeerBeat, now_ms: int, round_trip_ms: float | None = None
+    def record_heartbeat(
+        self,
+        beat: PeerHeartbeat,
+        now_ms: int,
+        round_trip_ms: float | None = None,
     ) -> None:
         """Record the heartbeat of a peer.
 
@@ -163,19 +166,21 @@
         return now_ms - state.received_ms < PEER_TIMEOUT_MS
 
 
-class BeatTargets(NamedTuple):
+class HeartbeatTargets(NamedTuple):
     """Peers to which a daemon sends heartbeats.
 
-    :ivar each_interval: peers called once in each heartbeat interval.
-    :ivar at_release: peers called immediately after a control lease is
+    :ivar periodic: peers called once in each heartbeat interval.
+    :ivar on_release: peers called immediately after a control lease is
         released.
     """
 
-    each_interval: tuple[PeerAddress, ...]
-    at_release: tuple[PeerAddress, ...]
+    periodic: tuple[PeerAddress, ...]
+    on_release: tuple[PeerAddress, ...]
 
 
-def beat_targets(own: PeerAddress, peers: Sequence[PeerAddress]) -> BeatTargets:
+def choose_heartbeat_targets(
+    own: PeerAddress, peers: Sequence[PeerAddress]
+) -> HeartbeatTargets:
     """Choose the peers to exchange heartbeats with.
 
     An exchange informs both ends, so each pair within a failure domain has a
@@ -204,7 +209,9 @@
         for _, group in itertools.groupby(remote, key=_failure_domain_of)
     )
     ranked = sorted(candidates, key=lambda peer: _rank(own.daemon_id, peer))
-    return BeatTargets((*local_targets, *ranked[:MAX_REMOTE_TARGETS]), local)
+    return HeartbeatTargets(
+        (*local_targets, *ranked[:MAX_REMOTE_TARGETS]), local
+    )
 
 
 def _is_caller(own_id: str, peer_id: str) -> bool:
--- a/waxwingford/peers/_service.py
+++ b/waxwingford/peers/_service.py
@@ -7,7 +7,7 @@
 
 from waxwingford.peers import _convert
 from waxwingford.peers import peers_pb2 as wire
-from waxwingford.peers._membership import PeerBeat
+from waxwingford.peers._membership import PeerHeartbeat
 from waxwingford.peers.peers_grpc import PeersBase
 from waxwingford.routing import Outcome, RecallAnswer, Request
 from waxwingford.timeline import TimeLine
@@ -44,7 +44,7 @@
     def __init__(
         self,
         handler: PeerRequestHandler,
-        exchange: Callable[[PeerBeat], PeerBeat],
+        exchange: Callable[[PeerHeartbeat], PeerHeartbeat],
         bundle_payloads: Callable[[int], tuple[int, tuple[bytes, ...]]],
         time_line: TimeLine,
     ) -> None:
--- a/waxwingford/peers/tests/peers_steps.py
+++ b/waxwingford/peers/tests/peers_steps.py
@@ -11,10 +11,10 @@
 from waxwingford.kernel import SystemClock
 from waxwingford.peers import (
     Membership,
-    PeerBeat,
-    PeerLinks,
+    PeerClients,
+    PeerHeartbeat,
     PeerService,
-    beat_targets,
+    choose_heartbeat_targets,
 )
 from waxwingford.peers import peers_pb2 as wire
 from waxwingford.routing import (
@@ -60,7 +60,7 @@
 
 
 def make_heartbeat(name, *, draining=False):
-    return PeerBeat(name, 'i1', 'd1', 1, {}, {}, draining)
+    return PeerHeartbeat(name, 'i1', 'd1', 1, {}, {}, draining)
 
 
 def make_time_line(name):
@@ -125,7 +125,7 @@
 
 def call_peers(context, call):
     async def run():
-        links = PeerLinks(
+        links = PeerClients(
             'a', context.addresses, SystemClock(), make_time_line('a')
         )
         try:
@@ -181,10 +181,10 @@
 def check_target_bound(context, most):
     pairs = collections.Counter()
     for own in context.fleet:
-        targets = beat_targets(own, context.fleet)
-        called = targets.each_interval
+        targets = choose_heartbeat_targets(own, context.fleet)
+        called = targets.periodic
         assert len(called) <= most, len(called)
-        assert len(targets.at_release) == context.daemons_per_domain - 1
+        assert len(targets.on_release) == context.daemons_per_domain - 1
         pairs.update(
             frozenset((own.daemon_id, peer.daemon_id))
             for peer in called
@@ -204,17 +204,17 @@
     fleet = [make_address(name, 1) for name in names]
     context.membership = Membership(fleet[0], fleet)
     for name in (first, second):
-        context.membership.heard(make_heartbeat(name), at, 1)
+        context.membership.record_heartbeat(make_heartbeat(name), at, 1)
 
 
 @when('"{name}" sends a draining heartbeat at {at:d} ms')
 def record_draining_heartbeat(context, name, at):
-    context.membership.heard(make_heartbeat(name, draining=True), at)
+    context.membership.record_heartbeat(make_heartbeat(name, draining=True), at)
 
 
 @when('"{name}" sends a heartbeat again at {at:d} ms')
 def record_later_heartbeat(context, name, at):
-    context.membership.heard(make_heartbeat(name), at)
+    context.membership.record_heartbeat(make_heartbeat(name), at)
 
 
 @then('at {at:d} ms the daemons alive in the domain are "{names}"')
--- a/waxwingford/records/_fold.py
+++ b/waxwingford/records/_fold.py
@@ -6,7 +6,7 @@
 
 import collections
 
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 from waxwingford.ports import AttemptKey
 from waxwingford.records._index import (
     FinishedJobs,
@@ -192,13 +192,13 @@
     def _take(
         self, task: TaskState, offset: int, record: TasksClaimed, claim: Claim
     ) -> None:
-        require(
+        check_invariant(
             task.stage == TaskStage.pending
             and claim.key.attempt == task.attempt + 1,
             Invariant.single_run,
             f'{claim.key} claimed while {task.key} is {task.stage.name}',
         )
-        require(
+        check_invariant(
             claim.resume_from == task.checkpoint,
             Invariant.resume_once,
             f'{claim.key} resumes from {claim.resume_from}, but the latest '
--- a/waxwingford/routing/__init__.py
+++ b/waxwingford/routing/__init__.py
@@ -11,7 +11,7 @@
     NotExecutedEvidence,
     ReportedNotExecuted,
     refuse,
-    turn_away,
+    refuse_or_unknown,
 )
 from waxwingford.routing._key_store import KeyStore
 from waxwingford.routing._limits import DispatchLimits, ServiceLimits
@@ -66,5 +66,5 @@
     'Unknown',
     'Urgency',
     'refuse',
-    'turn_away',
+    'refuse_or_unknown',
 )
--- a/waxwingford/routing/_calls.py
+++ b/waxwingford/routing/_calls.py
@@ -4,7 +4,7 @@
 import dataclasses
 from collections.abc import Callable
 
-from waxwingford.kernel import Clock, Invariant, require
+from waxwingford.kernel import Clock, Invariant, check_invariant
 from waxwingford.ports import (
     BackendServerPort,
     ServiceAnswer,
@@ -169,7 +169,7 @@
             case ServiceAnswer(
                 status=status, content_type=content_type, body=body
             ):
-                require(
+                check_invariant(
                     outcome.request_id == call.request_id,
                     Invariant.whole_answer,
                     f'{outcome.request_id} answers {call.request_id}',
--- a/waxwingford/routing/_dispatcher.py
+++ b/waxwingford/routing/_dispatcher.py
@@ -5,9 +5,9 @@
 import random
 from collections.abc import Mapping
 
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 from waxwingford.routing._admission import AdmissionController, Admitted, Shed
-from waxwingford.routing._evidence import NeverSent, refuse, turn_away
+from waxwingford.routing._evidence import NeverSent, refuse, refuse_or_unknown
 from waxwingford.routing._key_gate import KeyGate
 from waxwingford.routing._key_messages import MayRun
 from waxwingford.routing._limits import DispatchLimits, ServiceLimits
@@ -106,7 +106,9 @@
         """
         if self._draining:
             retry_after_ms = self._admission.retry_after_ms(request.service)
-            return turn_away(request, 'daemon is stopping', retry_after_ms)
+            return refuse_or_unknown(
+                request, 'daemon is stopping', retry_after_ms
+            )
         if request.attempt > 1 and not request.idempotent and not request.key:
             return Rejected(
                 'retry of a non-idempotent request requires an idempotency key'
@@ -181,7 +183,7 @@
         if self._in_progress:
             return DrainTimedOut(len(self._in_progress))
         remaining = self._admission.in_progress()
-        require(
+        check_invariant(
             remaining == 0,
             Invariant.graceful_stop,
             f'{remaining} requests still admitted after the drain',
--- a/waxwingford/routing/_evidence.py
+++ b/waxwingford/routing/_evidence.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 from waxwingford.routing._messages import Refused, Request, Unknown
 
 
@@ -40,9 +40,9 @@
     :param evidence: evidence that the request was not executed.
     :param retry_after_ms: delay before a retry, in milliseconds.
     :returns: refusal.
-    :raises BrokenInvariant: if there is no evidence.
+    :raises InvariantViolation: if there is no evidence.
     """
-    require(
+    check_invariant(
         isinstance(evidence, NotExecutedEvidence),
         Invariant.true_refusal,
         f'refusal without evidence: {evidence!r}',
@@ -54,7 +54,7 @@
             return Refused(f'{receiver}: {reason}', retry_after_ms)
 
 
-def turn_away(
+def refuse_or_unknown(
     request: Request, reason: str, retry_after_ms: int
 ) -> Refused | Unknown:
     """Decline an attempt before any processing.
--- a/waxwingford/routing/_key_gate.py
+++ b/waxwingford/routing/_key_gate.py
@@ -6,7 +6,7 @@
 
 from waxwingford.kernel import Clock
 from waxwingford.routing._calls import CallOutcome, NotExecuted
-from waxwingford.routing._evidence import turn_away
+from waxwingford.routing._evidence import refuse_or_unknown
 from waxwingford.routing._key_messages import (
     KeyBodyMismatch,
     KeyDecision,
@@ -139,7 +139,9 @@
             case KeyBodyMismatch():
                 return BODY_MISMATCH
             case KeyStoreFull():
-                return turn_away(request, 'key store is full', FULL_RETRY_MS)
+                return refuse_or_unknown(
+                    request, 'key store is full', FULL_RETRY_MS
+                )
 
     def finish(self, request: Request, outcome: Outcome) -> None:
         """Record the outcome of an attempt that was permitted to run.
--- a/waxwingford/routing/_key_store.py
+++ b/waxwingford/routing/_key_store.py
@@ -4,7 +4,7 @@
 import dataclasses
 import enum
 
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 from waxwingford.routing._answer_cache import AnswerCache
 from waxwingford.routing._key_messages import (
     KeyBodyMismatch,
@@ -126,7 +126,7 @@
             another daemon has priority.
         """
         record = self._record_by_id[key_id]
-        require(
+        check_invariant(
             record.state is _KeyState.looking_up,
             Invariant.at_most_once,
             f'{key_id.member}/{key_id.key}: retry from {record.state.name}',
--- a/waxwingford/routing/_router.py
+++ b/waxwingford/routing/_router.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from waxwingford.kernel import Clock, Invariant, require
+from waxwingford.kernel import Clock, Invariant, check_invariant
 from waxwingford.ports import BackendServerPort
 from waxwingford.routing._calls import (
     CallOutcome,
@@ -179,7 +179,7 @@
     async def _send(
         self, request: Request, deadline_ms: int, progress: _Progress
     ) -> CallOutcome | NoFreeSlot | Rejected:
-        require(
+        check_invariant(
             request.idempotent or not progress.unknown_reason,
             Invariant.at_most_once,
             f'{request.request_id}: retried after {progress.unknown_reason}',
--- a/waxwingford/routing/_slots.py
+++ b/waxwingford/routing/_slots.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Iterable
 
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 from waxwingford.routing._call_tracker import CallTracker
 from waxwingford.routing._messages import HeldServer
 from waxwingford.routing._server_pool import ServerPool, lowest_latency
@@ -134,14 +134,14 @@
         if state is None or not state.choosable(now_ms):
             return None
         held = state.held
-        require(
+        check_invariant(
             held.lease_until_ms > now_ms,
             Invariant.lease_before_effect,
             f'{server_id}: lease expired {now_ms - held.lease_until_ms} ms ago',
         )
-        require(not held.leaving, Invariant.leaving_server, server_id)
+        check_invariant(not held.leaving, Invariant.leaving_server, server_id)
         state.in_flight += 1
-        require(
+        check_invariant(
             state.in_flight <= state.max_in_flight(),
             Invariant.capacity,
             f'{server_id}: {state.in_flight} calls for {held.slots} slots',
@@ -269,7 +269,7 @@
             return
         state = self.state_by_server[server_id]
         state.in_flight -= 1
-        require(
+        check_invariant(
             state.in_flight >= 0,
             Invariant.capacity,
             f'{server_id}: slot released twice',
--- a/waxwingford/settings/__init__.py
+++ b/waxwingford/settings/__init__.py
@@ -3,7 +3,7 @@
 from waxwingford.settings._load import (
     SettingsInvalid,
     SettingsLoaded,
-    is_for_scheduler,
+    is_scheduler_settings,
     load_scheduler_settings,
     load_settings,
     load_toml,
@@ -27,7 +27,7 @@
 )
 from waxwingford.settings._problems import Problem, problems_from_error
 from waxwingford.settings._scheduler import SchedulerSettings
-from waxwingford.settings._table import settings_page
+from waxwingford.settings._table import render_settings_page
 from waxwingford.settings._tls import Alpn, client_context, server_context
 
 __all__ = (
@@ -52,11 +52,11 @@
     'Tls',
     'Trust',
     'client_context',
-    'is_for_scheduler',
+    'is_scheduler_settings',
     'load_scheduler_settings',
     'load_settings',
     'load_toml',
     'problems_from_error',
     'server_context',
-    'settings_page',
+    'render_settings_page',
 )
--- a/waxwingford/settings/_load.py
+++ b/waxwingford/settings/_load.py
@@ -98,7 +98,7 @@
     return SettingsInvalid(loaded)
 
 
-def is_for_scheduler(path: str | pathlib.Path) -> bool:
+def is_scheduler_settings(path: str | pathlib.Path) -> bool:
     """Check whether a file holds the settings of a scheduler daemon.
 
     :param path: path of the TOML file.
--- a/waxwingford/settings/_table.py
+++ b/waxwingford/settings/_table.py
@@ -37,7 +37,7 @@
 """
 
 
-def settings_page(model: type[BaseModel] = Settings) -> str:
+def render_settings_page(model: type[BaseModel] = Settings) -> str:
     """Render the reference page of all settings.
 
     :param model: model of the settings file.
--- a/waxwingford/settings/tests/settings_steps.py
+++ b/waxwingford/settings/tests/settings_steps.py
@@ -12,7 +12,7 @@
     SettingsInvalid,
     SettingsLoaded,
     load_settings,
-    settings_page,
+    render_settings_page,
 )
 
 ROOT = pathlib.Path(__file__).resolve().parents[3]
@@ -110,4 +110,4 @@
 @then('docs/settings.md matches the settings model')
 def check_settings_page(context):
     page = (ROOT / 'docs' / 'settings.md').read_text()
-    assert page == settings_page()
+    assert page == render_settings_page()
--- a/waxwingford_bench/bundles/fleet.py
+++ b/waxwingford_bench/bundles/fleet.py
@@ -9,7 +9,7 @@
     BundleReader,
     PeerBundle,
     PeerBundleAnswer,
-    PeerSilent,
+    PeerUnavailable,
     ReaderSetup,
 )
 from waxwingford.kernel import SystemClock
@@ -171,7 +171,7 @@
     readers: list[BundleReader], peer: int, after_version: int
 ) -> PeerBundleAnswer:
     if peer >= len(readers):
-        return PeerSilent('absent')
+        return PeerUnavailable('absent')
     current = readers[peer].current
     if current is None or current.version <= after_version:
         return PeerBundle(())
--- a/waxwingford_bench/routing/site.py
+++ b/waxwingford_bench/routing/site.py
@@ -9,14 +9,14 @@
 
 from waxwingford.adapters import HttpServers
 from waxwingford.entry import (
-    EntryLimits,
-    HttpSite,
-    ServiceEntry,
+    HttpLimits,
+    HttpServer,
+    ServiceRoutesConfig,
     service_routes,
 )
 from waxwingford.kernel import Clock
 from waxwingford.metrics import Metrics
-from waxwingford.peers import PeerLinks, PeerService
+from waxwingford.peers import PeerClients, PeerService
 from waxwingford.routing import (
     DispatchLimits,
     DispatchPorts,
@@ -54,7 +54,7 @@
     ) -> None:
         self.time_line = TimeLine(daemon_id, '1', clock, 64)
         self.servers = HttpServers()
-        self.links = PeerLinks(daemon_id, peers, clock, self.time_line)
+        self.links = PeerClients(daemon_id, peers, clock, self.time_line)
         ports = DispatchPorts(
             self.servers, self.links, clock, self.time_line, Metrics()
         )
@@ -65,7 +65,7 @@
             rng=random.Random(1),
             limits=DispatchLimits(),
         )
-        entry = ServiceEntry(
+        entry = ServiceRoutesConfig(
             daemon_id=daemon_id,
             incarnation='1',
             dispatcher=self.dispatcher,
@@ -75,7 +75,7 @@
         )
         app = web.Application()
         app.add_routes(service_routes(entry))
-        self.site = HttpSite(app, EntryLimits())
+        self.site = HttpServer(app, HttpLimits())
 
     async def stop(self) -> None:
         await self.site.stop()
@@ -94,7 +94,7 @@
         self._clock = clock
         app = web.Application()
         app.router.add_post('/services/dispatcher/{path}', _echo)
-        self._backend = HttpSite(app, EntryLimits())
+        self._backend = HttpServer(app, HttpLimits())
         self._holder = _Daemon('gulberg-1', clock, ())
         self._peer: _Daemon | None = None
         self._rpc = Server(
--- a/waxwingford_standins/tests/tls_steps.py
+++ b/waxwingford_standins/tests/tls_steps.py
@@ -14,7 +14,7 @@
 from waxwingford.commands._keys import private_pem, write_private
 from waxwingford.commands.main import run as run_command
 from waxwingford.kernel import SystemClock
-from waxwingford.peers import PeerBeat, PeerLinks
+from waxwingford.peers import PeerClients, PeerHeartbeat
 from waxwingford.routing import Answered, Request, Urgency
 from waxwingford.settings import Alpn, client_context, load_settings
 from waxwingford.timeline import TimeLine
@@ -168,8 +168,8 @@
     settings = load_daemon_settings(TRUSTED[0])
     clock = SystemClock()
     time_line = TimeLine(daemon_id, 'test', clock, 64)
-    links = PeerLinks(daemon_id, settings.peers, clock, time_line, tls)
-    beat = PeerBeat(daemon_id, 'test', DOMAIN, 1, {}, {})
+    links = PeerClients(daemon_id, settings.peers, clock, time_line, tls)
+    beat = PeerHeartbeat(daemon_id, 'test', DOMAIN, 1, {}, {})
     request = Request(
         request_id=f'{daemon_id}-forward',
         member='qadri',
