--- a/waxwingford/batch/__init__.py
+++ b/waxwingford/batch/__init__.py
@@ -9,14 +9,14 @@
     EmitEvent,
     JobAcceptedOutcome,
     JobCancelledOutcome,
+    JobOutcomeUnknown,
     JobRefused,
     JobRejected,
-    JobUnknown,
     ReplySubmission,
     SubmissionOutcome,
     WriteSnapshot,
 )
-from waxwingford.batch._executor import is_too_late
+from waxwingford.batch._executor import is_expired
 from waxwingford.batch._first_fit import FirstFit
 from waxwingford.batch._messages import (
     AliveDaemons,
@@ -27,8 +27,8 @@
     ControlResult,
     Drain,
     EvictTask,
-    LogAway,
     LogEntries,
+    LogReadFailed,
     LogRecovered,
     Message,
     ReadGroup,
@@ -38,7 +38,7 @@
     Tick,
     VmListRead,
 )
-from waxwingford.batch._reader import read_group
+from waxwingford.batch._reader import decode_entry
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.batch._shell import BatchTask
 from waxwingford.batch._status import ServerStatus, TaskCounts
@@ -65,9 +65,9 @@
     'JobCancelledOutcome',
     'JobRefused',
     'JobRejected',
-    'JobUnknown',
+    'JobOutcomeUnknown',
     'JobView',
-    'LogAway',
+    'LogReadFailed',
     'LogRecovered',
     'LogEntries',
     'Message',
@@ -84,6 +84,6 @@
     'Tick',
     'VmListRead',
     'WriteSnapshot',
-    'is_too_late',
-    'read_group',
+    'is_expired',
+    'decode_entry',
 )
--- a/waxwingford/batch/_appender.py
+++ b/waxwingford/batch/_appender.py
@@ -14,8 +14,8 @@
 
 from waxwingford.batch._effects import (
     Append,
+    JobOutcomeUnknown,
     JobRefused,
-    JobUnknown,
     ReplySubmission,
 )
 from waxwingford.ports import Appended, AppendOutcome, AppendRefused
@@ -244,7 +244,7 @@
     def _reply_unknown(
         self, in_flight: _InFlightGroup
     ) -> list[ReplySubmission]:
-        unknown = JobUnknown(
+        unknown = JobOutcomeUnknown(
             'the platform log did not answer; the request may take effect',
             _UNKNOWN_RETRY_MS,
         )
--- a/waxwingford/batch/_control_results.py
+++ b/waxwingford/batch/_control_results.py
@@ -40,7 +40,7 @@
 
         :param result: result of the exchange.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: events for the time line.
+        :returns: events for the timeline.
         """
         server = self._fleet.server_by_id.get(result.server_id)
         if server is None or server.in_flight is None:
--- a/waxwingford/batch/_controller.py
+++ b/waxwingford/batch/_controller.py
@@ -22,8 +22,8 @@
     ControlResult,
     Drain,
     EvictTask,
-    LogAway,
     LogEntries,
+    LogReadFailed,
     Message,
     ServersReleased,
     SnapshotWritten,
@@ -113,7 +113,7 @@
         match message:
             case LogEntries():
                 return stream.handle_entries(message, now_ms)
-            case LogAway(reason=reason):
+            case LogReadFailed(reason=reason):
                 return stream.handle_read_failure(reason)
             case AppendResult(sequence=sequence, outcome=outcome):
                 return stream.appender.handle_result(sequence, outcome, now_ms)
--- a/waxwingford/batch/_effects.py
+++ b/waxwingford/batch/_effects.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class JobUnknown:
+class JobOutcomeUnknown:
     """The outcome is unknown; a retry with the same job id is idempotent.
 
     :ivar reason: human-readable reason.
@@ -64,7 +64,7 @@
     JobAcceptedOutcome
     | JobCancelledOutcome
     | JobRefused
-    | JobUnknown
+    | JobOutcomeUnknown
     | JobRejected
 )
 
@@ -114,7 +114,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EmitEvent:
-    """Add an event to the time line.
+    """Add an event to the timeline.
 
     :ivar kind: kind of the event.
     :ivar subject: what the event concerns, such as ``server:<id>``.
--- a/waxwingford/batch/_executor.py
+++ b/waxwingford/batch/_executor.py
@@ -23,7 +23,7 @@
 _LEASE_EXPIRED = 'lease expired before the request was sent'
 
 
-def is_too_late(effect: Control, now_ms: int) -> bool:
+def is_expired(effect: Control, now_ms: int) -> bool:
     """Return whether an exchange is no longer valid at the time of sending.
 
     :param effect: the exchange.
@@ -77,7 +77,7 @@
         """
         generation = self._generation
         sent_ms = self._clock.monotonic_ms()
-        if is_too_late(effect, sent_ms):
+        if is_expired(effect, sent_ms):
             outcome: ControlOutcome = ControlOutcomeUnknown(
                 _LEASE_EXPIRED, not_sent=True
             )
--- a/waxwingford/batch/_fleet.py
+++ b/waxwingford/batch/_fleet.py
@@ -37,7 +37,7 @@
     :ivar lease_timing: interval of exchanges and durations of leases, for the
         number of servers held at present.
     :ivar released: servers whose leases were released since the last call of
-        ``BatchQueries.take_released``.
+        ``BatchQueries.pop_released_servers``.
     :ivar draining: whether this daemon releases its leases to stop.
     :ivar reserved_by_service: resources reserved on each VM for its service,
         by service.
--- a/waxwingford/batch/_hints.py
+++ b/waxwingford/batch/_hints.py
@@ -24,9 +24,7 @@
         super().__init__(clock)
         self._alive: AliveDaemons | None = None
 
-    def set_alive(  # noqa: WPS615
-        self, daemon_ids: Iterable[str]
-    ) -> None:
+    def update_live_daemons(self, daemon_ids: Iterable[str]) -> None:
         """Update the daemons of the failure domain that appear to be alive.
 
         :param daemon_ids: ids of the daemons.
@@ -55,7 +53,7 @@
         """
         self._handle(BusyShares(share_by_server))
 
-    def note_released(self, server_ids: Iterable[str]) -> None:
+    def handle_released_leases(self, server_ids: Iterable[str]) -> None:
         """Record servers released by a peer, to acquire them without delay.
 
         :param server_ids: ids of the servers.
--- a/waxwingford/batch/_messages.py
+++ b/waxwingford/batch/_messages.py
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LogAway:
+class LogReadFailed:
     """A read of the log failed.
 
     :ivar reason: human-readable reason.
@@ -219,7 +219,7 @@
 Message = (
     Tick
     | LogEntries
-    | LogAway
+    | LogReadFailed
     | LogRecovered
     | AppendResult
     | ControlResult
--- a/waxwingford/batch/_queries.py
+++ b/waxwingford/batch/_queries.py
@@ -15,7 +15,7 @@
     list_jobs,
 )
 from waxwingford.kernel import Clock
-from waxwingford.routing import HeldServer
+from waxwingford.routing import LeasedServer
 
 
 class BatchQueries:
@@ -75,7 +75,7 @@
             controller.stream.log_error,
         )
 
-    def held_servers(self) -> tuple[HeldServer, ...]:
+    def held_servers(self) -> tuple[LeasedServer, ...]:
         """List the servers whose control lease is held.
 
         :returns: the servers, as routing uses them.
@@ -86,7 +86,7 @@
         now_ms = self._clock.monotonic_ms()
         wall_ms = self._clock.wall_ms()
         return tuple(
-            HeldServer(
+            LeasedServer(
                 server_id,
                 server.vm.rack,
                 server.vm.service,
@@ -141,7 +141,7 @@
             return TaskCounts(0, 0)
         return task_counts(self._controller)
 
-    def take_released(self) -> tuple[str, ...]:
+    def pop_released_servers(self) -> tuple[str, ...]:
         """Return the servers released since the last call.
 
         :returns: ids of the servers, for an immediate heartbeat to peers.
--- a/waxwingford/batch/_reader.py
+++ b/waxwingford/batch/_reader.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from waxwingford.batch._messages import LogAway, LogEntries, ReadGroup
+from waxwingford.batch._messages import LogEntries, LogReadFailed, ReadGroup
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.kernel import Clock
 from waxwingford.ports import LogEntry, LogPort, LogRead, LogUnavailable
@@ -54,7 +54,7 @@
         self._rng = random.Random()
         self._failures = 0
 
-    async def read(self, from_offset: int) -> LogEntries | LogAway:
+    async def read(self, from_offset: int) -> LogEntries | LogReadFailed:
         """Read once, waiting for new entries.
 
         :param from_offset: first offset to read.
@@ -66,22 +66,22 @@
         )
         match outcome:
             case LogUnavailable(reason=reason):
-                return LogAway(reason)
+                return LogReadFailed(reason)
             case LogRead():
                 return LogEntries(
-                    tuple(read_group(entry) for entry in outcome.entries),
+                    tuple(decode_entry(entry) for entry in outcome.entries),
                     started_ms,
                     outcome.next_offset,
                     outcome.oldest_offset,
                 )
 
-    async def pause(self, message: LogEntries | LogAway) -> None:
+    async def pause(self, message: LogEntries | LogReadFailed) -> None:
         """Wait before the next read.
 
         :param message: result of the last read.
         """
         pause_ms = _BATCHING_PAUSE_MS
-        if isinstance(message, LogAway):
+        if isinstance(message, LogReadFailed):
             self._failures += 1
             pause_ms = away_pause_ms(self._failures, self._rng)
         else:
@@ -89,7 +89,7 @@
         await asyncio.sleep(pause_ms / _MS_IN_S)
 
 
-def read_group(entry: LogEntry) -> ReadGroup:
+def decode_entry(entry: LogEntry) -> ReadGroup:
     """Decode an entry of the log.
 
     :param entry: entry as read.
--- a/waxwingford/batch/_replies.py
+++ b/waxwingford/batch/_replies.py
@@ -4,7 +4,7 @@
 import itertools
 from typing import NamedTuple
 
-from waxwingford.batch._effects import JobUnknown, SubmissionOutcome
+from waxwingford.batch._effects import JobOutcomeUnknown, SubmissionOutcome
 
 
 class PendingReply(NamedTuple):
@@ -64,4 +64,6 @@
         :param retry_after_ms: time before a retry, in milliseconds.
         """
         for submission_id in list(self._reply_by_id):
-            self.resolve(submission_id, JobUnknown(reason, retry_after_ms))
+            self.resolve(
+                submission_id, JobOutcomeUnknown(reason, retry_after_ms)
+            )
--- a/waxwingford/batch/_server.py
+++ b/waxwingford/batch/_server.py
@@ -205,7 +205,7 @@
 
 
 def server_event(kind: str, server: ServerControl, detail: str) -> EmitEvent:
-    """Build a time-line event about a server.
+    """Build a timeline event about a server.
 
     :param kind: kind of the event.
     :param server: the backend server.
--- a/waxwingford/batch/_shell.py
+++ b/waxwingford/batch/_shell.py
@@ -11,8 +11,8 @@
     Drained,
     Effect,
     EmitEvent,
+    JobOutcomeUnknown,
     JobRefused,
-    JobUnknown,
     ReplySubmission,
     SubmissionOutcome,
     WriteSnapshot,
@@ -31,7 +31,7 @@
 from waxwingford.batch._reader import StreamReader, away_pause_ms
 from waxwingford.batch._replies import PendingReplies, PendingReply
 from waxwingford.batch._settings import BatchSettings
-from waxwingford.batch._snapshots import load_newest
+from waxwingford.batch._snapshots import load_newest_snapshot
 from waxwingford.kernel import Clock
 from waxwingford.ports import (
     BackendServerPort,
@@ -40,7 +40,7 @@
     LogUnavailable,
 )
 from waxwingford.records import DomainState, JobSpec
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 _MS_IN_S = 1000
 _TICK_MS = 50
@@ -66,7 +66,7 @@
     return round(_LIST_EVERY_MS * share)
 
 
-def spread_retry(
+def add_retry_jitter(
     outcome: SubmissionOutcome, rng: random.Random
 ) -> SubmissionOutcome:
     """Add jitter to the retry delay of a refused or unknown submission.
@@ -78,7 +78,7 @@
     :param rng: source of the jitter.
     :returns: the outcome, with a longer retry delay if it has one.
     """
-    if not isinstance(outcome, JobRefused | JobUnknown):
+    if not isinstance(outcome, JobRefused | JobOutcomeUnknown):
         return outcome
     least_ms = outcome.retry_after_ms
     retry_ms = rng.randint(least_ms, least_ms * _RETRY_SPREAD)
@@ -100,7 +100,7 @@
         servers: BackendServerPort,
         directory: DirectoryPort,
         clock: Clock,
-        time_line: TimeLine,
+        timeline: Timeline,
     ) -> None:
         """Create a task that is not running yet.
 
@@ -109,13 +109,13 @@
         :param servers: port that controls backend servers.
         :param directory: port of the platform's list of VMs.
         :param clock: source of time.
-        :param time_line: time line that records events.
+        :param timeline: timeline that records events.
         """
         super().__init__(clock)
         self._settings = settings
         self._log = log
         self._directory = directory
-        self._time_line = time_line
+        self._timeline = timeline
         self._executor = EffectExecutor(
             settings, log, servers, clock, self._handle
         )
@@ -197,7 +197,7 @@
         self, reply: PendingReply, message: SubmitJob | CancelJob
     ) -> SubmissionOutcome:
         if self._controller is None:
-            refusal = spread_retry(
+            refusal = add_retry_jitter(
                 JobRefused(self._load_problem, _NOT_READY_RETRY_MS), self._rng
             )
             self._replies.resolve(reply.submission_id, refusal)
@@ -207,7 +207,7 @@
     async def _load(self, stream: str) -> DomainState:
         failures = 0
         while True:
-            outcome = await load_newest(self._log, stream)
+            outcome = await load_newest_snapshot(self._log, stream)
             if not isinstance(outcome, LogUnavailable):
                 return outcome or DomainState()
             failures += 1
@@ -225,7 +225,7 @@
         )
         self._executor.start_generation(self._generation)
         self._controller = DomainController(settings, state, now_ms)
-        self._time_line.note(
+        self._timeline.note(
             'batch.loaded', 'stream', f'from offset {state.next_offset}'
         )
         for message in (self._bundle, self._alive, self._last_vm_list):
@@ -267,10 +267,10 @@
     def _carry_out(self, effect: Effect) -> None:
         match effect:
             case ReplySubmission(submission_id=submission_id, outcome=outcome):
-                spread = spread_retry(outcome, self._rng)
+                spread = add_retry_jitter(outcome, self._rng)
                 self._replies.resolve(submission_id, spread)
             case EmitEvent(kind=kind, subject=subject, detail=detail):
-                self._time_line.note(kind, subject, detail)
+                self._timeline.note(kind, subject, detail)
             case Control():
                 self._group.create_task(self._executor.control(effect))
             case Append():
--- a/waxwingford/batch/_snapshots.py
+++ b/waxwingford/batch/_snapshots.py
@@ -17,7 +17,7 @@
 _READ_ENTRIES = 32
 
 
-async def load_newest(
+async def load_newest_snapshot(
     log: LogPort, stream: str
 ) -> DomainState | LogUnavailable | None:
     """Find the newest complete snapshot, searching back from the head.
--- a/waxwingford/batch/_stream.py
+++ b/waxwingford/batch/_stream.py
@@ -212,7 +212,7 @@
 
 
 def task_events(verdict: Valid) -> list[EmitEvent]:
-    """Build the time-line events of a record about attempts.
+    """Build the timeline events of a record about attempts.
 
     :param verdict: a record that took effect.
     :returns: one event for each attempt.
--- a/waxwingford/batch/tests/mutations.py
+++ b/waxwingford/batch/tests/mutations.py
@@ -54,7 +54,7 @@
 def send_after_expiry():
     """Send requests without checking the lease again."""
     late = mock.patch.object(
-        virtual_daemon, 'is_too_late', lambda effect, now_ms: False
+        virtual_daemon, 'is_expired', lambda effect, now_ms: False
     )
     unbounded = mock.patch.object(
         ControlLease, 'good_for', lambda lease, until_ms: (0, 0)
--- a/waxwingford/batch/tests/random_run_steps.py
+++ b/waxwingford/batch/tests/random_run_steps.py
@@ -77,5 +77,5 @@
 def includes_all(context):
     lines = ' '.join(map(describe, context.domains))
     assert 'JobRefused' in lines, lines
-    assert 'JobUnknown' in lines, lines
+    assert 'JobOutcomeUnknown' in lines, lines
     assert sum(one.oracle.evictions for one in context.domains), lines
--- a/waxwingford/batch/tests/task_steps.py
+++ b/waxwingford/batch/tests/task_steps.py
@@ -8,7 +8,7 @@
 from waxwingford.kernel import SystemClock
 from waxwingford.ports import Resources, Vm, VmList, VmState
 from waxwingford.records import JobSpec, RecordGroup, encode_group
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 from waxwingford_standins.backend_server import BackendServerCore
 from waxwingford_standins.platform_log import FakeLog, LogCore, Outage
 from waxwingford_standins.server_service import ServiceModel
@@ -81,10 +81,10 @@
         servers=context.servers,
         directory=FakeDirectory(context.vms),
         clock=context.clock,
-        time_line=TimeLine(daemon_id, '1', context.clock, 100),
+        timeline=Timeline(daemon_id, '1', context.clock, 100),
     )
     task.set_bundle(BUNDLE)
-    task.set_alive(('d0', 'd1'))
+    task.update_live_daemons(('d0', 'd1'))
     context.running.append(context.loop.create_task(task.run()))
     return task
 
@@ -194,7 +194,7 @@
     drain = context.tasks[0].drain(TIMEOUT_S * 1000)
     assert context.loop.run_until_complete(drain)
     context.running[0].cancel()
-    context.tasks[1].set_alive(('d1',))
+    context.tasks[1].update_live_daemons(('d1',))
 
 
 @then('the second batch task holds both servers')
--- a/waxwingford/bundles/__init__.py
+++ b/waxwingford/bundles/__init__.py
@@ -1,11 +1,15 @@
 """Configuration bundles: model, signatures, chain, reader, publishing."""
 
-from waxwingford.bundles._baseline import Located, fold_window, locate
+from waxwingford.bundles._baseline import (
+    RecoveredChain,
+    fold_window,
+    recover_chain,
+)
 from waxwingford.bundles._canonical import (
     Body,
     canonical_bytes,
-    digest_of,
-    make_patch,
+    compute_digest,
+    make_merge_patch,
 )
 from waxwingford.bundles._chain import BundleChain
 from waxwingford.bundles._model import (
@@ -14,16 +18,16 @@
     BatchKind,
     Bundle,
     FailureDomain,
-    MemberTerms,
-    ServerSize,
+    FeatureSwitches,
+    MemberEntitlement,
+    ResourceAmounts,
     Service,
-    Switches,
     TeamQuota,
 )
 from waxwingford.bundles._peers import (
     PeerBundle,
     PeerBundleAnswer,
-    PeerBundles,
+    PeerBundleClient,
     PeerUnavailable,
 )
 from waxwingford.bundles._publish import (
@@ -44,29 +48,29 @@
     encode_record,
 )
 from waxwingford.bundles._requests import (
-    FRESH_MS,
+    MAX_CLOCK_SKEW_MS,
     NonceCache,
     Unverified,
     Verified,
     sign_request,
     verify_request,
 )
-from waxwingford.bundles._restate import RESTATE_CHANGES
+from waxwingford.bundles._restate import MAX_CHANGES_BETWEEN_RESTATEMENTS
 from waxwingford.bundles._setup import (
     NotReady,
-    ReaderSetup,
-    ReaderTimes,
+    ReaderDependencies,
+    ReaderTiming,
     Ready,
 )
 from waxwingford.bundles._signing import (
-    public_text,
+    encode_public_key,
     sign_digest,
     signature_fault,
 )
 from waxwingford.bundles._toml import (
     BundleInvalid,
     BundleLoaded,
-    body_of,
+    bundle_body,
     load_bundle,
 )
 from waxwingford.bundles._verdicts import (
@@ -80,9 +84,9 @@
 
 __all__ = (
     'CONFIG_STREAM',
-    'FRESH_MS',
+    'MAX_CLOCK_SKEW_MS',
     'MAX_BUNDLE_BYTES',
-    'RESTATE_CHANGES',
+    'MAX_CHANGES_BETWEEN_RESTATEMENTS',
     'AlreadyInForce',
     'Batch',
     'BatchKind',
@@ -99,40 +103,40 @@
     'FromLog',
     'FromPeer',
     'InForce',
-    'Located',
-    'MemberTerms',
+    'RecoveredChain',
+    'MemberEntitlement',
     'NonceCache',
     'NotReady',
     'PeerBundle',
     'PeerBundleAnswer',
-    'PeerBundles',
+    'PeerBundleClient',
     'PeerUnavailable',
     'PublishOutcome',
     'PublishRefused',
     'PublishUnavailable',
     'PublishUnknown',
     'Published',
-    'ReaderSetup',
-    'ReaderTimes',
+    'ReaderDependencies',
+    'ReaderTiming',
     'Ready',
     'RejectedBundle',
-    'ServerSize',
+    'ResourceAmounts',
     'Service',
-    'Switches',
+    'FeatureSwitches',
     'TeamQuota',
     'Unverified',
     'Verified',
-    'body_of',
+    'bundle_body',
     'canonical_bytes',
     'decode_record',
-    'digest_of',
+    'compute_digest',
     'encode_record',
     'fold_window',
     'load_bundle',
-    'locate',
-    'make_patch',
+    'recover_chain',
+    'make_merge_patch',
     'make_record',
-    'public_text',
+    'encode_public_key',
     'publish',
     'sign_digest',
     'sign_request',
--- a/waxwingford/bundles/_baseline.py
+++ b/waxwingford/bundles/_baseline.py
@@ -58,7 +58,7 @@
     as_of: int
 
 
-class Located(NamedTuple):
+class RecoveredChain(NamedTuple):
     """Chain at the head of the stream.
 
     :ivar chain: chain with the newest bundle that the retained entries prove
@@ -135,9 +135,9 @@
     )
 
 
-async def locate(
+async def recover_chain(
     log: LogPort, key_by_member: Mapping[str, str]
-) -> Located | LogUnavailable:
+) -> RecoveredChain | LogUnavailable:
     """Read back from the head until the bundle in force is proved.
 
     :param log: the platform's log.
@@ -162,7 +162,7 @@
         )
         if is_complete or is_settled:
             from_start = window.start == 0
-            return Located(chain, as_of, window.next_offset, from_start)
+            return RecoveredChain(chain, as_of, window.next_offset, from_start)
         window_entries *= _WINDOW_GROWTH
     return probe
 
--- a/waxwingford/bundles/_canonical.py
+++ b/waxwingford/bundles/_canonical.py
@@ -29,7 +29,7 @@
     return _encoder.encode(body)
 
 
-def digest_of(canonical: bytes) -> str:
+def compute_digest(canonical: bytes) -> str:
     """Compute the digest that identifies a body.
 
     :param canonical: canonical bytes of the body.
@@ -74,7 +74,7 @@
     return merge_patch(base, change, depth)
 
 
-def make_patch(old: Body, new: Body) -> Body:
+def make_merge_patch(old: Body, new: Body) -> Body:
     """Compute the merge patch between two bodies.
 
     :param old: body before the change.
@@ -92,7 +92,7 @@
 
 def _value_patch(before: Any, after: Any) -> Any:
     if isinstance(before, dict) and isinstance(after, dict):
-        return make_patch(before, after)
+        return make_merge_patch(before, after)
     return after
 
 
--- a/waxwingford/bundles/_chain.py
+++ b/waxwingford/bundles/_chain.py
@@ -9,7 +9,7 @@
     Body,
     PatchTooDeep,
     canonical_bytes,
-    digest_of,
+    compute_digest,
     merge_patch,
     short_digest,
 )
@@ -228,7 +228,7 @@
             f'body of {len(canonical)} bytes, '
             f'expected at most {MAX_BUNDLE_BYTES}'
         )
-    digest = digest_of(canonical)
+    digest = compute_digest(canonical)
     if digest != record.digest:
         return f'body has digest {short_digest(digest)}, record claims {short_digest(record.digest)}'
     return ''
--- a/waxwingford/bundles/_model.py
+++ b/waxwingford/bundles/_model.py
@@ -38,7 +38,7 @@
     )
 
 
-class MemberTerms(_StrictModel):
+class MemberEntitlement(_StrictModel):
     """Entitlement of a member.
 
     :ivar share: share of the backend servers' capacity, 0 to 1.
@@ -58,7 +58,7 @@
     daemons: tuple[Name, ...]
 
 
-class ServerSize(_StrictModel):
+class ResourceAmounts(_StrictModel):
     """A vector of resources.
 
     :ivar processors_milli: thousandths of a core.
@@ -91,14 +91,14 @@
     target_p99_ms: Millis
     tail_weight: Share
     eviction_weight: Share
-    reserved: ServerSize
+    reserved: ResourceAmounts
     concurrency_by_member: dict[
         Name, Annotated[int, Field(ge=0, le=_MAX_CONCURRENCY)]
     ]
     retry_budget_share: Share = 0.1
 
 
-class TeamQuota(ServerSize):
+class TeamQuota(ResourceAmounts):
     """Resource quota of a team, named ``<member>/<team>``.
 
     :ivar may_borrow: whether it may use idle quota of other teams.
@@ -137,7 +137,7 @@
     kinds: dict[Name, BatchKind] = {}
 
 
-class Switches(_StrictModel):
+class FeatureSwitches(_StrictModel):
     """Feature switches for mechanisms that can be disabled individually.
 
     :ivar colocation_throttle: throttle batch tasks before evicting them.
@@ -174,15 +174,15 @@
 
     version: Annotated[int, Field(ge=1, le=_MAX_VERSION)]
     predecessor: Digest
-    members: Annotated[dict[Name, MemberTerms], Field(min_length=1)]
+    members: Annotated[dict[Name, MemberEntitlement], Field(min_length=1)]
     failure_domains: Annotated[dict[Name, FailureDomain], Field(min_length=1)]
-    largest_server: ServerSize
+    largest_server: ResourceAmounts
     services: dict[Name, Service]
     teams: dict[TeamName, TeamQuota] = {}
     policy: Name = 'learned'
     routing: Name = 'two_choices'
     batch: Batch = Batch()
-    switches: Switches = Switches()
+    switches: FeatureSwitches = FeatureSwitches()
 
     @model_validator(mode='after')
     def check_limits(self) -> 'Bundle':
--- a/waxwingford/bundles/_peers.py
+++ b/waxwingford/bundles/_peers.py
@@ -29,7 +29,7 @@
 PeerBundleAnswer = PeerBundle | PeerUnavailable
 
 
-class PeerBundles(Protocol):
+class PeerBundleClient(Protocol):
     """Client for all configured peers."""
 
     async def fetch(self, after_version: int) -> dict[str, PeerBundleAnswer]:
@@ -57,7 +57,7 @@
 
 
 def bootstrap_fault(
-    answers: Mapping[str, PeerBundleAnswer], domain_daemons: frozenset[str]
+    answers: Mapping[str, PeerBundleAnswer], domain_peers: frozenset[str]
 ) -> str:
     """Check whether a daemon without a bundle may take one from its peers.
 
@@ -66,7 +66,7 @@
     revert it.
 
     :param answers: answers by daemon id.
-    :param domain_daemons: ids of the other configured daemons of the failure
+    :param domain_peers: ids of the other configured daemons of the failure
         domain.
     :returns: why it may not, empty if it may.
     """
@@ -75,9 +75,9 @@
         for daemon_id, answer in answers.items()
         if isinstance(answer, PeerBundle)
     }
-    unanswered = sorted(domain_daemons - answered)
+    unanswered = sorted(domain_peers - answered)
     if unanswered:
         return f'no answer from {", ".join(unanswered)}'
-    if not domain_daemons:
+    if not domain_peers:
         return 'no other daemon in the failure domain to ask'
     return '' if offered_payloads(answers) else 'no peer has a bundle'
--- a/waxwingford/bundles/_publish.py
+++ b/waxwingford/bundles/_publish.py
@@ -4,12 +4,12 @@
 import dataclasses
 from collections.abc import Mapping
 
-from waxwingford.bundles._baseline import Located, locate
+from waxwingford.bundles._baseline import RecoveredChain, recover_chain
 from waxwingford.bundles._canonical import (
     Body,
     canonical_bytes,
-    digest_of,
-    make_patch,
+    compute_digest,
+    make_merge_patch,
     short_digest,
 )
 from waxwingford.bundles._model import Bundle
@@ -19,7 +19,7 @@
     RejectedBundle,
     encode_record,
 )
-from waxwingford.bundles._toml import body_of
+from waxwingford.bundles._toml import bundle_body
 from waxwingford.bundles._verdicts import (
     BundleInForce,
     FromBaseline,
@@ -109,16 +109,16 @@
         been read; else None.
     :returns: record to append.
     """
-    body = body_of(bundle)
+    body = bundle_body(bundle)
     canonical = canonical_bytes(body)
-    patch = make_patch(current_body, body)
+    patch = make_merge_patch(current_body, body)
     use_patch = bool(current_body) and (
         len(canonical_bytes(patch)) < len(canonical)
     )
     return BundleRecord(
         version=bundle.version,
         predecessor=bundle.predecessor,
-        digest=digest_of(canonical),
+        digest=compute_digest(canonical),
         signature_by_member=dict(signature_by_member),
         body=None if use_patch else body,
         patch=patch if use_patch else None,
@@ -144,41 +144,41 @@
         bundle in force keep it.
     :returns: tagged outcome; calling again is safe after each of them.
     """
-    located = await locate(log, key_by_member)
-    if isinstance(located, LogUnavailable):
-        return PublishUnavailable(located.reason)
-    body = located.chain.body
-    as_of = located.next_offset if restate else None
+    recovered = await recover_chain(log, key_by_member)
+    if isinstance(recovered, LogUnavailable):
+        return PublishUnavailable(recovered.reason)
+    body = recovered.chain.body
+    as_of = recovered.next_offset if restate else None
     record = make_record(bundle, signature_by_member, body, as_of)
-    if _is_current(located.chain.current, record):
+    if _is_current(recovered.chain.current, record):
         return Published(record.version, record.digest, -1)
-    proved = located.chain.current is not None or located.from_start
+    proved = recovered.chain.current is not None or recovered.from_start
     if proved == restate:
         return PublishRefused(_PROOF_RETAINED if restate else _PROOF_LOST)
-    fault = _dry_run(located, record)
+    fault = _dry_run(recovered, record)
     if fault:
         return PublishRefused(fault)
     appended = await log.append(CONFIG_STREAM, encode_record(record))
     if isinstance(appended, AppendRefused):
         return PublishUnavailable(appended.reason)
-    return await _resolve_append(log, located, record, appended)
+    return await _resolve_append(log, recovered, record, appended)
 
 
 def _is_current(current: BundleInForce | None, record: BundleRecord) -> bool:
     return current is not None and current.digest == record.digest
 
 
-def _dry_run(located: Located, record: BundleRecord) -> str:
+def _dry_run(recovered: RecoveredChain, record: BundleRecord) -> str:
     # The original chain is still needed for the entries read after the append.
-    trial = copy.copy(located.chain)
-    source = _source(record, located.next_offset)
+    trial = copy.copy(recovered.chain)
+    source = _source(record, recovered.next_offset)
     verdict = trial.offer_payload(encode_record(record), source)
     return verdict.reason if isinstance(verdict, RejectedBundle) else ''
 
 
 async def _resolve_append(
     log: LogPort,
-    located: Located,
+    recovered: RecoveredChain,
     record: BundleRecord,
     appended: AppendOutcome,
 ) -> PublishOutcome:
@@ -188,19 +188,19 @@
     acknowledgement can be lost after the append took effect.
 
     :param log: the platform's log.
-    :param located: chain before the append.
+    :param recovered: chain before the append.
     :param record: record that was appended.
     :param appended: outcome of the append.
     :returns: tagged outcome.
     """
-    position = located.next_offset
+    position = recovered.next_offset
     while True:
         block = await log.read(CONFIG_STREAM, position, _READ_LIMIT)
         if isinstance(block, LogUnavailable):
             return PublishUnknown(block.reason)
         for entry in block.entries:
             position = entry.offset + 1
-            verdict = located.chain.offer_payload(
+            verdict = recovered.chain.offer_payload(
                 entry.payload, _source(record, entry.offset)
             )
             if isinstance(verdict, InForce):
--- a/waxwingford/bundles/_reader.py
+++ b/waxwingford/bundles/_reader.py
@@ -1,6 +1,10 @@
 """Task that keeps a daemon's bundle up to date."""
 
-from waxwingford.bundles._baseline import Located, is_signed_off, locate
+from waxwingford.bundles._baseline import (
+    RecoveredChain,
+    is_signed_off,
+    recover_chain,
+)
 from waxwingford.bundles._chain import BundleChain
 from waxwingford.bundles._peers import (
     bootstrap_fault,
@@ -8,7 +12,7 @@
 )
 from waxwingford.bundles._record import CONFIG_STREAM, RejectedBundle
 from waxwingford.bundles._restate import RestatementSchedule
-from waxwingford.bundles._setup import NotReady, ReaderSetup, Ready
+from waxwingford.bundles._setup import NotReady, ReaderDependencies, Ready
 from waxwingford.bundles._verdicts import (
     BundleInForce,
     FromBaseline,
@@ -28,7 +32,7 @@
 class BundleReader:
     """Follows stream ``config``; queries peers while the log is unavailable."""
 
-    def __init__(self, setup: ReaderSetup) -> None:
+    def __init__(self, setup: ReaderDependencies) -> None:
         """Create a reader without a bundle or a position in the stream.
 
         :param setup: dependencies and timing.
@@ -87,13 +91,13 @@
             await self._query_peers(f'the log is away ({outcome.reason})')
             return self._backoff_ms()
         self._failures = 0
-        if self._next_offset is None and isinstance(outcome, Located):
+        if self._next_offset is None and isinstance(outcome, RecoveredChain):
             await self._query_peers('the log retains no proof of what governs')
             return self._setup.times.backoff_max_ms
         return self._idle_pause_ms(outcome, started_ms, wait_ms)
 
     def _idle_pause_ms(
-        self, outcome: LogRead | Located, started_ms: int, wait_ms: int
+        self, outcome: LogRead | RecoveredChain, started_ms: int, wait_ms: int
     ) -> int:
         """Pause if the log returned no entries without a long poll.
 
@@ -104,40 +108,44 @@
         :param wait_ms: requested long-poll time, in milliseconds.
         :returns: pause, in milliseconds.
         """
-        if isinstance(outcome, Located) or outcome.entries:
+        if isinstance(outcome, RecoveredChain) or outcome.entries:
             return 0
         elapsed_ms = self._setup.clock.monotonic_ms() - started_ms
         return 0 if elapsed_ms * 2 >= wait_ms else self._setup.times.backoff_ms
 
-    async def _find_position(self) -> Located | LogUnavailable:
-        located = await locate(self._setup.log, self._setup.key_by_member)
-        if isinstance(located, LogUnavailable):
-            return located
-        found = located.chain
+    async def _find_position(self) -> RecoveredChain | LogUnavailable:
+        recovered = await recover_chain(
+            self._setup.log, self._setup.key_by_member
+        )
+        if isinstance(recovered, LogUnavailable):
+            return recovered
+        found = recovered.chain
         if found.version > self._chain.version:
-            source = FromBaseline(located.as_of)
+            source = FromBaseline(recovered.as_of)
             self._offer(found.whole_record(), source)
         if found.current is None and self._chain.current is None:
             self._not_ready_reason = 'no bundle has been published'
-        if self._is_consistent_with(located):
-            self._next_offset = located.next_offset
-            self._restatement_schedule.reset(located.as_of, located.next_offset)
+        if self._is_consistent_with(recovered):
+            self._next_offset = recovered.next_offset
+            self._restatement_schedule.reset(
+                recovered.as_of, recovered.next_offset
+            )
         self._notify()
-        return located
+        return recovered
 
-    def _is_consistent_with(self, located: Located) -> bool:
+    def _is_consistent_with(self, recovered: RecoveredChain) -> bool:
         """Check that the log proves the bundle in force on this daemon.
 
         Without proof the reader must not follow from the head: version 1
         appended again would be taken as the first version, and a restatement
         would cover entries that were never read.
 
-        :param located: chain at the head of the stream.
+        :param recovered: chain at the head of the stream.
         :returns: whether to follow the stream from the head.
         """
-        found, own = located.chain.current, self._chain.current
+        found, own = recovered.chain.current, self._chain.current
         if found is None or own is None:
-            return located.from_start and own is None
+            return recovered.from_start and own is None
         if found.digest == own.digest:
             return True
         if found.version == own.version:
@@ -149,7 +157,9 @@
             )
         return False
 
-    async def _follow(self, start: int, wait_ms: int) -> LogRead | Located:
+    async def _follow(
+        self, start: int, wait_ms: int
+    ) -> LogRead | RecoveredChain:
         block = await self._setup.log.read(
             CONFIG_STREAM, start, _READ_LIMIT, wait_ms
         )
@@ -207,12 +217,12 @@
         self._setup.note(
             'bundle.in_force', f'bundle:{current.version}', current.digest
         )
-        self._setup.on_in_force(current)
+        self._setup.on_bundle_change(current)
 
     async def _query_peers(self, trigger: str) -> None:
         answers = await self._setup.peers.fetch(self._chain.version)
         if self._chain.current is None:
-            fault = bootstrap_fault(answers, self._setup.domain_daemons)
+            fault = bootstrap_fault(answers, self._setup.domain_peers)
             self._not_ready_reason = f'{trigger}; {fault}'
             if fault:
                 return
--- a/waxwingford/bundles/_requests.py
+++ b/waxwingford/bundles/_requests.py
@@ -19,7 +19,7 @@
 SIGNATURE_HEADER = 'X-Waxwingford-Signature'
 
 #: Maximum difference between a request's time and the local time, in ms.
-FRESH_MS = 60_000
+MAX_CLOCK_SKEW_MS = 60_000
 
 _DOMAIN_SEPARATOR = b'waxwingford request v1\x00'
 _NONCE_BYTES = 16
@@ -78,8 +78,9 @@
             return 'replayed: this nonce was used before'
         if len(expiries) >= self._capacity:
             return 'too many signed requests at once, try again in a minute'
-        # A request is valid from FRESH_MS before its time to FRESH_MS after.
-        expiries[nonce] = now_wall_ms + 2 * FRESH_MS
+        # A request is valid from MAX_CLOCK_SKEW_MS before its time to
+        # MAX_CLOCK_SKEW_MS after.
+        expiries[nonce] = now_wall_ms + 2 * MAX_CLOCK_SKEW_MS
         return ''
 
 
@@ -143,10 +144,10 @@
         return Unverified(f'no pinned key of member {member!r}')
     if not (wall_ms.isascii() and wall_ms.isdecimal() and nonce):
         return Unverified(f'expected headers {TIME_HEADER}, {NONCE_HEADER}')
-    if abs(int(wall_ms) - now_wall_ms) > FRESH_MS:
+    if abs(int(wall_ms) - now_wall_ms) > MAX_CLOCK_SKEW_MS:
         return Unverified(
             f'time is {int(wall_ms) - now_wall_ms} ms off, '
-            f'expected at most {FRESH_MS} ms'
+            f'expected at most {MAX_CLOCK_SKEW_MS} ms'
         )
     message = _signed_message(member, method, path, body, wall_ms, nonce)
     if not _is_signed_by(public_key_by_member[member], message, signature):
--- a/waxwingford/bundles/_restate.py
+++ b/waxwingford/bundles/_restate.py
@@ -10,7 +10,7 @@
 )
 
 #: Number of changes after which the bundle in force is restated.
-RESTATE_CHANGES = 64
+MAX_CHANGES_BETWEEN_RESTATEMENTS = 64
 
 _RESTATE_INTERVAL_MS = 1_800_000
 _MAX_JITTER_MS = 60_000
@@ -84,7 +84,7 @@
         if not (
             aged_out
             or interval_elapsed
-            or self._change_count >= RESTATE_CHANGES
+            or self._change_count >= MAX_CHANGES_BETWEEN_RESTATEMENTS
         ):
             return False
         if self._due_ms is None:
--- a/waxwingford/bundles/_setup.py
+++ b/waxwingford/bundles/_setup.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import NamedTuple, Protocol
 
-from waxwingford.bundles._peers import PeerBundles
+from waxwingford.bundles._peers import PeerBundleClient
 from waxwingford.bundles._verdicts import BundleInForce
 from waxwingford.kernel import Clock
 from waxwingford.ports import LogPort
@@ -28,7 +28,7 @@
 
 
 class EventRecorder(Protocol):
-    """Callable that records an event, such as ``timeline.TimeLine.note``."""
+    """Callable that records an event, such as ``timeline.Timeline.note``."""
 
     def __call__(self, kind: str, subject: str, detail: str = '') -> object:
         """Record an event.
@@ -63,7 +63,7 @@
         ...
 
 
-class ReaderTimes(NamedTuple):
+class ReaderTiming(NamedTuple):
     """Timing of the reader, in milliseconds.
 
     :ivar long_poll_ms: maximum long-poll time of a read.
@@ -76,16 +76,16 @@
     backoff_max_ms: int = 4000
 
 
-class ReaderSetup(NamedTuple):
+class ReaderDependencies(NamedTuple):
     """Dependencies of the reader.
 
     :ivar log: the platform's log.
     :ivar peers: client for all configured peers.
     :ivar clock: clock for idle pauses and restatements.
     :ivar key_by_member: pinned public keys, base64.
-    :ivar domain_daemons: ids of the other configured daemons of the failure
+    :ivar domain_peers: ids of the other configured daemons of the failure
         domain.
-    :ivar on_in_force: called with each bundle that takes force.
+    :ivar on_bundle_change: called with each bundle that takes force.
     :ivar note: records an event.
     :ivar counters: metrics.
     :ivar rng: source of jitter.
@@ -94,13 +94,13 @@
     """
 
     log: LogPort
-    peers: PeerBundles
+    peers: PeerBundleClient
     clock: Clock
     key_by_member: Mapping[str, str]
-    domain_daemons: frozenset[str]
-    on_in_force: Callable[[BundleInForce], None]
+    domain_peers: frozenset[str]
+    on_bundle_change: Callable[[BundleInForce], None]
     note: EventRecorder
     counters: Counters
     rng: random.Random
-    times: ReaderTimes = ReaderTimes()
+    times: ReaderTiming = ReaderTiming()
     sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
--- a/waxwingford/bundles/_signing.py
+++ b/waxwingford/bundles/_signing.py
@@ -26,7 +26,7 @@
     return Ed25519PublicKey.from_public_bytes(base64.b64decode(encoded_key))
 
 
-def public_text(key: Ed25519PrivateKey) -> str:
+def encode_public_key(key: Ed25519PrivateKey) -> str:
     """Encode the public key of a private key as in the settings.
 
     :param key: private key.
--- a/waxwingford/bundles/_toml.py
+++ b/waxwingford/bundles/_toml.py
@@ -40,7 +40,7 @@
     return BundleInvalid(loaded)
 
 
-def body_of(bundle: Bundle) -> Body:
+def bundle_body(bundle: Bundle) -> Body:
     """Convert a bundle to the JSON object that is signed.
 
     :param bundle: validated bundle.
--- a/waxwingford/bundles/tests/consortium.py
+++ b/waxwingford/bundles/tests/consortium.py
@@ -9,12 +9,12 @@
     Body,
     BundleReader,
     BundleRecord,
-    ReaderSetup,
+    ReaderDependencies,
     canonical_bytes,
-    digest_of,
+    compute_digest,
+    encode_public_key,
     encode_record,
-    make_patch,
-    public_text,
+    make_merge_patch,
     sign_digest,
 )
 from waxwingford.metrics import Metrics
@@ -24,23 +24,25 @@
     for index, member in enumerate(('qadri', 'svatbena'), 1)
 }
 UNPINNED_KEY = Ed25519PrivateKey.from_private_bytes(b'x' * 32)
-TRUST = {member: public_text(key) for member, key in KEY_BY_MEMBER.items()}
+TRUST = {
+    member: encode_public_key(key) for member, key in KEY_BY_MEMBER.items()
+}
 RESOURCES = {'processors_milli': 8000, 'memory_mb': 16_000, 'accelerators': 0}
 
 
-def make_reader(log, peers, clock, domain_daemons, on_in_force, note):
+def make_reader(log, peers, clock, domain_peers, on_bundle_change, note):
     """Make a reader that pins the keys of all members."""
     return BundleReader(
-        ReaderSetup(
+        ReaderDependencies(
             log=log,
             peers=peers,
             clock=clock,
             key_by_member=TRUST,
-            domain_daemons=domain_daemons,
-            on_in_force=on_in_force,
+            domain_peers=domain_peers,
+            on_bundle_change=on_bundle_change,
             note=note,
             counters=Metrics(),
-            rng=random.Random(str(sorted(domain_daemons))),
+            rng=random.Random(str(sorted(domain_peers))),
         )
     )
 
@@ -76,7 +78,7 @@
     """Make a successor that changes the latency target of one service."""
     body = copy.deepcopy(before)
     body['version'] += 1
-    body['predecessor'] = digest_of(canonical_bytes(before))
+    body['predecessor'] = compute_digest(canonical_bytes(before))
     body['services']['report_desk']['target_p99_ms'] = target_ms
     return body
 
@@ -85,7 +87,7 @@
     body: Body, before: Body | None = None, as_of: int | None = None
 ) -> BundleRecord:
     """Make a record of a body, signed by every member."""
-    digest = digest_of(canonical_bytes(body))
+    digest = compute_digest(canonical_bytes(body))
     return BundleRecord(
         version=body['version'],
         predecessor=body['predecessor'],
@@ -95,7 +97,7 @@
             for member, key in KEY_BY_MEMBER.items()
         },
         body=None if before else body,
-        patch=make_patch(before, body) if before else None,
+        patch=make_merge_patch(before, body) if before else None,
         as_of=as_of,
     )
 
--- a/waxwingford/bundles/tests/interleavings_steps.py
+++ b/waxwingford/bundles/tests/interleavings_steps.py
@@ -12,7 +12,7 @@
     PeerBundle,
     PeerUnavailable,
     canonical_bytes,
-    digest_of,
+    compute_digest,
     encode_record,
 )
 from waxwingford.bundles.tests.chain_steps import replace_fields
@@ -33,7 +33,7 @@
 
 
 def digest(body):
-    return digest_of(canonical_bytes(body))
+    return compute_digest(canonical_bytes(body))
 
 
 class SimulatedDaemon(FakeLog):
@@ -52,11 +52,11 @@
             self,
             world.clock,
             others - {f'd{slot}'},
-            self.on_in_force,
+            self.on_bundle_change,
             lambda *_: None,
         )
 
-    def on_in_force(self, seen):
+    def on_bundle_change(self, seen):
         """Check each bundle that takes force here."""
         known = [digest(body) for body in self.world.accepted_bodies]
         assert seen.digest in known, (
--- a/waxwingford/bundles/tests/reader_steps.py
+++ b/waxwingford/bundles/tests/reader_steps.py
@@ -13,8 +13,8 @@
     Published,
     PublishRefused,
     canonical_bytes,
+    compute_digest,
     decode_record,
-    digest_of,
     publish,
 )
 from waxwingford.bundles.tests.consortium import (
@@ -251,7 +251,7 @@
 @then('its digest is that of version {version:d}')
 def digest_is(context, version):
     body = context.rig.bodies[version - 1]
-    expected = digest_of(canonical_bytes(body))
+    expected = compute_digest(canonical_bytes(body))
     assert context.rig.readers[-1].current.digest == expected
 
 
--- a/waxwingford/commands/_bundle_files.py
+++ b/waxwingford/commands/_bundle_files.py
@@ -6,9 +6,9 @@
     Bundle,
     BundleInvalid,
     BundleLoaded,
-    body_of,
+    bundle_body,
     canonical_bytes,
-    digest_of,
+    compute_digest,
     load_bundle,
 )
 from waxwingford.commands._output import print_error
@@ -42,7 +42,7 @@
     :param bundle: validated bundle.
     :returns: hexadecimal digest that members sign.
     """
-    return digest_of(canonical_bytes(body_of(bundle)))
+    return compute_digest(canonical_bytes(bundle_body(bundle)))
 
 
 def load_source(args: Namespace) -> Bundle | None:
--- a/waxwingford/commands/_certificates.py
+++ b/waxwingford/commands/_certificates.py
@@ -9,7 +9,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from waxwingford.commands._keys import private_pem, write_private
+from waxwingford.commands._keys import create_private_file, private_pem
 
 _AUTHORITY_NAME = 'authority'
 _AUTHORITY_DAYS = 3650
@@ -18,7 +18,7 @@
 _NOT_BEFORE_MARGIN = datetime.timedelta(hours=1)
 
 
-def make_certificate(
+def issue_certificate(
     directory: pathlib.Path, name: str, host: str, now: datetime.datetime
 ) -> str:
     """Issue a daemon certificate, creating the authority if there is none.
@@ -38,7 +38,7 @@
     directory.mkdir(parents=True, exist_ok=True)
     authority_key = _authority(directory, now)
     key = ec.generate_private_key(ec.SECP256R1())
-    if not write_private(directory / f'{name}.key', private_pem(key)):
+    if not create_private_file(directory / f'{name}.key', private_pem(key)):
         return f'{directory / name}.key: already exists'
     certificate = (
         _certificate_builder(name, _AUTHORITY_NAME, now, _DAEMON_DAYS)
@@ -74,7 +74,7 @@
 ) -> ec.EllipticCurvePrivateKey:
     path = directory / f'{_AUTHORITY_NAME}.key'
     key = ec.generate_private_key(ec.SECP256R1())
-    if not write_private(path, private_pem(key)):
+    if not create_private_file(path, private_pem(key)):
         existing_key = serialization.load_pem_private_key(
             path.read_bytes(), None
         )
--- a/waxwingford/commands/_keys.py
+++ b/waxwingford/commands/_keys.py
@@ -9,7 +9,7 @@
 _OWNER_ONLY = 0o600
 
 
-def write_private(path: pathlib.Path, content: bytes) -> bool:
+def create_private_file(path: pathlib.Path, content: bytes) -> bool:
     """Create a file that only its owner can read, unless it exists.
 
     :param path: file to create.
--- a/waxwingford/commands/bundle_files.py
+++ b/waxwingford/commands/bundle_files.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from waxwingford.bundles import body_of, make_patch, sign_digest
+from waxwingford.bundles import bundle_body, make_merge_patch, sign_digest
 from waxwingford.commands._bundle_files import (
     add_source_argument,
     load_source,
@@ -107,7 +107,7 @@
     after = load_source_file(args.after)
     if before is None or after is None:
         return ExitCode.usage
-    patch = make_patch(body_of(before), body_of(after))
+    patch = make_merge_patch(bundle_body(before), bundle_body(after))
     print_answer(
         args, patch, msgspec.json.format(msgspec.json.encode(patch)).decode()
     )
--- a/waxwingford/commands/bundle_rollout.py
+++ b/waxwingford/commands/bundle_rollout.py
@@ -8,14 +8,14 @@
 from waxwingford.adapters import platform_adapters
 from waxwingford.bundles import (
     Bundle,
-    Located,
     Published,
     PublishOutcome,
     PublishRefused,
     PublishUnavailable,
     PublishUnknown,
-    locate,
+    RecoveredChain,
     publish,
+    recover_chain,
 )
 from waxwingford.commands._bundle_files import (
     add_source_argument,
@@ -56,15 +56,15 @@
     if not require_fields(fleet, 'log_url', 'trust'):
         return ExitCode.usage
     with progress('reading the log'):
-        located = asyncio.run(_locate(fleet))
-    if isinstance(located, LogUnavailable):
-        print_error(f'log: {located.reason}')
+        recovered = asyncio.run(_locate(fleet))
+    if isinstance(recovered, LogUnavailable):
+        print_error(f'log: {recovered.reason}')
         return ExitCode.unreachable
-    current = located.chain.current
+    current = recovered.chain.current
     answer = {
         'version': current.version if current else 0,
         'digest': current.digest if current else '',
-        'next_offset': located.next_offset,
+        'next_offset': recovered.next_offset,
     }
     print_answer(
         args, answer, '\n'.join(f'{key} {answer[key]}' for key in answer)
@@ -72,10 +72,10 @@
     return ExitCode.ok if current else ExitCode.findings
 
 
-async def _locate(fleet: Fleet) -> Located | LogUnavailable:
+async def _locate(fleet: Fleet) -> RecoveredChain | LogUnavailable:
     log = _open_log(fleet)
     try:
-        return await locate(log, fleet.trust.public_key_by_member)
+        return await recover_chain(log, fleet.trust.public_key_by_member)
     finally:
         await log.close()
 
--- a/waxwingford/commands/explain.py
+++ b/waxwingford/commands/explain.py
@@ -11,10 +11,10 @@
     print_error,
 )
 from waxwingford.timeline import (
-    about,
-    events_of_lines,
     merge_events,
+    parse_log_events,
     render_text,
+    select_job_events,
 )
 
 _STANDARD_INPUT = '-'
@@ -38,7 +38,7 @@
     except OSError as error:
         print_error(f'{error.filename}: {error.strerror}, expected a log file')
         return ExitCode.usage
-    merged = about(merge_events(events_of_lines(lines)), args.id)
+    merged = select_job_events(merge_events(parse_log_events(lines)), args.id)
     if not any(event.subject.startswith(args.id) for event in merged):
         print_error(f'{args.id}: not found in the log files')
         return ExitCode.findings
--- a/waxwingford/commands/keys.py
+++ b/waxwingford/commands/keys.py
@@ -8,10 +8,14 @@
 
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from waxwingford.bundles import public_text
-from waxwingford.commands._certificates import make_certificate
+from waxwingford.bundles import encode_public_key
+from waxwingford.commands._certificates import issue_certificate
 from waxwingford.commands._command import Command, ExitCode, commands
-from waxwingford.commands._keys import private_pem, read_key, write_private
+from waxwingford.commands._keys import (
+    create_private_file,
+    private_pem,
+    read_key,
+)
 from waxwingford.commands._output import print_error
 
 #: Domain separation from the signatures of bundles and requests.
@@ -39,12 +43,12 @@
     directory.mkdir(parents=True, exist_ok=True)
     key = Ed25519PrivateKey.generate()
     path = directory / f'{args.member}.pem'
-    if not write_private(path, private_pem(key)):
+    if not create_private_file(path, private_pem(key)):
         print_error(f'{path}: already exists; keys are never overwritten')
         return ExitCode.findings
-    (directory / f'{args.member}.pub').write_text(f'{public_text(key)}\n')
+    (directory / f'{args.member}.pub').write_text(f'{encode_public_key(key)}\n')
     print('[trust.public_key_by_member]')
-    print(f'{args.member} = "{public_text(key)}"')
+    print(f'{args.member} = "{encode_public_key(key)}"')
     return ExitCode.ok
 
 
@@ -52,7 +56,7 @@
     directory: pathlib.Path, name: str, host: str
 ) -> ExitCode:
     now = datetime.datetime.now(datetime.UTC)
-    error = make_certificate(directory, name, host, now)
+    error = issue_certificate(directory, name, host, now)
     if error:
         print_error(error)
         return ExitCode.findings
--- a/waxwingford/commands/tests/commands_steps.py
+++ b/waxwingford/commands/tests/commands_steps.py
@@ -13,7 +13,7 @@
 from behave import fixture, given, then, use_fixture, when
 
 from waxwingford.bundles import (
-    FRESH_MS,
+    MAX_CLOCK_SKEW_MS,
     NonceCache,
     Unverified,
     Verified,
@@ -284,7 +284,7 @@
     'unchanged': lambda context: None,
     'twice': lambda context: verify_request(TRUST, **context.request_arguments),
     '61 seconds late': lambda context: context.request_arguments.update(
-        now_wall_ms=NOW_MS + FRESH_MS + 1000
+        now_wall_ms=NOW_MS + MAX_CLOCK_SKEW_MS + 1000
     ),
     'with another body': lambda context: context.request_arguments.update(
         body=b'[]'
--- a/waxwingford/commands/timeline.py
+++ b/waxwingford/commands/timeline.py
@@ -22,7 +22,7 @@
     Event,
     filter_events,
     merge_events,
-    render_picture,
+    plot_timeline,
     render_text,
 )
 
@@ -70,7 +70,7 @@
     print_answer(args, merged, render_text(merged))
     if args.picture:
         with progress('drawing the timeline'):
-            render_picture(merged, args.picture)
+            plot_timeline(merged, args.picture)
     return ExitCode.unreachable if failed_addresses else ExitCode.ok
 
 
--- a/waxwingford/daemon/_admin.py
+++ b/waxwingford/daemon/_admin.py
@@ -9,7 +9,7 @@
 
 from waxwingford.daemon._lifecycle import Lifecycle
 from waxwingford.metrics import Metrics
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 
 class BundleStatus(TypedDict):
@@ -63,7 +63,7 @@
         *,
         lifecycle: Lifecycle,
         metrics: Metrics,
-        time_line: TimeLine,
+        timeline: Timeline,
         status: Callable[[], Status],
         refresh: Callable[[], None],
         drain: Callable[[], None],
@@ -73,7 +73,7 @@
 
         :param lifecycle: source of ``/readyz``.
         :param metrics: source of ``/metrics``.
-        :param time_line: source of ``/v1/timeline``.
+        :param timeline: source of ``/v1/timeline``.
         :param status: returns the response body of ``/v1/status``.
         :param refresh: updates gauges before metrics are rendered.
         :param drain: starts a planned stop.
@@ -82,7 +82,7 @@
         """
         self._lifecycle = lifecycle
         self._metrics = metrics
-        self._time_line = time_line
+        self._timeline = timeline
         self._status = status
         self._refresh = refresh
         self._drain = drain
@@ -126,7 +126,7 @@
         if not after.isdecimal():
             text = f'since: {after!r}, expected a sequence number\n'
             return web.Response(status=HTTPStatus.BAD_REQUEST, text=text)
-        return _json(self._time_line.since(int(after)))
+        return _json(self._timeline.since(int(after)))
 
     async def _start_drain(self, request: web.Request) -> web.Response:
         if self._signing_member(request, await request.read()) is None:
--- a/waxwingford/daemon/_application.py
+++ b/waxwingford/daemon/_application.py
@@ -56,7 +56,7 @@
     return Admin(
         lifecycle=components.lifecycle,
         metrics=components.metrics,
-        time_line=components.time_line,
+        timeline=components.timeline,
         status=lambda: make_status(components),
         refresh=lambda: refresh_gauges(components),
         drain=request_stop,
--- a/waxwingford/daemon/_assembly.py
+++ b/waxwingford/daemon/_assembly.py
@@ -9,7 +9,7 @@
     BundleInForce,
     BundleReader,
     NonceCache,
-    ReaderSetup,
+    ReaderDependencies,
 )
 from waxwingford.daemon._bundle_settings import bundle_settings, service_limits
 from waxwingford.daemon._components import Components, own_address
@@ -20,7 +20,7 @@
 from waxwingford.peers import Membership, PeerClients
 from waxwingford.routing import DispatchLimits, DispatchPorts, RequestDispatcher
 from waxwingford.settings import Alpn, Settings, client_context
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 #: Modules that register plug-ins when imported.
 PLUGINS = (
@@ -43,7 +43,7 @@
     incarnation = secrets.token_hex(_INCARNATION_BYTES)
     clock = SystemClock()
     identity = settings.identity
-    time_line = TimeLine(
+    timeline = Timeline(
         identity.daemon_id,
         incarnation,
         clock,
@@ -60,7 +60,7 @@
         identity.daemon_id,
         settings.peers,
         clock,
-        time_line,
+        timeline,
         client_context(settings, Alpn.rpc),
     )
     batch = BatchTask(
@@ -69,12 +69,12 @@
         servers=platform.servers,
         directory=platform.directory,
         clock=clock,
-        time_line=time_line,
+        timeline=timeline,
     )
     dispatcher = RequestDispatcher(
         daemon_id=identity.daemon_id,
         failure_domain=identity.failure_domain,
-        ports=DispatchPorts(platform.servers, links, clock, time_line, metrics),
+        ports=DispatchPorts(platform.servers, links, clock, timeline, metrics),
         rng=random.Random(incarnation),
         limits=DispatchLimits(
             in_progress=settings.limits.connections,
@@ -83,21 +83,21 @@
         ),
     )
     reader = BundleReader(
-        ReaderSetup(
+        ReaderDependencies(
             log=platform.log,
             peers=links,
             clock=clock,
             key_by_member=settings.trust.public_key_by_member,
-            domain_daemons=frozenset(
+            domain_peers=frozenset(
                 peer.daemon_id
                 for peer in settings.peers
                 if peer.failure_domain == identity.failure_domain
                 and peer.daemon_id != identity.daemon_id
             ),
-            on_in_force=lambda in_force: _apply_bundle(
+            on_bundle_change=lambda in_force: _apply_bundle(
                 in_force, batch, dispatcher
             ),
-            note=time_line.note,
+            note=timeline.note,
             counters=metrics,
             rng=random.Random(incarnation),
         )
@@ -109,7 +109,7 @@
         clock=clock,
         lifecycle=make_lifecycle(batch, reader, membership, clock),
         metrics=metrics,
-        time_line=time_line,
+        timeline=timeline,
         platform=platform,
         links=links,
         membership=membership,
--- a/waxwingford/daemon/_bundle_settings.py
+++ b/waxwingford/daemon/_bundle_settings.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from waxwingford.batch import BundleSettings
-from waxwingford.bundles import Bundle, ServerSize
+from waxwingford.bundles import Bundle, ResourceAmounts
 from waxwingford.placement import PolicyWeights, QuarantineLimits
 from waxwingford.ports import Resources
 from waxwingford.routing import ServiceLimits
@@ -54,9 +54,9 @@
     return {
         name: ServiceLimits(
             target_ms=service.target_p99_ms,
-            most_by_member=service.concurrency_by_member,
+            concurrency_by_member=service.concurrency_by_member,
             weight_by_member=weight_by_member,
-            retry_share=service.retry_budget_share,
+            retry_budget_share=service.retry_budget_share,
             may_spill=bundle.switches.request_spill,
         )
         for name, service in bundle.services.items()
@@ -87,5 +87,5 @@
     )
 
 
-def _resources(size: ServerSize) -> Resources:
+def _resources(size: ResourceAmounts) -> Resources:
     return Resources(size.processors_milli, size.memory_mb, size.accelerators)
--- a/waxwingford/daemon/_components.py
+++ b/waxwingford/daemon/_components.py
@@ -20,7 +20,7 @@
 from waxwingford.peers import Membership, PeerClients, PeerHeartbeat
 from waxwingford.routing import RequestDispatcher
 from waxwingford.settings import PeerAddress, Settings
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 
 @dataclasses.dataclass(slots=True)
@@ -32,7 +32,7 @@
     :ivar clock: monotonic and wall clock of the VM.
     :ivar lifecycle: lifecycle and readiness.
     :ivar metrics: counters, gauges and histograms.
-    :ivar time_line: ring buffer of events.
+    :ivar timeline: ring buffer of events.
     :ivar platform: clients of the log, the VM list and the backend servers.
     :ivar links: connections to peers.
     :ivar membership: latest heartbeats of the peers.
@@ -47,7 +47,7 @@
     clock: SystemClock
     lifecycle: Lifecycle
     metrics: Metrics
-    time_line: TimeLine
+    timeline: Timeline
     platform: PlatformPorts
     links: PeerClients
     membership: Membership
@@ -91,13 +91,13 @@
             # The peer may be draining: exclude it before its servers are
             # assigned.
             self.publish_peer_views()
-            self.batch.note_released(heartbeat.released)
+            self.batch.handle_released_leases(heartbeat.released)
 
     def publish_peer_views(self) -> None:
         """Pass the current state of the peers to the dispatcher and batch."""
         now_ms = self.clock.monotonic_ms()
         self.dispatcher.set_peers(self.membership.peer_views(now_ms))
-        self.batch.set_alive(self.membership.alive_in_domain(now_ms))
+        self.batch.update_live_daemons(self.membership.alive_in_domain(now_ms))
 
     def bundle_payloads(
         self, after_version: int
--- a/waxwingford/daemon/_daemon.py
+++ b/waxwingford/daemon/_daemon.py
@@ -51,7 +51,7 @@
                     components.dispatcher,
                     components.exchange_heartbeats,
                     components.bundle_payloads,
-                    components.time_line,
+                    components.timeline,
                 )
             ]
         )
@@ -79,7 +79,7 @@
     async def _start(self) -> None:
         components = self._components
         listen = components.settings.listen
-        components.time_line.note('daemon.started', self._event_subject())
+        components.timeline.note('daemon.started', self._event_subject())
         await self._rpc.start(
             listen.host,
             listen.rpc_port,
@@ -106,7 +106,7 @@
         components = self._components
         timeout_ms = components.settings.limits.drain_ms
         components.lifecycle.drain()
-        components.time_line.note('daemon.draining', self._event_subject())
+        components.timeline.note('daemon.draining', self._event_subject())
         _log.info('draining')
         steps = asyncio.create_task(self._drain_steps(timeout_ms))
         immediate_stop = asyncio.create_task(
@@ -158,7 +158,7 @@
                 own_heartbeat=components.own_heartbeat,
                 on_heartbeat=components.handle_heartbeat,
                 on_round=components.publish_peer_views,
-                take_released=components.batch.take_released,
+                pop_released_servers=components.batch.pop_released_servers,
             ),
         )
 
@@ -183,7 +183,7 @@
     def _on_invariant_violation(
         self, invariant: Invariant, detail: str
     ) -> None:
-        self._components.time_line.note(
+        self._components.timeline.note(
             f'invariant.{invariant.name}', self._event_subject(), detail
         )
         _log.critical(
--- a/waxwingford/daemon/_heartbeats.py
+++ b/waxwingford/daemon/_heartbeats.py
@@ -28,13 +28,14 @@
     :ivar own_heartbeat: makes this daemon's heartbeat.
     :ivar on_heartbeat: called with each heartbeat of a peer.
     :ivar on_round: called after each round of exchanges.
-    :ivar take_released: returns the servers released since its last call.
+    :ivar pop_released_servers: returns the servers released since its last
+        call.
     """
 
     own_heartbeat: Callable[[], PeerHeartbeat]
     on_heartbeat: Callable[[PeerHeartbeat], None]
     on_round: Callable[[], None]
-    take_released: Callable[[], tuple[str, ...]]
+    pop_released_servers: Callable[[], tuple[str, ...]]
 
 
 class HeartbeatTask:
@@ -90,7 +91,7 @@
         Otherwise a released server has no holder until a peer next tries to
         acquire it.
         """
-        released = self._hooks.take_released()
+        released = self._hooks.pop_released_servers()
         if released:
             heartbeat = self._hooks.own_heartbeat()._replace(released=released)
             await self._exchange(heartbeat, self._targets.on_release)
--- a/waxwingford/entry/_jobs.py
+++ b/waxwingford/entry/_jobs.py
@@ -10,9 +10,9 @@
 from waxwingford.batch import (
     JobAcceptedOutcome,
     JobCancelledOutcome,
+    JobOutcomeUnknown,
     JobRefused,
     JobRejected,
-    JobUnknown,
     SubmissionOutcome,
 )
 from waxwingford.bundles import Unverified
@@ -182,7 +182,7 @@
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 OutcomeBody('refused', reason, retry_after_ms),
             )
-        case JobUnknown(reason=reason, retry_after_ms=retry_after_ms):
+        case JobOutcomeUnknown(reason=reason, retry_after_ms=retry_after_ms):
             return outcome_response(
                 HTTPStatus.GATEWAY_TIMEOUT,
                 OutcomeBody('unknown', reason, retry_after_ms),
--- a/waxwingford/peers/_clients.py
+++ b/waxwingford/peers/_clients.py
@@ -14,15 +14,15 @@
 from waxwingford.peers._membership import PeerHeartbeat
 from waxwingford.peers.peers_grpc import PeersStub
 from waxwingford.routing import (
+    KeyLookupAnswer,
+    KeyLookupState,
     Outcome,
-    RecallAnswer,
-    RecallState,
     Refused,
     Request,
     Unknown,
 )
 from waxwingford.settings import PeerAddress
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 _MS_PER_S = 1000
 #: Timeout for opening a connection to a peer, in milliseconds.
@@ -47,17 +47,17 @@
     def __init__(
         self,
         address: PeerAddress,
-        time_line: TimeLine,
+        timeline: Timeline,
         tls: ssl.SSLContext | None = None,
     ) -> None:
         """Create the channel; it connects on the first call.
 
         :param address: address of the peer.
-        :param time_line: time line that records forwarded requests.
+        :param timeline: timeline that records forwarded requests.
         :param tls: client context, or None for plain TCP.
         """
         self.address = address
-        self._time_line = time_line
+        self._timeline = timeline
         self._channel = Channel(address.host, address.rpc_port, ssl=tls)
         self._stub = PeersStub(self._channel)
 
@@ -95,7 +95,7 @@
         """
         subject = f'request:{request.request_id}'
         if not await self._try_connect():
-            self._time_line.note(
+            self._timeline.note(
                 'forward.not_sent', subject, self.address.daemon_id
             )
             return Refused(
@@ -103,7 +103,7 @@
                 _RETRY_AFTER_MS,
             )
         message = _convert.request_to_wire(request)
-        sent = self._time_line.note(
+        sent = self._timeline.note(
             'forward.sent', subject, self.address.daemon_id
         )
         message.cause.CopyFrom(_convert.event_to_wire(sent))
@@ -112,11 +112,11 @@
                 message, timeout=timeout_ms / _MS_PER_S
             )
         except _CALL_ERRORS as error:
-            self._time_line.note('forward.lost', subject, repr(error))
+            self._timeline.note('forward.lost', subject, repr(error))
             return self._unknown_outcome(error)
         if reply.request_id != request.request_id:
             return Unknown('peer reply has another request id', _RETRY_AFTER_MS)
-        self._time_line.note(
+        self._timeline.note(
             'forward.answered',
             subject,
             reply.WhichOneof('outcome') or 'empty',
@@ -124,7 +124,7 @@
         )
         return _convert.outcome_from_wire(reply)
 
-    async def recall(self, message: wire.RecallRequest) -> RecallAnswer:
+    async def recall(self, message: wire.RecallRequest) -> KeyLookupAnswer:
         """Query the state of an idempotency key at the peer.
 
         :param message: member, key, digest of the request body and asker.
@@ -135,7 +135,7 @@
                 message, timeout=RECALL_TIMEOUT_MS / _MS_PER_S
             )
         except _CALL_ERRORS:
-            return RecallAnswer(RecallState.unreachable, 0)
+            return KeyLookupAnswer(KeyLookupState.unreachable, 0)
         return _convert.recall_from_wire(reply)
 
     async def fetch_bundle(self, after_version: int) -> PeerBundleAnswer:
@@ -177,7 +177,7 @@
         own_id: str,
         addresses: Iterable[PeerAddress],
         clock: Clock,
-        time_line: TimeLine,
+        timeline: Timeline,
         tls: ssl.SSLContext | None = None,
     ) -> None:
         """Create a client for each configured peer.
@@ -185,13 +185,13 @@
         :param own_id: id of this daemon, for which no client is created.
         :param addresses: addresses of all configured daemons.
         :param clock: clock that measures round trips.
-        :param time_line: time line that records forwarded requests.
+        :param timeline: timeline that records forwarded requests.
         :param tls: client context, or None for plain TCP.
         """
         self._own_id = own_id
         self._clock = clock
         self.client_by_id = {
-            address.daemon_id: PeerClient(address, time_line, tls)
+            address.daemon_id: PeerClient(address, timeline, tls)
             for address in addresses
             if address.daemon_id != own_id
         }
@@ -218,9 +218,9 @@
             )
         return await client.forward(request, timeout_ms)
 
-    async def recall_all(
+    async def look_up_key(
         self, member: str, key: str, body_digest: bytes
-    ) -> dict[str, RecallAnswer]:
+    ) -> dict[str, KeyLookupAnswer]:
         """Query the state of an idempotency key at all peers concurrently.
 
         :param member: owner of the key.
--- a/waxwingford/peers/_convert.py
+++ b/waxwingford/peers/_convert.py
@@ -4,9 +4,9 @@
 from waxwingford.peers._membership import PeerHeartbeat
 from waxwingford.routing import (
     Answered,
+    KeyLookupAnswer,
+    KeyLookupState,
     Outcome,
-    RecallAnswer,
-    RecallState,
     Refused,
     Rejected,
     Request,
@@ -138,7 +138,7 @@
 
 
 def event_to_wire(event_id: EventId) -> wire.EventRef:
-    """Encode a reference to a time line event.
+    """Encode a reference to a timeline event.
 
     :param event_id: event reference to send.
     :returns: protobuf message.
@@ -147,7 +147,7 @@
 
 
 def event_from_wire(event: wire.EventRef) -> EventId | None:
-    """Decode a reference to a time line event.
+    """Decode a reference to a timeline event.
 
     :param event: received protobuf message.
     :returns: event reference, or None if the field is unset.
@@ -157,7 +157,7 @@
     return EventId(event.daemon, event.incarnation, event.sequence)
 
 
-def recall_to_wire(answer: RecallAnswer) -> wire.RecallReply:
+def recall_to_wire(answer: KeyLookupAnswer) -> wire.RecallReply:
     """Encode the state of an idempotency key.
 
     :param answer: state of the key at this daemon.
@@ -169,7 +169,7 @@
     )
 
 
-def recall_from_wire(reply: wire.RecallReply) -> RecallAnswer:
+def recall_from_wire(reply: wire.RecallReply) -> KeyLookupAnswer:
     """Decode the state of an idempotency key at a peer.
 
     :param reply: received protobuf message.
@@ -179,7 +179,7 @@
     outcome = None
     if reply.HasField('answered'):
         outcome = _answered_from_wire(reply.answered)
-    return RecallAnswer(RecallState(reply.state), reply.up_ms, outcome)
+    return KeyLookupAnswer(KeyLookupState(reply.state), reply.up_ms, outcome)
 
 
 def _answered_to_wire(answered: Answered) -> wire.Answered:
--- a/waxwingford/peers/_service.py
+++ b/waxwingford/peers/_service.py
@@ -9,8 +9,8 @@
 from waxwingford.peers import peers_pb2 as wire
 from waxwingford.peers._membership import PeerHeartbeat
 from waxwingford.peers.peers_grpc import PeersBase
-from waxwingford.routing import Outcome, RecallAnswer, Request
-from waxwingford.timeline import TimeLine
+from waxwingford.routing import KeyLookupAnswer, Outcome, Request
+from waxwingford.timeline import Timeline
 
 
 class PeerRequestHandler(Protocol):
@@ -24,9 +24,9 @@
         """
         ...
 
-    def answer_recall(
+    def answer_key_lookup(
         self, member: str, key: str, body_digest: bytes, asker: str
-    ) -> RecallAnswer:
+    ) -> KeyLookupAnswer:
         """Look up the state of an idempotency key and record the query.
 
         :param member: owner of the key.
@@ -46,7 +46,7 @@
         handler: PeerRequestHandler,
         exchange: Callable[[PeerHeartbeat], PeerHeartbeat],
         bundle_payloads: Callable[[int], tuple[int, tuple[bytes, ...]]],
-        time_line: TimeLine,
+        timeline: Timeline,
     ) -> None:
         """Create the service.
 
@@ -55,12 +55,12 @@
             returns the heartbeat of this daemon.
         :param bundle_payloads: function that returns the bundle version in
             force and its records newer than the given version.
-        :param time_line: time line that records forwarded requests.
+        :param timeline: timeline that records forwarded requests.
         """
         self._handler = handler
         self._exchange = exchange
         self._bundle_payloads = bundle_payloads
-        self._time_line = time_line
+        self._timeline = timeline
 
     async def Exchange(self, stream: Stream[wire.Beat, wire.Beat]) -> None:
         """Exchange heartbeats.
@@ -84,7 +84,7 @@
         if message is None:
             return
         request = _convert.request_from_wire(message)
-        received = self._time_line.note(
+        received = self._timeline.note(
             'forward.taken',
             f'request:{request.request_id}',
             message.cause.daemon,
@@ -105,7 +105,7 @@
         message = await stream.recv_message()
         if message is None:
             return
-        answer = self._handler.answer_recall(
+        answer = self._handler.answer_key_lookup(
             message.member,
             message.key,
             message.body_digest,
--- a/waxwingford/peers/tests/peers_steps.py
+++ b/waxwingford/peers/tests/peers_steps.py
@@ -19,13 +19,13 @@
 from waxwingford.peers import peers_pb2 as wire
 from waxwingford.routing import (
     Answered,
-    RecallAnswer,
-    RecallState,
+    KeyLookupAnswer,
+    KeyLookupState,
     Request,
     Urgency,
 )
 from waxwingford.settings import PeerAddress
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 HOST = '127.0.0.1'
 HANG_TIME_S = 30
@@ -47,8 +47,8 @@
             await asyncio.sleep(HANG_TIME_S)
         return Answered(200, 'text/plain', request.body, 's1')
 
-    def answer_recall(self, member, key, body_digest, asker):
-        return RecallAnswer(RecallState.never_seen, 1)
+    def answer_key_lookup(self, member, key, body_digest, asker):
+        return KeyLookupAnswer(KeyLookupState.never_seen, 1)
 
 
 class MismatchedReplyService(PeerService):
@@ -64,7 +64,7 @@
 
 
 def make_time_line(name):
-    return TimeLine(name, 'i1', SystemClock(), 64)
+    return Timeline(name, 'i1', SystemClock(), 64)
 
 
 def find_free_port():
@@ -154,7 +154,7 @@
 @when('the key "{key}" is recalled from both peers')
 def recall_key(context, key):
     context.answers = call_peers(
-        context, lambda links: links.recall_all('m1', key, b'd')
+        context, lambda links: links.look_up_key('m1', key, b'd')
     )
 
 
--- a/waxwingford/placement/_failures.py
+++ b/waxwingford/placement/_failures.py
@@ -11,7 +11,8 @@
         server, with no success in between, before it is quarantined.
     :ivar servers_per_task: number of distinct healthy servers on which a task
         must fail before it is stopped.
-    :ivar max_quarantined_share: largest fraction of servers in quarantine, 0 to 1.
+    :ivar max_quarantined_share: largest fraction of servers in quarantine,
+        0 to 1.
     :ivar probation_ms: delay before the first probation task, in
         milliseconds; doubled after each failed probation task.
     :ivar max_probation_ms: upper bound of that delay, in milliseconds.
--- a/waxwingford/records/_index.py
+++ b/waxwingford/records/_index.py
@@ -102,7 +102,8 @@
 class FinishedJobs:
     """Bounded history of finished jobs: summaries, then only id hashes.
 
-    :ivar summary_by_id: summaries of the latest finished jobs by id, oldest first.
+    :ivar summary_by_id: summaries of the latest finished jobs by id, oldest
+        first.
     :ivar tombstones: id hashes of older jobs, oldest first.
     """
 
--- a/waxwingford/routing/_admission.py
+++ b/waxwingford/routing/_admission.py
@@ -191,7 +191,9 @@
     if state.in_progress >= state.limits.max_in_progress:
         return 'concurrency limit of the service reached'
     in_progress = state.shares.in_progress(member)
-    configured_limit = state.limits.most_by_member.get(member, in_progress + 1)
+    configured_limit = state.limits.concurrency_by_member.get(
+        member, in_progress + 1
+    )
     if in_progress >= configured_limit:
         return 'concurrency limit of the member for the service reached'
     capacity = state.in_progress + free_slots
--- a/waxwingford/routing/_dispatcher.py
+++ b/waxwingford/routing/_dispatcher.py
@@ -12,10 +12,10 @@
 from waxwingford.routing._key_messages import MayRun
 from waxwingford.routing._limits import DispatchLimits, ServiceLimits
 from waxwingford.routing._messages import (
-    HeldServer,
+    KeyLookupAnswer,
+    LeasedServer,
     Outcome,
     PeerView,
-    RecallAnswer,
     Rejected,
     Request,
     Unknown,
@@ -68,7 +68,7 @@
         self._in_progress: set[asyncio.Task[Outcome]] = set()
         self._draining = False
 
-    def set_servers(self, servers: tuple[HeldServer, ...]) -> None:
+    def set_servers(self, servers: tuple[LeasedServer, ...]) -> None:
         """Replace the set of held servers.
 
         Must be called at least once a second: the intervals between calls
@@ -118,9 +118,9 @@
         task.add_done_callback(self._in_progress.discard)
         return await asyncio.shield(task)
 
-    def answer_recall(
+    def answer_key_lookup(
         self, member: str, key: str, body_digest: bytes, asker: str
-    ) -> RecallAnswer:
+    ) -> KeyLookupAnswer:
         """Answer a key lookup by another daemon and record the lookup.
 
         :param member: owner of the key.
@@ -171,7 +171,7 @@
         :returns: whether all requests have ended.
         """
         self._draining = True
-        self._ports.time_line.note(
+        self._ports.timeline.note(
             'dispatcher.draining',
             'dispatcher',
             f'{len(self._in_progress)} in progress',
@@ -249,7 +249,7 @@
         elapsed_ms = self._now_ms() - start_ms
         metrics.latency('request', elapsed_ms, service=service, outcome=kind)
         if isinstance(outcome, Unknown):
-            self._ports.time_line.note(
+            self._ports.timeline.note(
                 'request.unknown',
                 f'request:{request.request_id}',
                 outcome.reason,
--- a/waxwingford/routing/_key_gate.py
+++ b/waxwingford/routing/_key_gate.py
@@ -23,9 +23,9 @@
 from waxwingford.routing._limits import DispatchLimits
 from waxwingford.routing._messages import (
     Answered,
+    KeyLookupAnswer,
+    KeyLookupState,
     Outcome,
-    RecallAnswer,
-    RecallState,
     Refused,
     Rejected,
     Request,
@@ -173,7 +173,7 @@
 
     def answer_lookup(
         self, member: str, key: str, digest: bytes, requester: str
-    ) -> RecallAnswer:
+    ) -> KeyLookupAnswer:
         """Answer a key lookup by another daemon and record the lookup.
 
         :param member: owner of the key.
@@ -190,7 +190,7 @@
             Requester(requester, requester < self._daemon_id),
             now_ms,
         )
-        return RecallAnswer(state, self._uptime_ms(), outcome)
+        return KeyLookupAnswer(state, self._uptime_ms(), outcome)
 
     def _counts_as_first(self, request: Request) -> bool:
         # A daemon that started while the attempt was in transit has lost the
@@ -253,17 +253,19 @@
                 'too many key lookups in progress', UNREACHABLE_RETRY_MS
             )
         answers = dict.fromkeys(
-            daemon_ids, RecallAnswer(RecallState.unreachable, 0)
+            daemon_ids, KeyLookupAnswer(KeyLookupState.unreachable, 0)
         )
         answers.update(await self._query_peers(request))
-        answers[self._daemon_id] = RecallAnswer(
-            RecallState.never_seen, self._uptime_ms()
+        answers[self._daemon_id] = KeyLookupAnswer(
+            KeyLookupState.never_seen, self._uptime_ms()
         )
         return decide_retry(answers, age_ms)
 
-    async def _query_peers(self, request: Request) -> dict[str, RecallAnswer]:
+    async def _query_peers(
+        self, request: Request
+    ) -> dict[str, KeyLookupAnswer]:
         timeout_ms = min(self._limits.lookup_timeout_ms, request.deadline_ms)
-        lookups = self._peers.recall_all(
+        lookups = self._peers.look_up_key(
             request.member, request.key, body_digest(request)
         )
         self._lookups += 1
--- a/waxwingford/routing/_key_store.py
+++ b/waxwingford/routing/_key_store.py
@@ -21,8 +21,8 @@
 from waxwingford.routing._limits import DispatchLimits
 from waxwingford.routing._messages import (
     Answered,
+    KeyLookupState,
     Outcome,
-    RecallState,
     Refused,
     Rejected,
     Unknown,
@@ -138,7 +138,7 @@
 
     def answer_lookup(
         self, key_id: KeyId, digest: bytes, requester: Requester, now_ms: int
-    ) -> tuple[RecallState, Answered | None]:
+    ) -> tuple[KeyLookupState, Answered | None]:
         """Answer a lookup by another daemon and record the key.
 
         Unknown keys are recorded too, so that a delayed first attempt does not
@@ -155,21 +155,21 @@
         if record is None:
             return self._record_lookup(key_id, requester, now_ms), None
         if record.digest not in {b'', digest}:
-            return RecallState.other_body, None
+            return KeyLookupState.other_body, None
         match record.state:
             case _KeyState.looked_up:
                 record.requester = requester.daemon_id
                 self._schedule_expiry(key_id, record, now_ms)
-                return RecallState.never_seen, None
+                return KeyLookupState.never_seen, None
             case _KeyState.looking_up if requester.has_priority:
                 record.yielded = True
-                return RecallState.never_seen, None
+                return KeyLookupState.never_seen, None
             case _KeyState.looking_up | _KeyState.running:
-                return RecallState.running, None
+                return KeyLookupState.running, None
             case _KeyState.answered:
-                return RecallState.answered, self._answers.get(key_id)
+                return KeyLookupState.answered, self._answers.get(key_id)
             case _:
-                return RecallState.unknown, None
+                return KeyLookupState.unknown, None
 
     def finish(self, key_id: KeyId, outcome: Outcome, now_ms: int) -> None:
         """Record the outcome of an attempt that was registered here.
@@ -221,15 +221,15 @@
 
     def _record_lookup(
         self, key_id: KeyId, requester: Requester, now_ms: int
-    ) -> RecallState:
+    ) -> KeyLookupState:
         if self._is_full(key_id.member):
             # Without a record, a delayed first attempt could still run here.
-            return RecallState.unknown
+            return KeyLookupState.unknown
         record = _KeyRecord(b'', _KeyState.looked_up, was_looked_up=True)
         record.requester = requester.daemon_id
         self._add(key_id, record)
         self._schedule_expiry(key_id, record, now_ms)
-        return RecallState.never_seen
+        return KeyLookupState.never_seen
 
     def _is_full(self, member: str) -> bool:
         return self._count_by_member[member] >= self._limits.max_keys_per_member
--- a/waxwingford/routing/_limits.py
+++ b/waxwingford/routing/_limits.py
@@ -14,19 +14,19 @@
     :ivar target_ms: target latency of the service, in milliseconds.
     :ivar max_in_progress: maximum number of requests in progress on this
         daemon.
-    :ivar most_by_member: maximum number of requests in progress by member;
-        members without an entry are not limited.
+    :ivar concurrency_by_member: maximum number of requests in progress by
+        member; members without an entry are not limited.
     :ivar weight_by_member: fair-share weights of the members that may use the
         service.
-    :ivar retry_share: retries as a fraction of requests, 0 to 1.
+    :ivar retry_budget_share: retries as a fraction of requests, 0 to 1.
     :ivar may_spill: whether requests may be forwarded to peers.
     """
 
     target_ms: float = 100.0
     max_in_progress: int = 1024
-    most_by_member: Mapping[str, int] = MappingProxyType({})
+    concurrency_by_member: Mapping[str, int] = MappingProxyType({})
     weight_by_member: Mapping[str, float] = MappingProxyType({})
-    retry_share: float = 0.1
+    retry_budget_share: float = 0.1
     may_spill: bool = True
 
 
--- a/waxwingford/routing/_messages.py
+++ b/waxwingford/routing/_messages.py
@@ -101,7 +101,7 @@
 Outcome = Answered | Refused | Unknown | Rejected
 
 
-class HeldServer(NamedTuple):
+class LeasedServer(NamedTuple):
     """Backend server whose control lease this daemon holds.
 
     :ivar server_id: id of the server.
@@ -151,7 +151,7 @@
     distance_ms: float
 
 
-class RecallState(enum.StrEnum):
+class KeyLookupState(enum.StrEnum):
     """State of an idempotency key on one daemon."""
 
     never_seen = 'never_seen'
@@ -164,7 +164,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RecallAnswer:
+class KeyLookupAnswer:
     """Answer of one daemon to a key lookup.
 
     The daemon records the lookup, so that a first attempt that arrives later
@@ -176,6 +176,6 @@
     :ivar outcome: cached answer if the state is ``answered``.
     """
 
-    state: RecallState
+    state: KeyLookupState
     up_ms: int
     outcome: Answered | None = None
--- a/waxwingford/routing/_ports.py
+++ b/waxwingford/routing/_ports.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from waxwingford.routing._messages import Outcome, RecallAnswer, Request
+from waxwingford.routing._messages import KeyLookupAnswer, Outcome, Request
 
 
 class PeerForwarder(Protocol):
@@ -24,9 +24,9 @@
         """
         ...
 
-    async def recall_all(
+    async def look_up_key(
         self, member: str, key: str, body_digest: bytes
-    ) -> dict[str, RecallAnswer]:
+    ) -> dict[str, KeyLookupAnswer]:
         """Look up a key on every other daemon of the region.
 
         :param member: owner of the key.
--- a/waxwingford/routing/_retry_decision.py
+++ b/waxwingford/routing/_retry_decision.py
@@ -6,8 +6,8 @@
 from waxwingford.routing._key_messages import MayRun
 from waxwingford.routing._messages import (
     Answered,
-    RecallAnswer,
-    RecallState,
+    KeyLookupAnswer,
+    KeyLookupState,
     Rejected,
     Request,
     Unknown,
@@ -44,7 +44,7 @@
 
 
 def decide_retry(
-    answer_by_daemon: Mapping[str, RecallAnswer], age_ms: int
+    answer_by_daemon: Mapping[str, KeyLookupAnswer], age_ms: int
 ) -> MayRun | Answered | Unknown | Rejected:
     """Decide whether a retry may run.
 
@@ -61,15 +61,15 @@
     for answer in answers:
         if answer.outcome is not None:
             return answer.outcome
-    if RecallState.other_body in states:
+    if KeyLookupState.other_body in states:
         return BODY_MISMATCH
-    if states & {RecallState.answered, RecallState.unknown}:
+    if states & {KeyLookupState.answered, KeyLookupState.unknown}:
         return Unknown(
             'an earlier attempt may have been executed', UNREACHABLE_RETRY_MS
         )
-    if RecallState.running in states:
+    if KeyLookupState.running in states:
         return Unknown('an attempt is in progress', IN_PROGRESS_RETRY_MS)
-    if RecallState.unreachable in states:
+    if KeyLookupState.unreachable in states:
         return Unknown('not all daemons could be asked', UNREACHABLE_RETRY_MS)
     youngest_ms = min(answer.up_ms for answer in answers)
     if youngest_ms < age_ms:
--- a/waxwingford/routing/_router.py
+++ b/waxwingford/routing/_router.py
@@ -33,7 +33,7 @@
 from waxwingford.routing._ports import PeerForwarder, RequestMetrics
 from waxwingford.routing._retry_budget import RetryBudget
 from waxwingford.routing._slots import SlotTable
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 
 class DispatchPorts(NamedTuple):
@@ -42,14 +42,14 @@
     :ivar servers: client for the backend servers.
     :ivar peers: client for the other daemons.
     :ivar clock: source of monotonic time.
-    :ivar time_line: event log.
+    :ivar timeline: event log.
     :ivar metrics: counters and latency histograms.
     """
 
     servers: BackendServerPort
     peers: PeerForwarder
     clock: Clock
-    time_line: TimeLine
+    timeline: Timeline
     metrics: RequestMetrics
 
 
@@ -111,7 +111,7 @@
         """
         self._limits_by_service = limits
         for service, budget in self._budget_by_service.items():
-            budget.share = self._service_limits(service).retry_share
+            budget.share = self._service_limits(service).retry_budget_share
 
     def free_slots(self, request: Request) -> int:
         """Count the free slots available to a request.
@@ -218,7 +218,9 @@
     def _budget(self, service: str) -> RetryBudget:
         budget = self._budget_by_service.get(service)
         if budget is None:
-            budget = RetryBudget(self._service_limits(service).retry_share)
+            budget = RetryBudget(
+                self._service_limits(service).retry_budget_share
+            )
             self._budget_by_service[service] = budget
         return budget
 
--- a/waxwingford/routing/_server_pool.py
+++ b/waxwingford/routing/_server_pool.py
@@ -68,7 +68,7 @@
         :param state: server of this pool.
         :param now_ms: monotonic time, in milliseconds.
         """
-        is_available = state.choosable(now_ms)
+        is_available = state.is_available(now_ms)
         free_slots = state.allowed_slots(now_ms) - state.in_flight
         free_slots *= is_available
         self.free_slots += free_slots - state.counted_free_slots
--- a/waxwingford/routing/_server_state.py
+++ b/waxwingford/routing/_server_state.py
@@ -3,7 +3,7 @@
 import dataclasses
 import math
 
-from waxwingford.routing._messages import HeldServer
+from waxwingford.routing._messages import LeasedServer
 
 #: Weight of the latest sample in the moving averages of latency.
 LATENCY_WEIGHT = 0.2
@@ -45,7 +45,7 @@
         until its last call has ended.
     """
 
-    held: HeldServer
+    held: LeasedServer
     slow_start_from_ms: int
     in_flight: int = 0
     latency_ms: float = 0
@@ -99,7 +99,7 @@
         """
         return self.allowed_slots(now_ms) < self.max_in_flight()
 
-    def choosable(self, now_ms: int) -> bool:
+    def is_available(self, now_ms: int) -> bool:
         """Test whether a new call may be sent to the server.
 
         :param now_ms: monotonic time, in milliseconds.
--- a/waxwingford/routing/_slots.py
+++ b/waxwingford/routing/_slots.py
@@ -7,7 +7,7 @@
 
 from waxwingford.kernel import Invariant, check_invariant
 from waxwingford.routing._call_tracker import CallTracker
-from waxwingford.routing._messages import HeldServer
+from waxwingford.routing._messages import LeasedServer
 from waxwingford.routing._server_pool import ServerPool, lowest_latency
 from waxwingford.routing._server_state import SLOW_START_MS, ServerState
 
@@ -27,7 +27,7 @@
     """
 
     call_id: int
-    held: HeldServer
+    held: LeasedServer
     taken_ms: int
 
 
@@ -50,7 +50,7 @@
         self._timers: list[tuple[int, str]] = []
         self._warm_services: frozenset[str] = frozenset()
 
-    def set_servers(self, servers: Iterable[HeldServer], now_ms: int) -> None:
+    def set_servers(self, servers: Iterable[LeasedServer], now_ms: int) -> None:
         """Replace the set of held servers.
 
         :param servers: all servers currently held.
@@ -67,7 +67,7 @@
         for server in by_id.values():
             self.add_or_renew(server, now_ms)
 
-    def add_or_renew(self, server: HeldServer, now_ms: int) -> None:
+    def add_or_renew(self, server: LeasedServer, now_ms: int) -> None:
         """Add a server or renew its lease.
 
         :param server: server and lease.
@@ -131,7 +131,7 @@
         :returns: slot; None if the server is no longer available.
         """
         state = self.state_by_server.get(server_id)
-        if state is None or not state.choosable(now_ms):
+        if state is None or not state.is_available(now_ms):
             return None
         held = state.held
         check_invariant(
@@ -223,7 +223,7 @@
                 self._refresh(state, now_ms)
 
     def _start_tracking(
-        self, server: HeldServer, old: ServerState | None, now_ms: int
+        self, server: LeasedServer, old: ServerState | None, now_ms: int
     ) -> ServerState:
         # Slow start requires other servers that can take the load.  If all are
         # new, as after the start of a daemon, it would only cause refusals.
@@ -246,7 +246,7 @@
         found = []
         for server_id in server_ids:
             state = self.state_by_server[server_id]
-            if not state.choosable(now_ms):
+            if not state.is_available(now_ms):
                 # The lease has expired; a renewal makes the server available
                 # again.
                 self._refresh(state, now_ms)
@@ -280,7 +280,7 @@
             self.state_by_server.pop(server_id)
 
 
-def _is_new_instance(state: ServerState, server: HeldServer) -> bool:
+def _is_new_instance(state: ServerState, server: LeasedServer) -> bool:
     return state.removed or (state.held.boot_id, state.held.service) != (
         server.boot_id,
         server.service,
--- a/waxwingford/routing/tests/fakes.py
+++ b/waxwingford/routing/tests/fakes.py
@@ -9,7 +9,12 @@
     ServiceNotRun,
     ServiceOutcomeUnknown,
 )
-from waxwingford.routing import RecallAnswer, RecallState, Refused, Unknown
+from waxwingford.routing import (
+    KeyLookupAnswer,
+    KeyLookupState,
+    Refused,
+    Unknown,
+)
 
 _MS_IN_S = 1000
 _LEASE_MS = 100_000_000
@@ -116,7 +121,7 @@
             else served.result()
         )
 
-    async def recall_all(self, member, key, body_digest):
+    async def look_up_key(self, member, key, body_digest):
         peers = [
             name
             for name in self._region.dispatcher_by_id
@@ -131,13 +136,13 @@
         await sleep_ms(_NETWORK_DELAY_MS)
         dispatcher = self._region.dispatcher_by_id[peer_id]
         if dispatcher is None or self._is_cut(self._own_id, peer_id):
-            return RecallAnswer(RecallState.unreachable, 0)
-        answer = dispatcher.answer_recall(
+            return KeyLookupAnswer(KeyLookupState.unreachable, 0)
+        answer = dispatcher.answer_key_lookup(
             member, key, body_digest, self._own_id
         )
         await sleep_ms(_NETWORK_DELAY_MS)
         if self._is_cut(peer_id, self._own_id):
-            return RecallAnswer(RecallState.unreachable, 0)
+            return KeyLookupAnswer(KeyLookupState.unreachable, 0)
         return answer
 
     def _is_cut(self, sender, receiver):
--- a/waxwingford/routing/tests/region.py
+++ b/waxwingford/routing/tests/region.py
@@ -10,7 +10,7 @@
 from waxwingford.routing import (
     DispatchLimits,
     DispatchPorts,
-    HeldServer,
+    LeasedServer,
     PeerView,
     Request,
     RequestDispatcher,
@@ -22,7 +22,7 @@
     VirtualLoop,
     end_loop,
 )
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 #: Process that a task belongs to; killing the process cancels its tasks.
 PROCESS = contextvars.ContextVar('process', default='')
@@ -30,7 +30,7 @@
 
 
 def held_server(server, lease_until_ms=None):
-    return HeldServer(
+    return LeasedServer(
         server_id=server.server_id,
         rack='rack-1',
         service=server.service,
@@ -80,7 +80,7 @@
             FakeServers(self.server_by_id.values()),
             FakePeers(daemon_id, self),
             clock,
-            TimeLine(daemon_id, 'test', clock, 100),
+            Timeline(daemon_id, 'test', clock, 100),
             metrics,
         )
         self.dispatcher_by_id[daemon_id] = RequestDispatcher(
--- a/waxwingford/settings/tests/tls_steps.py
+++ b/waxwingford/settings/tests/tls_steps.py
@@ -7,7 +7,7 @@
 
 from behave import fixture, given, then, use_fixture, when
 
-from waxwingford.commands._certificates import make_certificate
+from waxwingford.commands._certificates import issue_certificate
 from waxwingford.settings import (
     Alpn,
     Settings,
@@ -61,7 +61,7 @@
         (context.trusted, 'qadri-2'),
         (context.untrusted, 'untrusted'),
     ):
-        assert not make_certificate(directory, name, '127.0.0.1', now)
+        assert not issue_certificate(directory, name, '127.0.0.1', now)
 
 
 def make_client_context(context, client, alpn):
--- a/waxwingford/shard/tests/shard.feature
+++ b/waxwingford/shard/tests/shard.feature
@@ -452,7 +452,7 @@
 
   Scenario Outline: random faults
     # Guards against decisions that rest on an outcome that is not known.
-    When a shard runs for 60 s with random faults from seed <seed>
+    When a shard is simulated for 60 s with random faults and seed <seed>
     Then all jobs are completed
     And no invariant was violated
 
--- a/waxwingford/shard/tests/shard_steps.py
+++ b/waxwingford/shard/tests/shard_steps.py
@@ -15,7 +15,11 @@
     VirtualShard,
     step,
 )
-from waxwingford.timeline import about, events_of_lines, merge_events
+from waxwingford.timeline import (
+    merge_events,
+    parse_log_events,
+    select_job_events,
+)
 
 FAULT_KINDS = ('kill', 'cut_store', 'refuse_store', 'cut_server', 'crash')
 RECOVERY_S = 60
@@ -102,8 +106,8 @@
 
 
 def history(context):
-    merged = merge_events(events_of_lines(context.shard.lines))
-    return about(merged, context.jobs[-1])
+    merged = merge_events(parse_log_events(context.shard.lines))
+    return select_job_events(merged, context.jobs[-1])
 
 
 @then('the logs of all daemons show its events in this order')
@@ -215,7 +219,9 @@
     context.shard.store.late_share = 0.5
 
 
-@when('a shard runs for {span_s:d} s with random faults from seed {seed:d}')
+@when(
+    'a shard is simulated for {span_s:d} s with random faults and seed {seed:d}'
+)
 def run_with_random_faults(context, span_s, seed):
     shard = start_faulty_shard(context, seed)
     while shard.loop.time() < span_s:
--- a/waxwingford/timeline/__init__.py
+++ b/waxwingford/timeline/__init__.py
@@ -1,7 +1,7 @@
 """Timeline of events of all processes: recording, merging and rendering."""
 
-from waxwingford.timeline._events import Event, EventId, TimeLine
-from waxwingford.timeline._from_logs import about, events_of_lines
+from waxwingford.timeline._events import Event, EventId, Timeline
+from waxwingford.timeline._from_logs import parse_log_events, select_job_events
 from waxwingford.timeline._merge import (
     PlacedEvent,
     filter_events,
@@ -9,20 +9,20 @@
     place_events,
     render_text,
 )
-from waxwingford.timeline._plot import LeaseBar, lease_bars, render_picture
+from waxwingford.timeline._plot import LeaseBar, lease_bars, plot_timeline
 
 __all__ = (
     'Event',
     'EventId',
     'LeaseBar',
     'PlacedEvent',
-    'TimeLine',
-    'about',
-    'events_of_lines',
+    'Timeline',
+    'select_job_events',
+    'parse_log_events',
     'filter_events',
     'lease_bars',
     'merge_events',
     'place_events',
-    'render_picture',
+    'plot_timeline',
     'render_text',
 )
--- a/waxwingford/timeline/_events.py
+++ b/waxwingford/timeline/_events.py
@@ -47,7 +47,7 @@
     parent: EventId | None = None
 
 
-class TimeLine:
+class Timeline:
     """Ring buffer of a daemon's events, which drops the oldest when full."""
 
     def __init__(
--- a/waxwingford/timeline/_from_logs.py
+++ b/waxwingford/timeline/_from_logs.py
@@ -35,7 +35,7 @@
 _decoder = msgspec.json.Decoder(dict[str, Any])
 
 
-def events_of_lines(lines: Iterable[str]) -> Iterator[Event]:
+def parse_log_events(lines: Iterable[str]) -> Iterator[Event]:
     """Parse log lines into events, skipping lines that are not log entries.
 
     Causes in other processes become parents: a job known to the owner has its
@@ -76,7 +76,7 @@
     return 0 <= delay_ms <= cause.get('took_ms', -1)
 
 
-def about(events: Iterable[Event], job_id: str) -> list[Event]:
+def select_job_events(events: Iterable[Event], job_id: str) -> list[Event]:
     """Select the events that concern a job.
 
     :param events: events in any order.
--- a/waxwingford/timeline/_plot.py
+++ b/waxwingford/timeline/_plot.py
@@ -71,7 +71,7 @@
     return [*bars, *still_open]
 
 
-def render_picture(merged: Sequence[Event], path: str) -> None:
+def plot_timeline(merged: Sequence[Event], path: str) -> None:
     """Plot a merged timeline.
 
     :param merged: events in causal order.
--- a/waxwingford/timeline/tests/logs_steps.py
+++ b/waxwingford/timeline/tests/logs_steps.py
@@ -4,7 +4,11 @@
 
 from behave import given, then, when
 
-from waxwingford.timeline import about, events_of_lines, merge_events
+from waxwingford.timeline import (
+    merge_events,
+    parse_log_events,
+    select_job_events,
+)
 
 JOB = '00000000000000aa'
 TASK = f'{JOB}.0.0.0'
@@ -81,8 +85,8 @@
 
 @when('the history of the job is built')
 def build_history(context):
-    merged = merge_events(events_of_lines(context.log_lines))
-    context.history = about(merged, JOB)
+    merged = merge_events(parse_log_events(context.log_lines))
+    context.history = select_job_events(merged, JOB)
 
 
 @then('causes precede their effects among the events')
--- a/waxwingford/timeline/tests/timeline_steps.py
+++ b/waxwingford/timeline/tests/timeline_steps.py
@@ -8,11 +8,11 @@
 
 from waxwingford.kernel import ManualClock
 from waxwingford.timeline import (
-    TimeLine,
+    Timeline,
     lease_bars,
     merge_events,
     place_events,
-    render_picture,
+    plot_timeline,
 )
 
 START_MS = 1_000_000
@@ -29,7 +29,7 @@
         second: ManualClock(START_MS - lag_ms),
     }
     context.timeline_by_name = {
-        name: TimeLine(name, 'x1', clock, RING_CAPACITY)
+        name: Timeline(name, 'x1', clock, RING_CAPACITY)
         for name, clock in context.clock_by_name.items()
     }
     context.last_id = None
@@ -104,5 +104,5 @@
     assert len(lease_bars(place_events(merged))) == count
     with tempfile.TemporaryDirectory() as directory:
         path = pathlib.Path(directory, 'line.svg')
-        render_picture(merged, str(path))
+        plot_timeline(merged, str(path))
         assert '<svg' in path.read_text(encoding='utf-8')
--- a/waxwingford_bench/bundles/fleet.py
+++ b/waxwingford_bench/bundles/fleet.py
@@ -10,7 +10,7 @@
     PeerBundle,
     PeerBundleAnswer,
     PeerUnavailable,
-    ReaderSetup,
+    ReaderDependencies,
 )
 from waxwingford.kernel import SystemClock
 from waxwingford.metrics import Metrics
@@ -101,13 +101,13 @@
         self.times_by_version: dict[int, list[float]] = {}
         self.readers = [
             BundleReader(
-                ReaderSetup(
+                ReaderDependencies(
                     log=log,
                     peers=FleetPeers(self, own_index),
                     clock=SystemClock(),
                     key_by_member=TRUST,
-                    domain_daemons=frozenset(),
-                    on_in_force=self._record_in_force,
+                    domain_peers=frozenset(),
+                    on_bundle_change=self._record_in_force,
                     note=_ignore_event,
                     counters=Metrics(),
                     rng=random.Random(own_index),
--- a/waxwingford_bench/bundles/rollout.py
+++ b/waxwingford_bench/bundles/rollout.py
@@ -17,11 +17,11 @@
 
 from waxwingford.bundles import (
     CONFIG_STREAM,
-    RESTATE_CHANGES,
+    MAX_CHANGES_BETWEEN_RESTATEMENTS,
     Body,
     BundleChain,
     FromLog,
-    body_of,
+    bundle_body,
     canonical_bytes,
 )
 from waxwingford_bench.bundles.fleet import Fleet, LongPollLog
@@ -101,7 +101,7 @@
             log.unavailable = True
         for _ in range(changes):
             before, bundle = bundle, make_next(bundle)
-            payload = make_payload(bundle, body_of(before))
+            payload = make_payload(bundle, bundle_body(before))
             await asyncio.sleep(pause_s)
             started = time.perf_counter()
             await fleet.log_ports[0].append(CONFIG_STREAM, payload)
@@ -125,7 +125,7 @@
     payloads = []
     for _ in range(changes):
         before, bundle = bundle, make_next(bundle)
-        payloads.append(make_payload(bundle, body_of(before)))
+        payloads.append(make_payload(bundle, bundle_body(before)))
     started = time.process_time()
     for offset, payload in enumerate(payloads, 1):
         chain.offer_payload(payload, FromLog(offset))
@@ -135,7 +135,7 @@
     return Cost(
         'change',
         teams,
-        len(canonical_bytes(body_of(bundle))),
+        len(canonical_bytes(bundle_body(bundle))),
         len(payloads[-1]),
         len(chain.whole_record(changes)),
         round(processor_ms, 3),
@@ -148,7 +148,7 @@
 
     :param teams: number of teams in the bundle.
     :param changes: number of changes in the stream, with a whole record after
-        every ``RESTATE_CHANGES``.
+        every ``MAX_CHANGES_BETWEEN_RESTATEMENTS``.
     :returns: bytes read and processor time.
     :raises ValueError: if the newest version did not come into force.
     """
@@ -162,11 +162,11 @@
         payload = make_payload(bundle, before)
         chain.offer_payload(payload, FromLog(offset))
         fleet.core.append(CONFIG_STREAM, payload, offset * _MS_IN_S)
-        if not bundle.version % RESTATE_CHANGES:
+        if not bundle.version % MAX_CHANGES_BETWEEN_RESTATEMENTS:
             offset = next(offsets)
             payload = chain.whole_record(offset)
             fleet.core.append(CONFIG_STREAM, payload, offset * _MS_IN_S)
-        before, bundle = body_of(bundle), make_next(bundle)
+        before, bundle = bundle_body(bundle), make_next(bundle)
     started = time.process_time()
     await fleet.readers[0].step()
     processor_ms = (time.process_time() - started) * _MS_IN_S
--- a/waxwingford_bench/bundles/versions.py
+++ b/waxwingford_bench/bundles/versions.py
@@ -8,12 +8,12 @@
 from waxwingford.bundles import (
     Body,
     Bundle,
-    body_of,
+    bundle_body,
     canonical_bytes,
-    digest_of,
+    compute_digest,
+    encode_public_key,
     encode_record,
     make_record,
-    public_text,
     sign_digest,
 )
 
@@ -22,7 +22,7 @@
     for index, member in enumerate(('qadri', 'svatbena'), 1)
 }
 #: Public key of each signing member.
-TRUST = {member: public_text(key) for member, key in _KEYS.items()}
+TRUST = {member: encode_public_key(key) for member, key in _KEYS.items()}
 
 
 def make_first(teams: int) -> Bundle:
@@ -56,8 +56,8 @@
     :param before: preceding version.
     :returns: next version.
     """
-    body = copy.deepcopy(body_of(before))
-    body['predecessor'] = digest_of(canonical_bytes(body_of(before)))
+    body = copy.deepcopy(bundle_body(before))
+    body['predecessor'] = compute_digest(canonical_bytes(bundle_body(before)))
     body['version'] += 1
     body['teams']['qadri/team1']['memory_mb'] += 1
     return Bundle.model_validate_json(msgspec.json.encode(body))
@@ -70,7 +70,7 @@
     :param before: body of the preceding version; empty for the first.
     :returns: payload for the log.
     """
-    digest = digest_of(canonical_bytes(body_of(bundle)))
+    digest = compute_digest(canonical_bytes(bundle_body(bundle)))
     signatures = {
         member: sign_digest(key, digest) for member, key in _KEYS.items()
     }
--- a/waxwingford_bench/routing/cost.py
+++ b/waxwingford_bench/routing/cost.py
@@ -15,7 +15,7 @@
 from hdrh.histogram import HdrHistogram
 
 from waxwingford.kernel import SystemClock
-from waxwingford.routing import HeldServer, SlotTable
+from waxwingford.routing import LeasedServer, SlotTable
 from waxwingford_bench.routing.site import Address, BenchSite
 
 _SERVERS = (24, 720, 13_000)
@@ -44,14 +44,14 @@
     p99_us: int
 
 
-def held_servers(count: int) -> Iterator[HeldServer]:
+def held_servers(count: int) -> Iterator[LeasedServer]:
     """Create servers of one service.
 
     :param count: number of servers.
     :yields: servers with unexpired leases.
     """
     for number in range(count):
-        yield HeldServer(
+        yield LeasedServer(
             server_id=f'server-{number}',
             rack=f'rack-{number // 6}',
             service='dispatcher',
@@ -103,7 +103,7 @@
         (
             state
             for state in table.state_by_server.values()
-            if state.choosable(_AFTER_SLOW_START_MS)
+            if state.is_available(_AFTER_SLOW_START_MS)
         ),
         key=lambda state: state.expected_ms(),
         default=None,
@@ -124,7 +124,7 @@
     def _choose(slots: SlotTable, rng: random.Random) -> str | None:
         while True:
             name = names[int(rng.random() * len(names))]
-            if slots.state_by_server[name].choosable(_AFTER_SLOW_START_MS):
+            if slots.state_by_server[name].is_available(_AFTER_SLOW_START_MS):
                 return name
 
     return _choose
--- a/waxwingford_bench/routing/site.py
+++ b/waxwingford_bench/routing/site.py
@@ -20,12 +20,12 @@
 from waxwingford.routing import (
     DispatchLimits,
     DispatchPorts,
-    HeldServer,
+    LeasedServer,
     PeerView,
     RequestDispatcher,
 )
 from waxwingford.settings import PeerAddress
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 _HOST = '127.0.0.1'
 _DOMAIN = 'gulberg'
@@ -52,11 +52,11 @@
     def __init__(
         self, daemon_id: str, clock: Clock, peers: tuple[PeerAddress, ...]
     ) -> None:
-        self.time_line = TimeLine(daemon_id, '1', clock, 64)
+        self.timeline = Timeline(daemon_id, '1', clock, 64)
         self.servers = HttpServers()
-        self.links = PeerClients(daemon_id, peers, clock, self.time_line)
+        self.links = PeerClients(daemon_id, peers, clock, self.timeline)
         ports = DispatchPorts(
-            self.servers, self.links, clock, self.time_line, Metrics()
+            self.servers, self.links, clock, self.timeline, Metrics()
         )
         self.dispatcher = RequestDispatcher(
             daemon_id=daemon_id,
@@ -103,7 +103,7 @@
                     self._holder.dispatcher,
                     lambda beat: beat,
                     lambda after: (0, ()),
-                    self._holder.time_line,
+                    self._holder.timeline,
                 )
             ]
         )
@@ -172,8 +172,8 @@
         listener = self._rpc._server  # noqa: SLF001
         return listener.sockets[0].getsockname()[1]
 
-    def _held_server(self) -> HeldServer:
-        return HeldServer(
+    def _held_server(self) -> LeasedServer:
+        return LeasedServer(
             server_id='server-1',
             rack='rack-1',
             service='dispatcher',
--- a/waxwingford_bench/storms/daemon.py
+++ b/waxwingford_bench/storms/daemon.py
@@ -5,13 +5,13 @@
 
 from waxwingford.batch import (
     BatchSettings,
-    LogAway,
     LogEntries,
+    LogReadFailed,
     ReplySubmission,
     VmListRead,
-    read_group,
+    decode_entry,
 )
-from waxwingford.batch._snapshots import load_newest
+from waxwingford.batch._snapshots import load_newest_snapshot
 from waxwingford.ports import (
     LogRead,
     LogUnavailable,
@@ -114,7 +114,7 @@
     def _newest_snapshot(self) -> DomainState | None:
         log = _MeteredSnapshotLog(self.daemon_id, self._domain)
         started_ns = time.process_time_ns()
-        outcome = _run_to_completion(load_newest(log, SNAPSHOTS))
+        outcome = _run_to_completion(load_newest_snapshot(log, SNAPSHOTS))
         _count_cpu_time(self._domain, self.daemon_id, started_ns)
         if isinstance(outcome, LogUnavailable):
             return None
@@ -176,7 +176,7 @@
         is_away = domain.network.is_cut(self.daemon_id, 'log')
         if is_away or self.controller is None:
             if self.controller is not None:
-                self.deliver(LogAway('not connected'))
+                self.deliver(LogReadFailed('not connected'))
             self._schedule_read(life, failures + 1)
             return
         from_offset = self.controller.state.next_offset
@@ -195,7 +195,7 @@
     def _deliver_entries(self, started_ms: int, from_offset: int) -> None:
         outcome = self._domain.network.read(self.daemon_id, STREAM, from_offset)
         started_ns = time.process_time_ns()
-        entries = tuple(read_group(entry) for entry in outcome.entries)
+        entries = tuple(decode_entry(entry) for entry in outcome.entries)
         _count_cpu_time(self._domain, self.daemon_id, started_ns)
         self.deliver(
             LogEntries(
--- a/waxwingford_bench/storms/pauses.py
+++ b/waxwingford_bench/storms/pauses.py
@@ -4,7 +4,7 @@
 
 from waxwingford.batch import BatchSettings, SubmissionOutcome
 from waxwingford.batch._reader import away_pause_ms
-from waxwingford.batch._shell import list_pause_ms, spread_retry
+from waxwingford.batch._shell import add_retry_jitter, list_pause_ms
 
 _POLL_PAUSE_MS = 50
 _READ_RETRY_MS = 250
@@ -53,7 +53,7 @@
         :param outcome: outcome that the controller decided.
         :returns: outcome to send to the submitter.
         """
-        return spread_retry(outcome, self._rng)
+        return add_retry_jitter(outcome, self._rng)
 
     def adjust_settings(self, settings: BatchSettings) -> BatchSettings:
         """Shorten the snapshot interval so that a restart finds a snapshot.
--- a/waxwingford_bench/storms/submitters.py
+++ b/waxwingford_bench/storms/submitters.py
@@ -3,7 +3,7 @@
 import itertools
 import random
 
-from waxwingford.batch import JobRefused, JobUnknown, SubmissionOutcome
+from waxwingford.batch import JobOutcomeUnknown, JobRefused, SubmissionOutcome
 from waxwingford.ports import Resources
 from waxwingford.records import JobSpec
 from waxwingford_bench.storms.surroundings import StormSurroundings
@@ -66,7 +66,7 @@
         match outcome:
             case (
                 JobRefused(retry_after_ms=retry_after_ms)
-                | JobUnknown(retry_after_ms=retry_after_ms)
+                | JobOutcomeUnknown(retry_after_ms=retry_after_ms)
             ):
                 self._retry_later(job, retry_after_ms)
             case _:
--- a/waxwingford_bench/virtual/daemon.py
+++ b/waxwingford_bench/virtual/daemon.py
@@ -10,14 +10,14 @@
     Control,
     ControlResult,
     DomainController,
-    LogAway,
     LogEntries,
+    LogReadFailed,
     ReplySubmission,
     SnapshotWritten,
     Tick,
     WriteSnapshot,
-    is_too_late,
-    read_group,
+    decode_entry,
+    is_expired,
 )
 from waxwingford.ports import ControlOutcomeUnknown
 from waxwingford.records import (
@@ -113,9 +113,9 @@
         from_offset = self.controller.state.next_offset
         outcome = self._domain.network.read(self.daemon_id, STREAM, from_offset)
         if outcome is None:
-            self.deliver(LogAway('timeout'))
+            self.deliver(LogReadFailed('timeout'))
             return
-        entries = tuple(read_group(entry) for entry in outcome.entries)
+        entries = tuple(decode_entry(entry) for entry in outcome.entries)
         message = LogEntries(
             entries, started_ms, outcome.next_offset, outcome.oldest_offset
         )
@@ -210,7 +210,7 @@
             )
             self._deliver_to(life, result)
 
-        if is_too_late(effect, sent_ms):
+        if is_expired(effect, sent_ms):
             _on_outcome(ControlOutcomeUnknown('too late', not_sent=True))
         else:
             self._domain.network.control(self.daemon_id, effect, _on_outcome)
--- a/waxwingford_bench/whole_path/control.py
+++ b/waxwingford_bench/whole_path/control.py
@@ -7,9 +7,9 @@
 from waxwingford.bundles import (
     Bundle,
     Published,
-    body_of,
+    bundle_body,
     canonical_bytes,
-    digest_of,
+    compute_digest,
 )
 from waxwingford_bench.whole_path.fleet import OK, Fleet
 from waxwingford_bench.whole_path.rows import (
@@ -108,7 +108,7 @@
 
 
 def _next_version(current: Bundle) -> Bundle:
-    digest = digest_of(canonical_bytes(body_of(current)))
+    digest = compute_digest(canonical_bytes(bundle_body(current)))
     predecessor = digest if isinstance(digest, str) else digest.hex()
     return current.model_copy(
         update={'version': current.version + 1, 'predecessor': predecessor}
--- a/waxwingford_standins/configs.py
+++ b/waxwingford_standins/configs.py
@@ -10,7 +10,7 @@
 )
 
 from waxwingford.adapters import encode_json
-from waxwingford.bundles import public_text
+from waxwingford.bundles import encode_public_key
 from waxwingford.settings import (
     Identity,
     Leases,
@@ -107,7 +107,7 @@
     )
     trust = Trust(
         public_key_by_member={
-            member: public_text(key) for member, key in keys.items()
+            member: encode_public_key(key) for member, key in keys.items()
         }
     )
     tls_by_daemon = _issue_certificates(directory, layout, options)
--- a/waxwingford_standins/local_run.py
+++ b/waxwingford_standins/local_run.py
@@ -11,11 +11,11 @@
     BundleInvalid,
     Published,
     PublishOutcome,
-    body_of,
+    bundle_body,
     canonical_bytes,
-    digest_of,
+    compute_digest,
+    encode_public_key,
     load_bundle,
-    public_text,
     publish,
     sign_digest,
 )
@@ -161,13 +161,13 @@
         :param bundle: bundle with its version and predecessor.
         :returns: outcome of the publication.
         """
-        digest = digest_of(canonical_bytes(body_of(bundle)))
+        digest = compute_digest(canonical_bytes(bundle_body(bundle)))
         signatures = {
             member: sign_digest(key, digest)
             for member, key in self.key_by_member.items()
         }
         trusted = {
-            member: public_text(key)
+            member: encode_public_key(key)
             for member, key in self.key_by_member.items()
         }
         log = HttpLog(self.switches.platform_url, _LOG_TIMEOUT_MS)
--- a/waxwingford_standins/run_certificates.py
+++ b/waxwingford_standins/run_certificates.py
@@ -5,7 +5,7 @@
 import ssl
 from collections.abc import Iterable
 
-from waxwingford.commands._certificates import make_certificate
+from waxwingford.commands._certificates import issue_certificate
 from waxwingford.settings import Tls
 from waxwingford_standins.layout import HOST
 
@@ -28,7 +28,7 @@
     now = datetime.datetime.now(datetime.UTC)
     tls_by_daemon = {}
     for daemon_id in daemon_ids:
-        error = make_certificate(directory, daemon_id, HOST, now)
+        error = issue_certificate(directory, daemon_id, HOST, now)
         if error:
             raise RuntimeError(error)
         tls_by_daemon[daemon_id] = Tls(
--- a/waxwingford_standins/tests/tls_steps.py
+++ b/waxwingford_standins/tests/tls_steps.py
@@ -11,13 +11,13 @@
 from behave import given, then
 
 from waxwingford.commands._command import ExitCode
-from waxwingford.commands._keys import private_pem, write_private
+from waxwingford.commands._keys import create_private_file, private_pem
 from waxwingford.commands.main import run as run_command
 from waxwingford.kernel import SystemClock
 from waxwingford.peers import PeerClients, PeerHeartbeat
 from waxwingford.routing import Answered, Request, Urgency
 from waxwingford.settings import Alpn, client_context, load_settings
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 from waxwingford_standins.configs import RunOptions
 from waxwingford_standins.deployment import DomainPlan, load_deployment
 from waxwingford_standins.local_run import LocalRun, open_bundle
@@ -167,8 +167,8 @@
     """Send a heartbeat and a forwarded request to the first daemon."""
     settings = load_daemon_settings(TRUSTED[0])
     clock = SystemClock()
-    time_line = TimeLine(daemon_id, 'test', clock, 64)
-    links = PeerClients(daemon_id, settings.peers, clock, time_line, tls)
+    timeline = Timeline(daemon_id, 'test', clock, 64)
+    links = PeerClients(daemon_id, settings.peers, clock, timeline, tls)
     beat = PeerHeartbeat(daemon_id, 'test', DOMAIN, 1, {}, {})
     request = Request(
         request_id=f'{daemon_id}-forward',
@@ -282,7 +282,7 @@
 @then('the command-line tool reads the status and submits a job')
 def tool_works(context):
     key = shared['path'] / 'qadri.pem'
-    write_private(key, private_pem(shared['run'].key_by_member['qadri']))
+    create_private_file(key, private_pem(shared['run'].key_by_member['qadri']))
     fleet = ('--fleet', fleet_file(TRUSTED))
     who = ('--member', 'qadri', '--key', str(key))
     what = ('--team', 'deposits', '--kind', 'checkout_comparison')
--- a/waxwingford_standins/trial.py
+++ b/waxwingford_standins/trial.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from waxwingford.timeline import Event, merge_events, render_picture
+from waxwingford.timeline import Event, merge_events, plot_timeline
 from waxwingford_standins.backend_server import ServerAudit
 from waxwingford_standins.load import Callers
 from waxwingford_standins.local_run import LocalRun
@@ -95,7 +95,7 @@
     )
     picture = directory / 'timeline.svg'
     merged = merge_events(await _read_timelines(local_run))
-    await asyncio.to_thread(render_picture, merged, str(picture))
+    await asyncio.to_thread(plot_timeline, merged, str(picture))
     return text
 
 
