--- a/waxwingford/batch/_controller.py
+++ b/waxwingford/batch/_controller.py
@@ -22,8 +22,8 @@
     ControlResult,
     Drain,
     EvictTask,
-    LogAway,
     LogEntries,
+    LogReadFailed,
     Message,
     ServersReleased,
     SnapshotWritten,
@@ -113,7 +113,7 @@
         match message:
             case LogEntries():
                 return stream.handle_entries(message, now_ms)
-            case LogAway(reason=reason):
+            case LogReadFailed(reason=reason):
                 return stream.handle_read_failure(reason)
             case AppendResult(sequence=sequence, outcome=outcome):
                 return stream.appender.handle_result(sequence, outcome, now_ms)
@@ -218,7 +218,7 @@
         for server_id in server_ids:
             server = self.fleet.server_by_id.get(server_id)
             if server is not None and not server.lease.is_valid(now_ms):
-                server.preference.note_free(now_ms)
+                server.preference.record_release(now_ms)
                 self.fleet.schedule_acquisition(server, now_ms)
 
     def _drain(self, now_ms: int) -> None:
--- a/waxwingford/batch/_executor.py
+++ b/waxwingford/batch/_executor.py
@@ -11,11 +11,11 @@
 )
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.batch._snapshots import write_snapshot
-from waxwingford.kernel import Clock, Invariant, require
+from waxwingford.kernel import Clock, Invariant, check_invariant
 from waxwingford.ports import (
     BackendServerPort,
     ControlOutcome,
-    ControlUnknown,
+    ControlOutcomeUnknown,
     LogPort,
 )
 from waxwingford.records import DomainState, encode_group
@@ -23,7 +23,7 @@
 _LEASE_EXPIRED = 'lease expired before the request was sent'
 
 
-def is_too_late(effect: Control, now_ms: int) -> bool:
+def is_expired(effect: Control, now_ms: int) -> bool:
     """Return whether an exchange is no longer valid at the time of sending.
 
     :param effect: the exchange.
@@ -77,8 +77,8 @@
         """
         generation = self._generation
         sent_ms = self._clock.monotonic_ms()
-        if is_too_late(effect, sent_ms):
-            outcome: ControlOutcome = ControlUnknown(
+        if is_expired(effect, sent_ms):
+            outcome: ControlOutcome = ControlOutcomeUnknown(
                 _LEASE_EXPIRED, not_sent=True
             )
         else:
@@ -113,7 +113,7 @@
             self._deliver(generation, SnapshotWritten(covers_offset))
 
     async def _send(self, effect: Control, sent_ms: int) -> ControlOutcome:
-        require(
+        check_invariant(
             sent_ms < effect.valid_until_ms,
             Invariant.lease_before_effect,
             f'{effect.server_id}: sent at {sent_ms}, '
--- a/waxwingford/batch/_fleet.py
+++ b/waxwingford/batch/_fleet.py
@@ -7,8 +7,8 @@
 from waxwingford.batch._server import ServerControl
 from waxwingford.batch._settings import BatchSettings
 from waxwingford.ownership import (
+    AcquisitionSchedule,
     ControlLease,
-    Preference,
     rank_of,
     shared_out,
 )
@@ -37,7 +37,7 @@
     :ivar lease_timing: interval of exchanges and durations of leases, for the
         number of servers held at present.
     :ivar released: servers whose leases were released since the last call of
-        ``BatchQueries.take_released``.
+        ``BatchQueries.pop_released_servers``.
     :ivar draining: whether this daemon releases its leases to stop.
     :ivar reserved_by_service: resources reserved on each VM for its service,
         by service.
@@ -184,7 +184,9 @@
         server = ServerControl(
             vm,
             ControlLease(settings.margin_ms),
-            Preference(settings.times, self.rank(vm.server_id), now_ms),
+            AcquisitionSchedule(
+                settings.times, self.rank(vm.server_id), now_ms
+            ),
         )
         self.server_by_id[vm.server_id] = server
         self.schedule_acquisition(server, now_ms)
--- a/waxwingford/batch/_submissions.py
+++ b/waxwingford/batch/_submissions.py
@@ -13,7 +13,7 @@
 )
 from waxwingford.batch._fleet import Fleet
 from waxwingford.batch._views import oversize_reason
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 from waxwingford.records import (
     DomainState,
     JobAccepted,
@@ -21,7 +21,7 @@
     JobSpec,
     Valid,
     Verdict,
-    refuse_job,
+    validate_job,
 )
 
 #: Retry delay for members after a refusal.
@@ -107,7 +107,7 @@
         return ImmediateReply(JobCancelledOutcome(job_id))
     if admission.refusal:
         return ImmediateReply(JobRefused(admission.refusal, RETRY_AFTER_MS))
-    require(
+    check_invariant(
         job.spec.member == member,
         Invariant.member_isolation,
         f'{member} cancels {job_id}',
@@ -139,7 +139,7 @@
 def _validate_spec(spec: JobSpec) -> str:
     if len(spec.payload) > PAYLOAD_CHARACTERS:
         return f'payload must have at most {PAYLOAD_CHARACTERS} characters'
-    return refuse_job(spec)
+    return validate_job(spec)
 
 
 def _answer_duplicate(state: DomainState, spec: JobSpec) -> SubmissionOutcome:
--- a/waxwingford/bundles/_chain.py
+++ b/waxwingford/bundles/_chain.py
@@ -9,7 +9,7 @@
     Body,
     PatchTooDeep,
     canonical_bytes,
-    digest_of,
+    compute_digest,
     merge_patch,
     short_digest,
 )
@@ -31,7 +31,7 @@
     Source,
     Verdict,
 )
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 
 
 class _Accepted(NamedTuple):
@@ -204,7 +204,7 @@
         record: BundleRecord,
         source: Source,
     ) -> InForce:
-        require(
+        check_invariant(
             bundle.version > self.version,
             Invariant.bundle_monotonic,
             f'version {bundle.version} after version {self.version}',
@@ -228,7 +228,7 @@
             f'body of {len(canonical)} bytes, '
             f'expected at most {MAX_BUNDLE_BYTES}'
         )
-    digest = digest_of(canonical)
+    digest = compute_digest(canonical)
     if digest != record.digest:
         return f'body has digest {short_digest(digest)}, record claims {short_digest(record.digest)}'
     return ''
--- a/waxwingford/bundles/tests/interleavings_steps.py
+++ b/waxwingford/bundles/tests/interleavings_steps.py
@@ -10,9 +10,9 @@
 from waxwingford.bundles import (
     CONFIG_STREAM,
     PeerBundle,
-    PeerSilent,
+    PeerUnavailable,
     canonical_bytes,
-    digest_of,
+    compute_digest,
     encode_record,
 )
 from waxwingford.bundles.tests.chain_steps import replace_fields
@@ -33,7 +33,7 @@
 
 
 def digest(body):
-    return digest_of(canonical_bytes(body))
+    return compute_digest(canonical_bytes(body))
 
 
 class SimulatedDaemon(FakeLog):
@@ -52,11 +52,11 @@
             self,
             world.clock,
             others - {f'd{slot}'},
-            self.on_in_force,
+            self.on_bundle_change,
             lambda *_: None,
         )
 
-    def on_in_force(self, seen):
+    def on_bundle_change(self, seen):
         """Check each bundle that takes force here."""
         known = [digest(body) for body in self.world.accepted_bodies]
         assert seen.digest in known, (
@@ -77,7 +77,7 @@
     async def fetch(self, after_version):
         """Query the other daemons; muted ones do not answer."""
         return {
-            f'd{slot}': PeerSilent('muted')
+            f'd{slot}': PeerUnavailable('muted')
             if slot in self.world.muted or self.slot in self.world.muted
             else PeerBundle(self.world.payloads(slot, after_version))
             for slot in range(DAEMON_COUNT)
--- a/waxwingford/bundles/tests/reader_steps.py
+++ b/waxwingford/bundles/tests/reader_steps.py
@@ -9,12 +9,12 @@
     Bundle,
     NotReady,
     PeerBundle,
-    PeerSilent,
+    PeerUnavailable,
     Published,
     PublishRefused,
     canonical_bytes,
+    compute_digest,
     decode_record,
-    digest_of,
     publish,
 )
 from waxwingford.bundles.tests.consortium import (
@@ -36,7 +36,7 @@
 
     def __init__(self):
         self.answer_by_id = {
-            name: PeerSilent('down') for name in DOMAIN_DAEMONS
+            name: PeerUnavailable('down') for name in DOMAIN_DAEMONS
         }
 
     async def fetch(self, after_version):
@@ -131,7 +131,7 @@
 
 @given('bundle peer "{name}" does not answer')
 def peer_unavailable(context, name):
-    context.rig.peers.answer_by_id[name] = PeerSilent('down')
+    context.rig.peers.answer_by_id[name] = PeerUnavailable('down')
 
 
 @when('bundle peer "{name}" answers without a bundle')
@@ -251,7 +251,7 @@
 @then('its digest is that of version {version:d}')
 def digest_is(context, version):
     body = context.rig.bodies[version - 1]
-    expected = digest_of(canonical_bytes(body))
+    expected = compute_digest(canonical_bytes(body))
     assert context.rig.readers[-1].current.digest == expected
 
 
--- a/waxwingford/daemon/_components.py
+++ b/waxwingford/daemon/_components.py
@@ -17,10 +17,10 @@
 from waxwingford.daemon._lifecycle import Lifecycle
 from waxwingford.kernel import SystemClock
 from waxwingford.metrics import Metrics
-from waxwingford.peers import Membership, PeerBeat, PeerLinks
+from waxwingford.peers import Membership, PeerClients, PeerHeartbeat
 from waxwingford.routing import RequestDispatcher
 from waxwingford.settings import PeerAddress, Settings
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 
 @dataclasses.dataclass(slots=True)
@@ -32,7 +32,7 @@
     :ivar clock: monotonic and wall clock of the VM.
     :ivar lifecycle: lifecycle and readiness.
     :ivar metrics: counters, gauges and histograms.
-    :ivar time_line: ring buffer of events.
+    :ivar timeline: ring buffer of events.
     :ivar platform: clients of the log, the VM list and the backend servers.
     :ivar links: connections to peers.
     :ivar membership: latest heartbeats of the peers.
@@ -47,22 +47,22 @@
     clock: SystemClock
     lifecycle: Lifecycle
     metrics: Metrics
-    time_line: TimeLine
+    timeline: Timeline
     platform: PlatformPorts
-    links: PeerLinks
+    links: PeerClients
     membership: Membership
     batch: BatchTask
     dispatcher: RequestDispatcher
     reader: BundleReader
     nonces: NonceCache
 
-    def own_heartbeat(self) -> PeerBeat:
+    def own_heartbeat(self) -> PeerHeartbeat:
         """Make this daemon's heartbeat.
 
         :returns: heartbeat with the current state of the daemon.
         """
         current = self.reader.current
-        return PeerBeat(
+        return PeerHeartbeat(
             daemon_id=self.settings.identity.daemon_id,
             incarnation=self.incarnation,
             failure_domain=self.settings.identity.failure_domain,
@@ -72,17 +72,17 @@
             draining=self.lifecycle.state == 'draining',
         )
 
-    def exchange_heartbeats(self, heartbeat: PeerBeat) -> PeerBeat:
+    def exchange_heartbeats(self, heartbeat: PeerHeartbeat) -> PeerHeartbeat:
         """Process a peer's heartbeat and respond with this daemon's.
 
         :param heartbeat: heartbeat of the peer.
         :returns: heartbeat of this daemon.
         """
-        self.membership.heard(heartbeat, self.clock.monotonic_ms())
+        self.membership.record_heartbeat(heartbeat, self.clock.monotonic_ms())
         self.handle_heartbeat(heartbeat)
         return self.own_heartbeat()
 
-    def handle_heartbeat(self, heartbeat: PeerBeat) -> None:
+    def handle_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         """Process the released servers in a peer's heartbeat.
 
         :param heartbeat: heartbeat of the peer.
@@ -91,13 +91,13 @@
             # The peer may be draining: exclude it before its servers are
             # assigned.
             self.publish_peer_views()
-            self.batch.note_released(heartbeat.released)
+            self.batch.handle_released_leases(heartbeat.released)
 
     def publish_peer_views(self) -> None:
         """Pass the current state of the peers to the dispatcher and batch."""
         now_ms = self.clock.monotonic_ms()
         self.dispatcher.set_peers(self.membership.peer_views(now_ms))
-        self.batch.set_alive(self.membership.alive_in_domain(now_ms))
+        self.batch.update_live_daemons(self.membership.alive_in_domain(now_ms))
 
     def bundle_payloads(
         self, after_version: int
--- a/waxwingford/daemon/_daemon.py
+++ b/waxwingford/daemon/_daemon.py
@@ -11,9 +11,9 @@
 from waxwingford.daemon._components import Components, own_address
 from waxwingford.daemon._heartbeats import HeartbeatHooks, HeartbeatTask
 from waxwingford.daemon._load_sync import sync_batch_and_dispatcher
-from waxwingford.entry import HttpSite
-from waxwingford.kernel import Invariant, on_broken
-from waxwingford.peers import PeerService, beat_targets
+from waxwingford.entry import HttpServer
+from waxwingford.kernel import Invariant, add_violation_listener
+from waxwingford.peers import PeerService, choose_heartbeat_targets
 from waxwingford.settings import Alpn, server_context
 
 _MS_IN_S = 1000
@@ -40,7 +40,7 @@
         self._immediate_stop_requested = asyncio.Event()
         self._exit_code = EXIT_STOPPED
         self._tasks: list[asyncio.Task[None]] = []
-        self._site = HttpSite(
+        self._site = HttpServer(
             make_application(components, self.request_stop),
             entry_limits(components.settings),
         )
@@ -51,7 +51,7 @@
                     components.dispatcher,
                     components.exchange_heartbeats,
                     components.bundle_payloads,
-                    components.time_line,
+                    components.timeline,
                 )
             ]
         )
@@ -61,7 +61,7 @@
 
         :returns: exit code of the process.
         """
-        on_broken(self._on_invariant_violation)
+        add_violation_listener(self._on_invariant_violation)
         self._add_signal_handlers()
         await self._start()
         await self._stop_requested.wait()
@@ -79,7 +79,7 @@
     async def _start(self) -> None:
         components = self._components
         listen = components.settings.listen
-        components.time_line.note('daemon.started', self._event_subject())
+        components.timeline.note('daemon.started', self._event_subject())
         await self._rpc.start(
             listen.host,
             listen.rpc_port,
@@ -106,7 +106,7 @@
         components = self._components
         timeout_ms = components.settings.limits.drain_ms
         components.lifecycle.drain()
-        components.time_line.note('daemon.draining', self._event_subject())
+        components.timeline.note('daemon.draining', self._event_subject())
         _log.info('draining')
         steps = asyncio.create_task(self._drain_steps(timeout_ms))
         immediate_stop = asyncio.create_task(
@@ -146,7 +146,7 @@
 
     def _make_heartbeats(self) -> HeartbeatTask:
         components = self._components
-        targets = beat_targets(
+        targets = choose_heartbeat_targets(
             own_address(components.settings), components.settings.peers
         )
         return HeartbeatTask(
@@ -158,7 +158,7 @@
                 own_heartbeat=components.own_heartbeat,
                 on_heartbeat=components.handle_heartbeat,
                 on_round=components.publish_peer_views,
-                take_released=components.batch.take_released,
+                pop_released_servers=components.batch.pop_released_servers,
             ),
         )
 
@@ -183,7 +183,7 @@
     def _on_invariant_violation(
         self, invariant: Invariant, detail: str
     ) -> None:
-        self._components.time_line.note(
+        self._components.timeline.note(
             f'invariant.{invariant.name}', self._event_subject(), detail
         )
         _log.critical(
--- a/waxwingford/peers/tests/peers_steps.py
+++ b/waxwingford/peers/tests/peers_steps.py
@@ -11,21 +11,21 @@
 from waxwingford.kernel import SystemClock
 from waxwingford.peers import (
     Membership,
-    PeerBeat,
-    PeerLinks,
+    PeerClients,
+    PeerHeartbeat,
     PeerService,
-    beat_targets,
+    choose_heartbeat_targets,
 )
 from waxwingford.peers import peers_pb2 as wire
 from waxwingford.routing import (
     Answered,
-    RecallAnswer,
-    RecallState,
+    KeyLookupAnswer,
+    KeyLookupState,
     Request,
     Urgency,
 )
 from waxwingford.settings import PeerAddress
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 HOST = '127.0.0.1'
 HANG_TIME_S = 30
@@ -47,8 +47,8 @@
             await asyncio.sleep(HANG_TIME_S)
         return Answered(200, 'text/plain', request.body, 's1')
 
-    def answer_recall(self, member, key, body_digest, asker):
-        return RecallAnswer(RecallState.never_seen, 1)
+    def answer_key_lookup(self, member, key, body_digest, asker):
+        return KeyLookupAnswer(KeyLookupState.never_seen, 1)
 
 
 class MismatchedReplyService(PeerService):
@@ -60,11 +60,11 @@
 
 
 def make_heartbeat(name, *, draining=False):
-    return PeerBeat(name, 'i1', 'd1', 1, {}, {}, draining)
+    return PeerHeartbeat(name, 'i1', 'd1', 1, {}, {}, draining)
 
 
 def make_time_line(name):
-    return TimeLine(name, 'i1', SystemClock(), 64)
+    return Timeline(name, 'i1', SystemClock(), 64)
 
 
 def find_free_port():
@@ -125,7 +125,7 @@
 
 def call_peers(context, call):
     async def run():
-        links = PeerLinks(
+        links = PeerClients(
             'a', context.addresses, SystemClock(), make_time_line('a')
         )
         try:
@@ -154,7 +154,7 @@
 @when('the key "{key}" is recalled from both peers')
 def recall_key(context, key):
     context.answers = call_peers(
-        context, lambda links: links.recall_all('m1', key, b'd')
+        context, lambda links: links.look_up_key('m1', key, b'd')
     )
 
 
@@ -181,10 +181,10 @@
 def check_target_bound(context, most):
     pairs = collections.Counter()
     for own in context.fleet:
-        targets = beat_targets(own, context.fleet)
-        called = targets.each_interval
+        targets = choose_heartbeat_targets(own, context.fleet)
+        called = targets.periodic
         assert len(called) <= most, len(called)
-        assert len(targets.at_release) == context.daemons_per_domain - 1
+        assert len(targets.on_release) == context.daemons_per_domain - 1
         pairs.update(
             frozenset((own.daemon_id, peer.daemon_id))
             for peer in called
@@ -204,17 +204,17 @@
     fleet = [make_address(name, 1) for name in names]
     context.membership = Membership(fleet[0], fleet)
     for name in (first, second):
-        context.membership.heard(make_heartbeat(name), at, 1)
+        context.membership.record_heartbeat(make_heartbeat(name), at, 1)
 
 
 @when('"{name}" sends a draining heartbeat at {at:d} ms')
 def record_draining_heartbeat(context, name, at):
-    context.membership.heard(make_heartbeat(name, draining=True), at)
+    context.membership.record_heartbeat(make_heartbeat(name, draining=True), at)
 
 
 @when('"{name}" sends a heartbeat again at {at:d} ms')
 def record_later_heartbeat(context, name, at):
-    context.membership.heard(make_heartbeat(name), at)
+    context.membership.record_heartbeat(make_heartbeat(name), at)
 
 
 @then('at {at:d} ms the daemons alive in the domain are "{names}"')
--- a/waxwingford/routing/__init__.py
+++ b/waxwingford/routing/__init__.py
@@ -11,17 +11,17 @@
     NotExecutedEvidence,
     ReportedNotExecuted,
     refuse,
-    turn_away,
+    refuse_or_unknown,
 )
 from waxwingford.routing._key_store import KeyStore
 from waxwingford.routing._limits import DispatchLimits, ServiceLimits
 from waxwingford.routing._messages import (
     Answered,
-    HeldServer,
+    KeyLookupAnswer,
+    KeyLookupState,
+    LeasedServer,
     Outcome,
     PeerView,
-    RecallAnswer,
-    RecallState,
     Refused,
     Rejected,
     Request,
@@ -42,7 +42,7 @@
     'DispatchPorts',
     'DrainTimedOut',
     'Drained',
-    'HeldServer',
+    'LeasedServer',
     'KeyStore',
     'NeverSent',
     'NotExecutedEvidence',
@@ -50,8 +50,8 @@
     'PeerForwarder',
     'PeerTable',
     'PeerView',
-    'RecallAnswer',
-    'RecallState',
+    'KeyLookupAnswer',
+    'KeyLookupState',
     'Refused',
     'Rejected',
     'Request',
@@ -66,5 +66,5 @@
     'Unknown',
     'Urgency',
     'refuse',
-    'turn_away',
+    'refuse_or_unknown',
 )
--- a/waxwingford/routing/_dispatcher.py
+++ b/waxwingford/routing/_dispatcher.py
@@ -5,17 +5,17 @@
 import random
 from collections.abc import Mapping
 
-from waxwingford.kernel import Invariant, require
+from waxwingford.kernel import Invariant, check_invariant
 from waxwingford.routing._admission import AdmissionController, Admitted, Shed
-from waxwingford.routing._evidence import NeverSent, refuse, turn_away
+from waxwingford.routing._evidence import NeverSent, refuse, refuse_or_unknown
 from waxwingford.routing._key_gate import KeyGate
 from waxwingford.routing._key_messages import MayRun
 from waxwingford.routing._limits import DispatchLimits, ServiceLimits
 from waxwingford.routing._messages import (
-    HeldServer,
+    KeyLookupAnswer,
+    LeasedServer,
     Outcome,
     PeerView,
-    RecallAnswer,
     Rejected,
     Request,
     Unknown,
@@ -68,7 +68,7 @@
         self._in_progress: set[asyncio.Task[Outcome]] = set()
         self._draining = False
 
-    def set_servers(self, servers: tuple[HeldServer, ...]) -> None:
+    def set_servers(self, servers: tuple[LeasedServer, ...]) -> None:
         """Replace the set of held servers.
 
         Must be called at least once a second: the intervals between calls
@@ -106,7 +106,9 @@
         """
         if self._draining:
             retry_after_ms = self._admission.retry_after_ms(request.service)
-            return turn_away(request, 'daemon is stopping', retry_after_ms)
+            return refuse_or_unknown(
+                request, 'daemon is stopping', retry_after_ms
+            )
         if request.attempt > 1 and not request.idempotent and not request.key:
             return Rejected(
                 'retry of a non-idempotent request requires an idempotency key'
@@ -116,9 +118,9 @@
         task.add_done_callback(self._in_progress.discard)
         return await asyncio.shield(task)
 
-    def answer_recall(
+    def answer_key_lookup(
         self, member: str, key: str, body_digest: bytes, asker: str
-    ) -> RecallAnswer:
+    ) -> KeyLookupAnswer:
         """Answer a key lookup by another daemon and record the lookup.
 
         :param member: owner of the key.
@@ -169,7 +171,7 @@
         :returns: whether all requests have ended.
         """
         self._draining = True
-        self._ports.time_line.note(
+        self._ports.timeline.note(
             'dispatcher.draining',
             'dispatcher',
             f'{len(self._in_progress)} in progress',
@@ -181,7 +183,7 @@
         if self._in_progress:
             return DrainTimedOut(len(self._in_progress))
         remaining = self._admission.in_progress()
-        require(
+        check_invariant(
             remaining == 0,
             Invariant.graceful_stop,
             f'{remaining} requests still admitted after the drain',
@@ -247,7 +249,7 @@
         elapsed_ms = self._now_ms() - start_ms
         metrics.latency('request', elapsed_ms, service=service, outcome=kind)
         if isinstance(outcome, Unknown):
-            self._ports.time_line.note(
+            self._ports.timeline.note(
                 'request.unknown',
                 f'request:{request.request_id}',
                 outcome.reason,
--- a/waxwingford/routing/tests/fakes.py
+++ b/waxwingford/routing/tests/fakes.py
@@ -4,8 +4,17 @@
 import contextvars
 import dataclasses
 
-from waxwingford.ports import ServiceAnswer, ServiceNotRun, ServiceUnknown
-from waxwingford.routing import RecallAnswer, RecallState, Refused, Unknown
+from waxwingford.ports import (
+    ServiceAnswer,
+    ServiceNotRun,
+    ServiceOutcomeUnknown,
+)
+from waxwingford.routing import (
+    KeyLookupAnswer,
+    KeyLookupState,
+    Refused,
+    Unknown,
+)
 
 _MS_IN_S = 1000
 _LEASE_MS = 100_000_000
@@ -55,7 +64,7 @@
         )
         if self.drops_connection:
             await sleep_ms(_NETWORK_DELAY_MS)
-            return ServiceUnknown('connection reset')
+            return ServiceOutcomeUnknown('connection reset')
         return await asyncio.shield(running)
 
     async def _run(self, call):
@@ -69,7 +78,7 @@
         self.in_flight -= 1
         await sleep_ms(self.late_ms)
         if is_lost:
-            return ServiceUnknown('connection lost')
+            return ServiceOutcomeUnknown('connection lost')
         request_id = 'other/1/1.0' if self.wrong_request_id else call.request_id
         return ServiceAnswer(request_id, 200, 'text/plain', call.body)
 
@@ -112,7 +121,7 @@
             else served.result()
         )
 
-    async def recall_all(self, member, key, body_digest):
+    async def look_up_key(self, member, key, body_digest):
         peers = [
             name
             for name in self._region.dispatcher_by_id
@@ -127,13 +136,13 @@
         await sleep_ms(_NETWORK_DELAY_MS)
         dispatcher = self._region.dispatcher_by_id[peer_id]
         if dispatcher is None or self._is_cut(self._own_id, peer_id):
-            return RecallAnswer(RecallState.unreachable, 0)
-        answer = dispatcher.answer_recall(
+            return KeyLookupAnswer(KeyLookupState.unreachable, 0)
+        answer = dispatcher.answer_key_lookup(
             member, key, body_digest, self._own_id
         )
         await sleep_ms(_NETWORK_DELAY_MS)
         if self._is_cut(peer_id, self._own_id):
-            return RecallAnswer(RecallState.unreachable, 0)
+            return KeyLookupAnswer(KeyLookupState.unreachable, 0)
         return answer
 
     def _is_cut(self, sender, receiver):
--- a/waxwingford_bench/bundles/fleet.py
+++ b/waxwingford_bench/bundles/fleet.py
@@ -9,8 +9,8 @@
     BundleReader,
     PeerBundle,
     PeerBundleAnswer,
-    PeerSilent,
-    ReaderSetup,
+    PeerUnavailable,
+    ReaderDependencies,
 )
 from waxwingford.kernel import SystemClock
 from waxwingford.metrics import Metrics
@@ -101,13 +101,13 @@
         self.times_by_version: dict[int, list[float]] = {}
         self.readers = [
             BundleReader(
-                ReaderSetup(
+                ReaderDependencies(
                     log=log,
                     peers=FleetPeers(self, own_index),
                     clock=SystemClock(),
                     key_by_member=TRUST,
-                    domain_daemons=frozenset(),
-                    on_in_force=self._record_in_force,
+                    domain_peers=frozenset(),
+                    on_bundle_change=self._record_in_force,
                     note=_ignore_event,
                     counters=Metrics(),
                     rng=random.Random(own_index),
@@ -171,7 +171,7 @@
     readers: list[BundleReader], peer: int, after_version: int
 ) -> PeerBundleAnswer:
     if peer >= len(readers):
-        return PeerSilent('absent')
+        return PeerUnavailable('absent')
     current = readers[peer].current
     if current is None or current.version <= after_version:
         return PeerBundle(())
--- a/waxwingford_bench/routing/site.py
+++ b/waxwingford_bench/routing/site.py
@@ -9,23 +9,23 @@
 
 from waxwingford.adapters import HttpServers
 from waxwingford.entry import (
-    EntryLimits,
-    HttpSite,
-    ServiceEntry,
+    HttpLimits,
+    HttpServer,
+    ServiceRoutesConfig,
     service_routes,
 )
 from waxwingford.kernel import Clock
 from waxwingford.metrics import Metrics
-from waxwingford.peers import PeerLinks, PeerService
+from waxwingford.peers import PeerClients, PeerService
 from waxwingford.routing import (
     DispatchLimits,
     DispatchPorts,
-    HeldServer,
+    LeasedServer,
     PeerView,
     RequestDispatcher,
 )
 from waxwingford.settings import PeerAddress
-from waxwingford.timeline import TimeLine
+from waxwingford.timeline import Timeline
 
 _HOST = '127.0.0.1'
 _DOMAIN = 'gulberg'
@@ -52,11 +52,11 @@
     def __init__(
         self, daemon_id: str, clock: Clock, peers: tuple[PeerAddress, ...]
     ) -> None:
-        self.time_line = TimeLine(daemon_id, '1', clock, 64)
+        self.timeline = Timeline(daemon_id, '1', clock, 64)
         self.servers = HttpServers()
-        self.links = PeerLinks(daemon_id, peers, clock, self.time_line)
+        self.links = PeerClients(daemon_id, peers, clock, self.timeline)
         ports = DispatchPorts(
-            self.servers, self.links, clock, self.time_line, Metrics()
+            self.servers, self.links, clock, self.timeline, Metrics()
         )
         self.dispatcher = RequestDispatcher(
             daemon_id=daemon_id,
@@ -65,7 +65,7 @@
             rng=random.Random(1),
             limits=DispatchLimits(),
         )
-        entry = ServiceEntry(
+        entry = ServiceRoutesConfig(
             daemon_id=daemon_id,
             incarnation='1',
             dispatcher=self.dispatcher,
@@ -75,7 +75,7 @@
         )
         app = web.Application()
         app.add_routes(service_routes(entry))
-        self.site = HttpSite(app, EntryLimits())
+        self.site = HttpServer(app, HttpLimits())
 
     async def stop(self) -> None:
         await self.site.stop()
@@ -94,7 +94,7 @@
         self._clock = clock
         app = web.Application()
         app.router.add_post('/services/dispatcher/{path}', _echo)
-        self._backend = HttpSite(app, EntryLimits())
+        self._backend = HttpServer(app, HttpLimits())
         self._holder = _Daemon('gulberg-1', clock, ())
         self._peer: _Daemon | None = None
         self._rpc = Server(
@@ -103,7 +103,7 @@
                     self._holder.dispatcher,
                     lambda beat: beat,
                     lambda after: (0, ()),
-                    self._holder.time_line,
+                    self._holder.timeline,
                 )
             ]
         )
@@ -172,8 +172,8 @@
         listener = self._rpc._server  # noqa: SLF001
         return listener.sockets[0].getsockname()[1]
 
-    def _held_server(self) -> HeldServer:
-        return HeldServer(
+    def _held_server(self) -> LeasedServer:
+        return LeasedServer(
             server_id='server-1',
             rack='rack-1',
             service='dispatcher',
