--- a/waxwingford/ownership/_lease.py
+++ b/waxwingford/ownership/_lease.py
@@ -75,7 +75,6 @@
         """Check whether the lease is held and has not expired.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: true while this daemon may rely on the lease.
         """
         return self.state == LeaseState.held and now_ms < self.until_ms
 
@@ -118,7 +117,6 @@
         :param now_ms: monotonic time after the answer was read, in
             milliseconds.
         :param lease_ms: requested lease term, in milliseconds.
-        :param answer: answer of the server.
         :returns: true if the epoch or the boot ID changed.
         """
         changed = (answer.epoch, answer.boot_id) != (self.epoch, self.boot_id)
