--- a/waxwingford/ports/_directory.py
+++ b/waxwingford/ports/_directory.py
@@ -28,13 +28,9 @@
 class Vm(NamedTuple):
     """Entry of the VM list: a VM that runs a backend server.
 
-    :ivar server_id: name of the backend server.
-    :ivar failure_domain: name of the failure domain.
-    :ivar rack: name of the rack.
     :ivar host: IP address.
     :ivar port: TCP port of the control and service interface.
     :ivar state: live, or leaving if it is about to be removed.
-    :ivar resources: resources of the VM.
     :ivar slots: maximum number of concurrent service requests.
     :ivar connections: maximum number of TCP connections.
     :ivar service: name of the latency-critical service that runs on the VM.
@@ -76,8 +72,5 @@
     """Reads the VM list."""
 
     async def read(self) -> VmList | VmListUnavailable:
-        """Read the VM list.
-
-        :returns: the list, or the reason why it could not be read.
-        """
+        """Read the VM list."""
         ...
--- a/waxwingford/ports/_log.py
+++ b/waxwingford/ports/_log.py
@@ -104,6 +104,5 @@
             ``oldest_offset`` of the result shows the gap.
         :param limit: maximum number of entries.
         :param wait_ms: maximum time to wait for new entries, in milliseconds.
-        :returns: entries, or the reason why the log could not be read.
         """
         ...
--- a/waxwingford/ports/_servers.py
+++ b/waxwingford/ports/_servers.py
@@ -40,11 +40,8 @@
 
     The server keeps ended attempts until it receives :class:`ForgetTask`.
 
-    :ivar key: attempt.
-    :ivar phase: phase of the attempt.
     :ivar detail: result, checkpoint reference or reason, depending on the
         phase.
-    :ivar throttled: whether the attempt is throttled.
     :ivar ran_ms: wall-clock run time so far, in milliseconds.
     """
 
@@ -59,7 +56,6 @@
 class StartTask:
     """Start an attempt under a task lease.
 
-    :ivar key: attempt.
     :ivar kind: batch kind, for example ``archive_rebuild``.
     :ivar resources: resources allocated to the attempt.
     :ivar payload: opaque description of the work.
@@ -78,10 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CheckpointTask:
-    """Checkpoint and stop an attempt, which ends in phase ``checkpointed``.
-
-    :ivar key: attempt.
-    """
+    """Checkpoint and stop an attempt, which ends in phase ``checkpointed``."""
 
     key: AttemptKey
 
@@ -90,7 +83,6 @@
 class ThrottleTask:
     """Throttle an attempt or lift its throttle.
 
-    :ivar key: attempt.
     :ivar percent: percent of its CPU that the attempt may use, 1 to 100.
     """
 
@@ -100,20 +92,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopTask:
-    """Stop an attempt without a checkpoint.
-
-    :ivar key: attempt.
-    """
+    """Stop an attempt without a checkpoint."""
 
     key: AttemptKey
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForgetTask:
-    """Discard the report of an ended attempt whose end is in the log.
-
-    :ivar key: attempt.
-    """
+    """Discard the report of an ended attempt whose end is in the log."""
 
     key: AttemptKey
 
@@ -130,7 +116,6 @@
     :ivar sampled_ms_ago: age of the sample when the server sent it, in
         milliseconds.
     :ivar window_ms: length of the window, in milliseconds.
-    :ivar service: name of the service.
     :ivar service_load: mean share of busy slots in the window, 0 to 1.
     :ivar service_p99_ms: 99th percentile latency of the service, in
         milliseconds; 0 if it was idle.
@@ -256,10 +241,7 @@
         """Perform one control exchange.
 
         :param host: IP address of the server.
-        :param port: TCP port of the server.
-        :param request: control request.
         :param timeout_ms: timeout of the exchange, in milliseconds.
-        :returns: grant, denial, or unknown outcome.
         """
         ...
 
@@ -272,8 +254,6 @@
         """Send a service request and wait until its deadline.
 
         :param host: IP address of the server.
-        :param port: TCP port of the server.
-        :param call: service request.
         :returns: response, or whether the request may have been executed.
         """
         ...
--- a/waxwingford/ports/_services.py
+++ b/waxwingford/ports/_services.py
@@ -8,9 +8,7 @@
     """Service request as sent to a backend server.
 
     :ivar request_id: unique ID, which the response must repeat.
-    :ivar service: name of the service.
     :ivar path: path below the service.
-    :ivar body: request body.
     :ivar deadline_ms: time until the deadline, in milliseconds, which is also
         sent to the server.
     """
@@ -26,10 +24,7 @@
 class ServiceAnswer:
     """Complete response of a backend server.
 
-    :ivar request_id: ID of the request.
-    :ivar status: HTTP status code.
     :ivar content_type: media type of the body.
-    :ivar body: response body.
     """
 
     request_id: str
--- a/waxwingford/ports/_vectors.py
+++ b/waxwingford/ports/_vectors.py
@@ -4,30 +4,18 @@
 
 
 def add_resources(left: Resources, right: Resources) -> Resources:
-    """Add two vectors.
-
-    :param left: first vector.
-    :param right: second vector.
-    :returns: element-wise sum.
-    """
+    """Add two vectors."""
     return Resources(left[0] + right[0], left[1] + right[1], left[2] + right[2])
 
 
 def subtract_resources(left: Resources, right: Resources) -> Resources:
-    """Subtract one vector from another; elements may become negative.
-
-    :param left: minuend.
-    :param right: subtrahend.
-    :returns: element-wise difference.
-    """
+    """Subtract one vector from another; elements may become negative."""
     return Resources(left[0] - right[0], left[1] - right[1], left[2] - right[2])
 
 
 def fits_resources(needed: Resources, available: Resources) -> bool:
     """Check whether required resources are available.
 
-    :param needed: required resources.
-    :param available: available resources.
     :returns: true if no element of ``needed`` exceeds that of ``available``.
     """
     return (
