--- a/waxwingford/batch/_appender.py
+++ b/waxwingford/batch/_appender.py
@@ -68,19 +68,13 @@
         self._in_flight: _InFlightGroup | None = None
 
     def __len__(self) -> int:
-        """Return the number of records queued or in flight.
-
-        :returns: number of records.
-        """
+        """Return the number of records queued or in flight."""
         in_flight = len(self._in_flight.group.records) if self._in_flight else 0
         return len(self._submissions) + len(self._record_by_key) + in_flight
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no append is in flight.
-
-        :returns: true if the next group may be built.
-        """
+        """Return whether no append is in flight."""
         return self._in_flight is None
 
     def submit(
@@ -89,7 +83,6 @@
         """Queue a submission, or refuse it if the outbox is full.
 
         :param submission_id: id that the reply carries.
-        :param record: record to append.
         :returns: the refusal, if the outbox is full.
         """
         if len(self) >= self._capacity:
@@ -102,7 +95,6 @@
         """Queue a record that its source offers again if it is dropped.
 
         :param key: key by which repeated offers are recognized.
-        :param record: record to append.
         """
         if self._in_flight is not None and key in self._in_flight.keys:
             return
@@ -148,7 +140,6 @@
     ) -> list[ReplySubmission]:
         """Handle the outcome of an append.
 
-        :param sequence: sequence number of the group.
         :param outcome: outcome reported by the port.
         :param now_ms: monotonic time, in milliseconds.
         :returns: final replies to submissions.
--- a/waxwingford/batch/_control_results.py
+++ b/waxwingford/batch/_control_results.py
@@ -24,11 +24,6 @@
     """Updates the state of servers by the results of their exchanges."""
 
     def __init__(self, settings: BatchSettings, fleet: Fleet) -> None:
-        """Create a handler.
-
-        :param settings: settings of the controller.
-        :param fleet: servers of the failure domain.
-        """
         self._settings = settings
         self._fleet = fleet
 
@@ -38,7 +33,6 @@
         A late or duplicate result of an earlier exchange is ignored, since it
         describes an outdated state of the server.
 
-        :param result: result of the exchange.
         :param now_ms: monotonic time, in milliseconds.
         :returns: events for the timeline.
         """
--- a/waxwingford/batch/_controller.py
+++ b/waxwingford/batch/_controller.py
@@ -54,7 +54,6 @@
 class DomainController:
     """Controls the batch work of one failure domain for one daemon.
 
-    :ivar settings: settings of the controller.
     :ivar fleet: backend servers and their control leases.
     :ivar placer: pending tasks and the placement policy.
     :ivar stream: state replayed from the domain's stream, and the outbox.
@@ -65,7 +64,6 @@
     ) -> None:
         """Create a controller from a snapshot's state or an empty state.
 
-        :param settings: settings of the controller.
         :param state: state to replay the stream on.
         :param now_ms: monotonic time, in milliseconds.
         """
@@ -86,10 +84,7 @@
 
     @property
     def state(self) -> DomainState:
-        """Return the state replayed from the domain's stream.
-
-        :returns: the state.
-        """
+        """Return the state replayed from the domain's stream."""
         return self.stream.state
 
     def handle(
@@ -97,7 +92,6 @@
     ) -> list[Effect]:
         """Handle a message.
 
-        :param message: the message.
         :param now_ms: monotonic time, in milliseconds.
         :param wall_ms: Unix time, in milliseconds.
         :returns: effects, in the order of execution.
--- a/waxwingford/batch/_effects.py
+++ b/waxwingford/batch/_effects.py
@@ -8,20 +8,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobAcceptedOutcome:
-    """The job is accepted and recorded in the log.
-
-    :ivar job_id: id of the job.
-    """
+    """The job is accepted and recorded in the log."""
 
     job_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobCancelledOutcome:
-    """The cancellation is recorded in the log.
-
-    :ivar job_id: id of the job.
-    """
+    """The cancellation is recorded in the log."""
 
     job_id: str
 
@@ -83,10 +77,7 @@
 class Control:
     """Send a control request to a backend server.
 
-    :ivar server_id: id of the server.
     :ivar host: IP address of the server.
-    :ivar port: TCP port of the server.
-    :ivar request: the request.
     :ivar exchange: number of the exchange, which the result names.
     :ivar valid_until_ms: monotonic time from which it must not be sent, in
         milliseconds; the process may be suspended before it is sent.
@@ -104,7 +95,6 @@
 class ReplySubmission:
     """Answer a submission or a cancellation.
 
-    :ivar submission_id: id of the submission or cancellation.
     :ivar outcome: outcome for the member.
     """
 
@@ -116,7 +106,6 @@
 class EmitEvent:
     """Add an event to the timeline.
 
-    :ivar kind: kind of the event.
     :ivar subject: what the event concerns, such as ``server:<id>``.
     :ivar detail: human-readable detail.
     """
--- a/waxwingford/batch/_exchanges.py
+++ b/waxwingford/batch/_exchanges.py
@@ -20,11 +20,6 @@
     """Acquires, renews and releases control leases."""
 
     def __init__(self, settings: BatchSettings, fleet: Fleet) -> None:
-        """Create without exchanges.
-
-        :param settings: settings of the controller.
-        :param fleet: servers of the failure domain.
-        """
         self._settings = settings
         self._fleet = fleet
         self._exchange_numbers = itertools.count(1)
--- a/waxwingford/batch/_executor.py
+++ b/waxwingford/batch/_executor.py
@@ -26,9 +26,7 @@
 def is_expired(effect: Control, now_ms: int) -> bool:
     """Return whether an exchange is no longer valid at the time of sending.
 
-    :param effect: the exchange.
     :param now_ms: monotonic time, in milliseconds.
-    :returns: true if it must not be sent.
     """
     return now_ms >= effect.valid_until_ms
 
@@ -46,10 +44,6 @@
     ) -> None:
         """Create an executor.
 
-        :param settings: settings of the controller.
-        :param log: port of the platform's log.
-        :param servers: port that controls backend servers.
-        :param clock: source of time.
         :param handle: callback for the outcomes.
         """
         self._settings = settings
@@ -72,8 +66,6 @@
         The lease is checked again right before sending, since the process may
         have been suspended after the exchange was planned.  The outcome of an
         exchange that expired states that it was not sent.
-
-        :param effect: the exchange.
         """
         generation = self._generation
         sent_ms = self._clock.monotonic_ms()
@@ -89,10 +81,7 @@
         self._deliver(generation, result)
 
     async def append(self, effect: Append) -> None:
-        """Append a group to the domain's stream.
-
-        :param effect: the append.
-        """
+        """Append a group to the domain's stream."""
         generation = self._generation
         outcome = await self._log.append(
             f'domain/{self._settings.failure_domain}',
@@ -101,10 +90,7 @@
         self._deliver(generation, AppendResult(effect.group.sequence, outcome))
 
     async def snapshot(self, state: DomainState) -> None:
-        """Write a snapshot and report it when it is complete.
-
-        :param state: present state.
-        """
+        """Write a snapshot and report it when it is complete."""
         generation = self._generation
         covers_offset = state.next_offset
         stream = f'snapshots/{self._settings.failure_domain}'
--- a/waxwingford/batch/_first_fit.py
+++ b/waxwingford/batch/_first_fit.py
@@ -21,7 +21,6 @@
 def room_of(server: ServerView) -> Resources:
     """Compute the free resources of a server.
 
-    :param server: view of the server.
     :returns: total less reserved and claimed resources.
     """
     room = subtract_resources(server.total, server.reserved)
@@ -43,7 +42,6 @@
         """Ignore a usage sample.
 
         :param server_id: id of the server that it was taken on.
-        :param sample: the sample.
         :param received_ms: monotonic time of receipt, in milliseconds.
         :param kind_by_task_id: batch kinds of the tasks in the sample.
         """
@@ -81,14 +79,12 @@
 
         :param servers: servers that this daemon holds.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: an empty list.
         """
         return []
 
     def predicted_ms(self, server: ServerView) -> float:
         """Predict the same latency for all servers.
 
-        :param server: view of the server.
         :returns: 1 ms.
         """
         return 1
@@ -116,6 +112,5 @@
 
     :param weights_by_service: unused.
     :param seed: unused.
-    :returns: the policy.
     """
     return FirstFit()
--- a/waxwingford/batch/_fleet.py
+++ b/waxwingford/batch/_fleet.py
@@ -44,10 +44,6 @@
     """
 
     def __init__(self, settings: BatchSettings) -> None:
-        """Create a fleet without servers.
-
-        :param settings: settings of the controller.
-        """
         self.server_by_id: dict[str, ServerControl] = {}
         self.live_daemon_ids = frozenset((settings.daemon_id,))
         self.knows_peers = False
@@ -94,7 +90,6 @@
     def update_alive(self, daemon_ids: Iterable[str], now_ms: int) -> None:
         """Update the daemons that appear to be alive, and the ranks.
 
-        :param daemon_ids: ids of the daemons.
         :param now_ms: monotonic time, in milliseconds.
         """
         live_daemon_ids = frozenset(daemon_ids) | {self._settings.daemon_id}
@@ -155,7 +150,6 @@
     def schedule_exchange(self, server_id: str, due_ms: int) -> None:
         """Schedule the next exchange with a server for a time or earlier.
 
-        :param server_id: id of the backend server.
         :param due_ms: monotonic time, in milliseconds.
         """
         server = self.server_by_id.get(server_id)
@@ -207,7 +201,6 @@
     def reschedule(self, server: ServerControl, due_ms: int) -> None:
         """Set when the next exchange with a server is due.
 
-        :param server: the backend server.
         :param due_ms: monotonic time, in milliseconds.
         """
         server.due_ms = max(1, due_ms)
@@ -216,7 +209,6 @@
     def schedule_acquisition(self, server: ServerControl, now_ms: int) -> None:
         """Schedule an attempt to acquire the lease, if the rank allows it.
 
-        :param server: the backend server.
         :param now_ms: monotonic time, in milliseconds.
         """
         may_try = (
--- a/waxwingford/batch/_hints.py
+++ b/waxwingford/batch/_hints.py
@@ -17,18 +17,11 @@
     """Receives the bundle, and hints that safety does not depend on."""
 
     def __init__(self, clock: Clock) -> None:
-        """Create without hints.
-
-        :param clock: source of time.
-        """
         super().__init__(clock)
         self._alive: AliveDaemons | None = None
 
     def update_live_daemons(self, daemon_ids: Iterable[str]) -> None:
-        """Update the daemons of the failure domain that appear to be alive.
-
-        :param daemon_ids: ids of the daemons.
-        """
+        """Update the daemons of the failure domain that appear to be alive."""
         self._alive = AliveDaemons(frozenset(daemon_ids))
         self._handle(self._alive)
 
@@ -37,7 +30,6 @@
     ) -> None:
         """Apply the settings of a bundle.
 
-        :param bundle: batch settings of the bundle.
         :raises UnknownPlugin: if no policy has the name that it gives.
         """
         self._bundle = bundle
@@ -54,16 +46,12 @@
         self._handle(BusyShares(share_by_server))
 
     def handle_released_leases(self, server_ids: Iterable[str]) -> None:
-        """Record servers released by a peer, to acquire them without delay.
-
-        :param server_ids: ids of the servers.
-        """
+        """Record servers released by a peer, to acquire them without delay."""
         self._handle(ServersReleased(tuple(server_ids)))
 
     def _handle(self, message: Message) -> None:
         """Pass a message to the controller.
 
-        :param message: the message.
         :raises NotImplementedError: if a subclass does not override it.
         """
         raise NotImplementedError
--- a/waxwingford/batch/_messages.py
+++ b/waxwingford/batch/_messages.py
@@ -68,7 +68,6 @@
 class AppendResult:
     """Outcome of an append.
 
-    :ivar sequence: sequence number of the group.
     :ivar outcome: outcome reported by the port.
     """
 
@@ -80,11 +79,9 @@
 class ControlResult:
     """Outcome of a control exchange.
 
-    :ivar server_id: id of the server.
     :ivar exchange: number of the exchange, as in the effect.
     :ivar sent_ms: monotonic time before the request was sent, in
         milliseconds.
-    :ivar request: the request.
     :ivar outcome: outcome reported by the port.
     """
 
@@ -160,7 +157,6 @@
     """A member cancels a job.
 
     :ivar submission_id: id that the reply carries.
-    :ivar job_id: id of the job.
     :ivar member: member that makes the request.
     """
 
--- a/waxwingford/batch/_pending_reason.py
+++ b/waxwingford/batch/_pending_reason.py
@@ -19,10 +19,7 @@
 ) -> str:
     """Explain why a task is pending, by the first sufficient cause.
 
-    :param task: the task.
     :param state: state replayed from the domain's stream.
-    :param fleet: servers of the failure domain.
-    :param placer: placer with bundle, trackers and queue.
     :param log_error: why the log is unavailable; empty if it is available.
     :returns: human-readable reason; empty if the task is not pending.
     """
--- a/waxwingford/batch/_placer.py
+++ b/waxwingford/batch/_placer.py
@@ -53,11 +53,6 @@
     """
 
     def __init__(self, settings: BatchSettings, fleet: Fleet) -> None:
-        """Create without pending tasks.
-
-        :param settings: settings of the controller.
-        :param fleet: servers of the failure domain.
-        """
         self.bundle = _EMPTY_BUNDLE
         self._settings = settings
         self._fleet = fleet
@@ -70,7 +65,6 @@
     def use_bundle(self, bundle: BundleSettings, seed: int) -> None:
         """Apply the settings of a bundle.
 
-        :param bundle: batch settings of the bundle.
         :param seed: seed of the policy's random numbers.
         :raises UnknownPlugin: if no policy has the name.
         """
@@ -92,7 +86,6 @@
     def add(self, task: TaskState, now_ms: int) -> None:
         """Add a task that became pending.
 
-        :param task: the task.
         :param now_ms: monotonic time, in milliseconds.
         """
         rank = self._fleet.rank(task.task_id)
@@ -153,7 +146,6 @@
         """Pass usage samples to the policy and the trackers.
 
         :param server_id: id of the server that they were taken on.
-        :param samples: the samples.
         :param state: state replayed from the domain's stream.
         :param now_ms: monotonic time, in milliseconds.
         """
@@ -175,7 +167,6 @@
         :param state: state replayed from the domain's stream.
         :param now_ms: monotonic time, in milliseconds.
         :param wall_ms: Unix time, in milliseconds.
-        :returns: events about the reactions.
         """
         if self._policy is None:
             return []
@@ -226,7 +217,6 @@
     ) -> float:
         """Return the policy's prediction of a service's latency.
 
-        :param server: a held server.
         :param state: state replayed from the domain's stream.
         :param wall_ms: Unix time, in milliseconds.
         :returns: latency in milliseconds; 0 without a policy.
--- a/waxwingford/batch/_placing.py
+++ b/waxwingford/batch/_placing.py
@@ -29,7 +29,6 @@
 def slack_ms(task: TaskState, trackers: Trackers, wall_ms: int) -> int | None:
     """Compute the slack of a task before its deadline.
 
-    :param task: the task.
     :param trackers: trackers that correct its run time.
     :param wall_ms: Unix time, in milliseconds.
     :returns: slack in milliseconds, negative if it will be late; None if it
@@ -50,13 +49,11 @@
 ) -> PendingTask:
     """Build the view of a pending task for a policy.
 
-    :param task: the task.
     :param trackers: trackers that correct its size and run time.
     :param servers: number of servers of the failure domain; a task that failed
         on as many may be placed on them again.
     :param waiting_ms: time since it became pending, in milliseconds.
     :param wall_ms: Unix time, in milliseconds.
-    :returns: the view.
     """
     spec = task.job.spec
     return PendingTask(
@@ -85,7 +82,6 @@
 ) -> ServerView:
     """Build the view of a held server for a policy.
 
-    :param server: the server.
     :param state: state replayed from the domain's stream.
     :param trackers: trackers that correct sizes of tasks.
     :param reserved: resources reserved for the service on the VM.
@@ -142,9 +138,7 @@
 def runs_unclaimed(server: ServerControl, state: DomainState) -> bool:
     """Return whether an attempt without a known claim runs on a server.
 
-    :param server: a held server.
     :param state: state replayed from the domain's stream.
-    :returns: true if a running attempt has no claim there.
     """
     return any(
         report.phase == AttemptPhase.running
@@ -162,7 +156,6 @@
 
     :param placements: validated placements with their tasks.
     :param server_by_id: held servers.
-    :param settings: settings of the controller.
     :returns: claims under the present epochs of the control leases.
     """
     in_order = sorted(placements, key=_server_of)
@@ -184,7 +177,6 @@
 def require_held(server: ServerControl, now_ms: int) -> None:
     """Check that tasks may be claimed on a server.
 
-    :param server: the backend server.
     :param now_ms: monotonic time, in milliseconds.
     :raises InvariantViolation: if its lease is not held, or it is leaving.
     """
--- a/waxwingford/batch/_plan.py
+++ b/waxwingford/batch/_plan.py
@@ -40,8 +40,6 @@
     """Plan the next exchange with a held server.
 
     :param server: a server whose lease is held; commands are recorded in it.
-    :param plan_input: state, time and settings.
-    :returns: the plan.
     """
     plan = Plan(server.lease.until_ms)
     for report in server.report_by_key.values():
--- a/waxwingford/batch/_plan_types.py
+++ b/waxwingford/batch/_plan_types.py
@@ -14,7 +14,6 @@
     """Input of planning besides the server itself.
 
     :ivar state: state replayed from the domain's stream.
-    :ivar settings: settings of the controller.
     :ivar lease_timing: present interval of exchanges and durations of leases.
     :ivar head_read_ms: monotonic start of the last read that reached the
         head of the log, in milliseconds.
@@ -35,7 +34,6 @@
     """Content of a control exchange, and records for the log.
 
     :ivar renew: attempts whose task leases are renewed.
-    :ivar commands: commands for the server.
     :ivar record_by_key: records to offer to the appender, by key.
     :ivar valid_until_ms: monotonic time after which it must not be sent, in
         milliseconds.
@@ -61,7 +59,6 @@
     may lag behind the log.
 
     :param state: state replayed from the domain's stream.
-    :param key: key of the attempt.
     :param server_id: id of the server that reported it.
     :returns: true if it ended and cannot run again.
     """
--- a/waxwingford/batch/_queries.py
+++ b/waxwingford/batch/_queries.py
@@ -22,10 +22,6 @@
     """Answers queries from the state of the controller."""
 
     def __init__(self, clock: Clock) -> None:
-        """Create without a controller.
-
-        :param clock: source of time.
-        """
         self._clock = clock
         self._controller: DomainController | None = None
         self._bundle: BundleSettings | None = None
@@ -38,7 +34,6 @@
     def jobs(self, member: str) -> list[JobView]:
         """List a member's jobs.
 
-        :param member: member that owns the jobs.
         :returns: views without their tasks; finished jobs last.
         """
         if self._controller is None:
@@ -48,7 +43,6 @@
     def job(self, job_id: str, member: str) -> JobView | None:
         """Return one job with its tasks and why they are pending.
 
-        :param job_id: id of the job.
         :param member: member that makes the request.
         :returns: the view; None if the member has no such job.
         """
@@ -60,7 +54,6 @@
     def pending_reason(self, task_id: str) -> str:
         """Explain why a task is pending.
 
-        :param task_id: id of the task.
         :returns: human-readable reason; empty if it is not pending.
         """
         controller = self._controller
@@ -124,19 +117,13 @@
         return [missing for is_missing, missing in checks if is_missing]
 
     def server_status(self) -> list[ServerStatus]:
-        """Describe the held servers, for the daemon's status.
-
-        :returns: one entry for each held server.
-        """
+        """Describe the held servers, for the daemon's status."""
         if self._controller is None:
             return []
         return server_status(self._controller, self._clock.monotonic_ms())
 
     def task_counts(self) -> TaskCounts:
-        """Count the tasks of the failure domain.
-
-        :returns: numbers of pending and claimed tasks.
-        """
+        """Count the tasks of the failure domain."""
         if self._controller is None:
             return TaskCounts(0, 0)
         return task_counts(self._controller)
--- a/waxwingford/batch/_queue.py
+++ b/waxwingford/batch/_queue.py
@@ -24,7 +24,6 @@
 class Offer(NamedTuple):
     """A task that is offered to the policy in a round.
 
-    :ivar task: the task.
     :ivar view: view of the task for the policy.
     """
 
@@ -44,7 +43,6 @@
 class _Entry:
     """A pending task that this daemon may claim.
 
-    :ivar task: the task.
     :ivar since_ms: monotonic time at which it became pending, in
         milliseconds.
     :ivar offers: number of rounds in which it was not placed.
@@ -68,7 +66,6 @@
     """
 
     def __init__(self) -> None:
-        """Create an empty queue."""
         self.tracker = QuotaTracker(Resources(1, 1, 1))
         self._deferred: list[_DeferredTask] = []
         self._order = itertools.count()
@@ -81,7 +78,6 @@
     def add(self, task: TaskState, now_ms: int, due_ms: int) -> None:
         """Add a pending task.
 
-        :param task: the task.
         :param now_ms: monotonic time, in milliseconds.
         :param due_ms: monotonic time from which this daemon may claim it, in
             milliseconds.
@@ -120,9 +116,7 @@
 
         :param limit: most tasks to return.
         :param now_ms: monotonic time, in milliseconds.
-        :param limits: hard limits of teams.
         :param view: builds the view of a task from its waiting time.
-        :returns: tasks in the tracker's order.
         """
         self._admit_due(now_ms, view)
         while True:
@@ -165,7 +159,6 @@
     ) -> None:
         """Count a round in which tasks were not placed.
 
-        :param keys: keys of the tasks.
         :param now_ms: monotonic time, in milliseconds.
         :param view: builds the view of a task, as for ``take``.
         """
--- a/waxwingford/batch/_quotas.py
+++ b/waxwingford/batch/_quotas.py
@@ -29,10 +29,7 @@
         self._claimed_by_team: dict[str, Resources] = {}
 
     def copy(self) -> 'TeamLimits':
-        """Copy the limits, to count tasks that are not claimed yet.
-
-        :returns: limits with the same free quota.
-        """
+        """Copy the limits, to count tasks that are not claimed yet."""
         other = copy.copy(self)
         other._claimed_by_team = dict(self._claimed_by_team)
         return other
@@ -40,7 +37,6 @@
     def has_room(self, task: TaskState) -> bool:
         """Return whether a task fits in the quota of its team.
 
-        :param task: the task.
         :returns: true if it fits or the team has no limit.
         """
         return self.reason(task) == ''
@@ -48,7 +44,6 @@
     def reason(self, task: TaskState) -> str:
         """Explain which limit is exhausted.
 
-        :param task: the task.
         :returns: human-readable reason; empty if there is room.
         """
         team = team_key(task.job.spec)
@@ -64,10 +59,7 @@
         return f'quota of team {team}: {tuple(used)} of {tuple(quota)} used'
 
     def count_claim(self, task: TaskState) -> None:
-        """Count a claim of this round.
-
-        :param task: the claimed task.
-        """
+        """Count a claim of this round."""
         team = team_key(task.job.spec)
         used = self._claimed_by_team.get(team, _NO_RESOURCES)
         self._claimed_by_team[team] = add_resources(used, task.resources)
--- a/waxwingford/batch/_reactions.py
+++ b/waxwingford/batch/_reactions.py
@@ -19,10 +19,8 @@
 ) -> list[EmitEvent]:
     """Schedule a reaction for the next exchange with the server.
 
-    :param fleet: servers of the failure domain.
     :param state: state replayed from the domain's stream.
     :param held: held servers by id.
-    :param reaction: reaction that the policy returned.
     :param now_ms: monotonic time, in milliseconds.
     :returns: an event; empty if the attempt is over or its server not held.
     """
--- a/waxwingford/batch/_reader.py
+++ b/waxwingford/batch/_reader.py
@@ -42,12 +42,6 @@
     def __init__(
         self, settings: BatchSettings, log: LogPort, clock: Clock
     ) -> None:
-        """Create a reader.
-
-        :param settings: settings that name the failure domain.
-        :param log: port of the platform's log.
-        :param clock: source of time.
-        """
         self._stream = f'domain/{settings.failure_domain}'
         self._log = log
         self._clock = clock
@@ -58,7 +52,6 @@
         """Read once, waiting for new entries.
 
         :param from_offset: first offset to read.
-        :returns: message for the controller.
         """
         started_ms = self._clock.monotonic_ms()
         outcome = await self._log.read(
@@ -92,7 +85,6 @@
 def decode_entry(entry: LogEntry) -> ReadGroup:
     """Decode an entry of the log.
 
-    :param entry: entry as read.
     :returns: the entry with its group; None if the payload is no group.
     """
     try:
--- a/waxwingford/batch/_replies.py
+++ b/waxwingford/batch/_replies.py
@@ -8,11 +8,7 @@
 
 
 class PendingReply(NamedTuple):
-    """A reply that a caller waits for.
-
-    :ivar submission_id: id of the submission or cancellation.
-    :ivar outcome: future of the outcome.
-    """
+    """A reply that a caller waits for."""
 
     submission_id: int
     outcome: asyncio.Future[SubmissionOutcome]
@@ -22,7 +18,6 @@
     """Pending replies by submission id; the outbox bounds their number."""
 
     def __init__(self) -> None:
-        """Create without pending replies."""
         self._reply_by_id: dict[int, PendingReply] = {}
         self._ids = itertools.count(1)
 
@@ -37,22 +32,14 @@
         return reply
 
     async def wait(self, reply: PendingReply) -> SubmissionOutcome:
-        """Wait for the outcome of a reply.
-
-        :param reply: the pending reply.
-        :returns: the outcome.
-        """
+        """Wait for the outcome of a reply."""
         try:
             return await reply.outcome
         finally:
             self._reply_by_id.pop(reply.submission_id, None)
 
     def resolve(self, submission_id: int, outcome: SubmissionOutcome) -> None:
-        """Set the outcome of a reply; ignored if no caller waits for it.
-
-        :param submission_id: id of the pending reply.
-        :param outcome: the outcome.
-        """
+        """Set the outcome of a reply; ignored if no caller waits for it."""
         reply = self._reply_by_id.pop(submission_id, None)
         if reply is not None and not reply.outcome.done():
             reply.outcome.set_result(outcome)
--- a/waxwingford/batch/_server.py
+++ b/waxwingford/batch/_server.py
@@ -25,7 +25,6 @@
     """One backend server of the failure domain.
 
     :ivar vm: VM of the server, as last listed.
-    :ivar lease: the control lease.
     :ivar preference: decides whether and when to acquire or hand over the
         lease.
     :ivar report_by_key: reports on attempts in the last answer, by attempt.
@@ -126,8 +125,6 @@
     ) -> None:
         """Update from a granted control request.
 
-        :param request: the request.
-        :param answer: answer of the server.
         :param epoch_changed: whether its epoch or boot id changed.
         """
         if answer.is_delta:
@@ -182,21 +179,13 @@
         )
 
     def is_running(self, key: AttemptKey) -> bool:
-        """Return whether the server reported an attempt as running.
-
-        :param key: key of the attempt.
-        :returns: true if it was running in the last report.
-        """
+        """Return whether the server reported an attempt as running."""
         report = self.report_by_key.get(key)
         return report is not None and report.phase == AttemptPhase.running
 
 
 def started_keys(request: ControlRequest) -> list[AttemptKey]:
-    """List the attempts that a request starts.
-
-    :param request: request of an exchange.
-    :returns: keys of its start commands.
-    """
+    """List the attempts that a request starts."""
     return [
         command.key
         for command in request.commands
@@ -207,9 +196,6 @@
 def server_event(kind: str, server: ServerControl, detail: str) -> EmitEvent:
     """Build a timeline event about a server.
 
-    :param kind: kind of the event.
-    :param server: the backend server.
     :param detail: human-readable detail.
-    :returns: the effect.
     """
     return EmitEvent(kind, f'server:{server.vm.server_id}', detail)
--- a/waxwingford/batch/_settings.py
+++ b/waxwingford/batch/_settings.py
@@ -30,7 +30,6 @@
 
     Times are in milliseconds.
 
-    :ivar daemon_id: id of this daemon.
     :ivar incarnation: random id of this run of the process.
     :ivar failure_domain: failure domain that the controller manages.
     :ivar control_lease_ms: shortest control lease that is requested.
@@ -41,7 +40,6 @@
     :ivar exchange_every_ms: shortest mean time between two exchanges; with
         many servers each is renewed less often, under longer leases.
     :ivar longest_renew_ms: longest interval of exchanges with a held server.
-    :ivar control_timeout_ms: timeout of a control exchange.
     :ivar outbox_records: most records that may be queued for the log.
     :ivar append_every_ms: shortest interval between two appends.
     :ivar react_every_ms: interval at which the policy is asked for
@@ -82,17 +80,13 @@
 
     @property
     def longest_task_lease_ms(self) -> int:
-        """Return the longest task lease that any daemon requests.
-
-        :returns: duration, in milliseconds.
-        """
+        """Return the longest task lease that any daemon requests."""
         return self._lease_timing_at(self.longest_renew_ms).task_lease_ms
 
     def lease_timing(self, held: int) -> LeaseTiming:
         """Choose interval and leases for a number of held servers.
 
         :param held: number of servers held.
-        :returns: interval of exchanges and durations of leases.
         """
         spread_ms = min(held * self.exchange_every_ms, self.longest_renew_ms)
         return self._lease_timing_at(max(self.renew_every_ms, spread_ms))
--- a/waxwingford/batch/_shell.py
+++ b/waxwingford/batch/_shell.py
@@ -102,15 +102,6 @@
         clock: Clock,
         timeline: Timeline,
     ) -> None:
-        """Create a task that is not running yet.
-
-        :param settings: settings of the controller.
-        :param log: port of the platform's log.
-        :param servers: port that controls backend servers.
-        :param directory: port of the platform's list of VMs.
-        :param clock: source of time.
-        :param timeline: timeline that records events.
-        """
         super().__init__(clock)
         self._settings = settings
         self._log = log
@@ -158,7 +149,6 @@
     async def cancel(self, job_id: str, member: str) -> SubmissionOutcome:
         """Cancel a job.
 
-        :param job_id: id of the job.
         :param member: member that makes the request and must own the job.
         :returns: cancelled, refused, unknown or rejected.
         """
@@ -169,7 +159,6 @@
     def evict(self, task_id: str) -> bool:
         """Checkpoint a task that runs on a server held here.
 
-        :param task_id: id of the task.
         :returns: whether its server is held here.
         """
         controller = self._controller
--- a/waxwingford/batch/_snapshots.py
+++ b/waxwingford/batch/_snapshots.py
@@ -22,7 +22,6 @@
 ) -> DomainState | LogUnavailable | None:
     """Find the newest complete snapshot, searching back from the head.
 
-    :param log: port of the platform's log.
     :param stream: name of the snapshot stream.
     :returns: its state; None if there is none; or that the log is unavailable.
     """
@@ -67,7 +66,6 @@
 async def write_snapshot(log: LogPort, stream: str, state: DomainState) -> str:
     """Write a snapshot of a state in chunks.
 
-    :param log: port of the platform's log.
     :param stream: name of the snapshot stream.
     :param state: the state; it may change while the chunks are appended.
     :returns: why the write failed; empty if all chunks were appended.
--- a/waxwingford/batch/_status.py
+++ b/waxwingford/batch/_status.py
@@ -8,7 +8,6 @@
 class ServerStatus(NamedTuple):
     """Status of a held backend server.
 
-    :ivar server_id: id of the server.
     :ivar epoch: epoch of the control lease.
     :ivar lease_left_ms: remaining time of the control lease, in
         milliseconds.
@@ -39,9 +38,7 @@
 ) -> list[ServerStatus]:
     """Describe the held servers.
 
-    :param controller: the controller.
     :param now_ms: monotonic time, in milliseconds.
-    :returns: one entry for each held server.
     """
     return [
         ServerStatus(
@@ -56,11 +53,7 @@
 
 
 def task_counts(controller: DomainController) -> TaskCounts:
-    """Count tasks.
-
-    :param controller: the controller.
-    :returns: numbers of pending and claimed tasks.
-    """
+    """Count tasks."""
     index = controller.state.index
     claimed = sum(map(len, index.attempts_by_server.values()))
     return TaskCounts(len(index.pending_by_id), claimed)
--- a/waxwingford/batch/_stream.py
+++ b/waxwingford/batch/_stream.py
@@ -34,8 +34,6 @@
 class DomainStream:
     """State replayed from the stream, and the outbox for new records.
 
-    :ivar state: state replayed from the stream.
-    :ivar appender: outbox.
     :ivar log_error: why the log is unavailable; empty if it is available.
     :ivar gap: records that are no longer retained and were not replayed;
         empty if there are none.
@@ -56,7 +54,6 @@
     ) -> None:
         """Create a stream that continues from a state.
 
-        :param settings: settings of the controller.
         :param state: state to replay the stream on.
         :param fleet: servers, updated when their attempts change.
         :param placer: placer that receives tasks that become pending.
--- a/waxwingford/batch/_submissions.py
+++ b/waxwingford/batch/_submissions.py
@@ -32,10 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordToAppend:
-    """A submission or cancellation to append to the log.
-
-    :ivar record: record to append.
-    """
+    """A submission or cancellation to append to the log."""
 
     record: JobAccepted | JobCancelled
 
@@ -55,7 +52,6 @@
     """State that admission depends on.
 
     :ivar state: state replayed from the domain's stream.
-    :ivar fleet: servers of the failure domain.
     :ivar refusal: reason why nothing can be appended now; empty if it can.
     """
 
@@ -69,10 +65,7 @@
 ) -> RecordToAppend | ImmediateReply:
     """Check a submission.
 
-    :param admission: state that admission depends on.
-    :param spec: the job.
     :param wall_ms: Unix time of the submission, in milliseconds.
-    :returns: the record to append, or the answer.
     """
     reason = _validate_spec(spec) or oversize_reason(spec, admission.fleet)
     if reason:
@@ -91,10 +84,7 @@
 ) -> RecordToAppend | ImmediateReply:
     """Check a cancellation.
 
-    :param admission: state that admission depends on.
-    :param job_id: id of the job.
     :param member: member that makes the request.
-    :returns: the record to append, or the answer.
     """
     job = admission.state.jobs_by_id.get(job_id)
     # A job of another member is answered like one that does not exist, so that
@@ -120,7 +110,6 @@
 
     :param verdict: verdict on its record.
     :param state: state replayed from the domain's stream.
-    :returns: outcome for the member.
     """
     reason = '' if isinstance(verdict, Valid) else verdict.reason
     match verdict.record:
--- a/waxwingford/batch/_suspicion.py
+++ b/waxwingford/batch/_suspicion.py
@@ -34,7 +34,6 @@
 
     :param server: a server whose lease this daemon does not hold.
     :param state: state replayed from the domain's stream.
-    :param settings: settings of the controller.
     :param now_ms: monotonic time, in milliseconds.
     :returns: the record; None if there is no attempt to suspect.
     """
@@ -49,9 +48,7 @@
 ) -> AttemptSuspected | None:
     """Suspect the attempts on a server whose jobs declare ``lost_after_ms``.
 
-    :param server_id: id of the server.
     :param state: state replayed from the domain's stream.
-    :param settings: settings of the controller.
     :returns: the record; None if there is no attempt to suspect.
     """
     attempts = state.index.attempts_by_server.get(server_id, {})
@@ -70,10 +67,6 @@
     """Timers of suspected attempts, started when the suspicion is read."""
 
     def __init__(self, settings: BatchSettings) -> None:
-        """Create timers for no attempts.
-
-        :param settings: settings of the controller.
-        """
         self._settings = settings
         self._timers: list[_LapseTimer] = []
 
--- a/waxwingford/batch/_trackers.py
+++ b/waxwingford/batch/_trackers.py
@@ -39,9 +39,7 @@
 class Trackers:
     """Shares, sizes and failures, updated with each record that is read.
 
-    Decisions that all daemons must share, such as which claim wins and when a
-    task has failed for good, are made when the stream is replayed.  The
-    trackers only affect what this daemon proposes and may differ between
+    The trackers only affect what this daemon proposes and may differ between
     daemons; the quarantine tracker's verdict on a task is therefore not used.
 
     :ivar quotas: shares of teams, which order the pending tasks.
@@ -50,11 +48,6 @@
     """
 
     def __init__(self, fleet: Fleet, quotas: QuotaTracker) -> None:
-        """Create trackers without observations.
-
-        :param fleet: servers of the failure domain.
-        :param quotas: shares of teams, which order the pending tasks.
-        """
         self.quotas = quotas
         self.sizes = SizeTracker()
         self.quarantine = Quarantine()
@@ -82,10 +75,7 @@
                 self._record_failure(task.task_id, server_id, now_ms)
 
     def use_bundle(self, bundle: BundleSettings) -> None:
-        """Apply the quotas and limits of a bundle.
-
-        :param bundle: batch settings of the bundle.
-        """
+        """Apply the quotas and limits of a bundle."""
         self.quarantine.limits = bundle.quarantine or _DEFAULT_LIMITS
         self._measure_fleet()
         self._update_weights(bundle)
@@ -143,7 +133,6 @@
         A corrected size that exceeds every server is not used, since the task
         could never be placed.
 
-        :param spec: the job.
         :returns: the declared or the corrected size.
         """
         size = self.sizes.given(
@@ -158,7 +147,6 @@
     def remaining_run_ms(self, task: TaskState) -> int:
         """Estimate the remaining run time of a task.
 
-        :param task: the task.
         :returns: corrected run time less the time it ran, in milliseconds.
         """
         spec = task.job.spec
--- a/waxwingford/batch/_unlisted.py
+++ b/waxwingford/batch/_unlisted.py
@@ -15,11 +15,7 @@
 
 
 class UnlistedSuspicion(NamedTuple):
-    """A suspicion about a server that is not listed.
-
-    :ivar server_id: id of the server.
-    :ivar record: record to append.
-    """
+    """A suspicion about a server that is not listed."""
 
     server_id: str
     record: AttemptSuspected
@@ -29,10 +25,6 @@
     """Servers with claims that are not listed, with the time since."""
 
     def __init__(self, settings: BatchSettings) -> None:
-        """Create without unlisted servers.
-
-        :param settings: settings of the controller.
-        """
         self._settings = settings
         self._unlisted_since_ms: dict[str, int] = {}
 
--- a/waxwingford/batch/_validation.py
+++ b/waxwingford/batch/_validation.py
@@ -37,7 +37,6 @@
         """Create a validator for a round.
 
         :param views: servers as shown to the policy.
-        :param limits: hard limits of teams.
         :param quarantine: decides when a quarantined server may get a task.
         :param now_ms: monotonic time, in milliseconds.
         """
@@ -55,7 +54,6 @@
     ) -> None:
         """Validate the policy's placements.
 
-        :param placements: placements that the policy returned.
         :param offers: tasks that were offered to the policy.
         """
         offer_by_key = {offer.view.key: offer for offer in offers}
--- a/waxwingford/batch/_views.py
+++ b/waxwingford/batch/_views.py
@@ -21,7 +21,6 @@
 class TaskView(NamedTuple):
     """One task as shown to its member.
 
-    :ivar task_id: id of the task.
     :ivar stage: name of its stage.
     :ivar attempt: number of its newest attempt.
     :ivar server_id: id of the server of that attempt; empty before the first.
@@ -40,7 +39,6 @@
 class JobView(NamedTuple):
     """One job as shown to its member.
 
-    :ivar job_id: id of the job.
     :ivar member: member that owns it.
     :ivar state: ``open``, ``cancelling`` or ``finished``.
     :ivar count_by_stage: number of tasks by name of their stage.
@@ -57,11 +55,7 @@
 
 
 def view_finished(job: FinishedJob) -> JobView:
-    """Build the view of a finished job.
-
-    :param job: summary of the job.
-    :returns: the view.
-    """
+    """Build the view of a finished job."""
     counts = {
         'done': job.done,
         'failed': job.failed,
@@ -75,9 +69,7 @@
 def view_job(job: JobState, tasks: tuple[TaskView, ...] = ()) -> JobView:
     """Build the view of a job that is not finished.
 
-    :param job: the job.
     :param tasks: views of tasks to include.
-    :returns: the view.
     """
     counts = {stage.name: 0 for stage in TaskStage}
     for task in job.tasks:
@@ -90,7 +82,6 @@
     """List a member's jobs.
 
     :param state: state replayed from the domain's stream.
-    :param member: member that owns the jobs.
     :returns: views without their tasks; finished jobs last.
     """
     return [
@@ -116,7 +107,6 @@
     """Return the view of one job.
 
     :param state: state replayed from the domain's stream.
-    :param job_id: id of the job.
     :param member: member that makes the request.
     :param explain: explains why a task is pending, by its id.
     :returns: the view with its first tasks; None if the member has no such
@@ -147,8 +137,6 @@
 def oversize_reason(spec: JobSpec, fleet: Fleet) -> str:
     """Explain why the tasks of a job fit on no listed server.
 
-    :param spec: specification of the job.
-    :param fleet: servers of the failure domain.
     :returns: the dimensions that are too large and the largest server; empty
         if a task may fit or no server is listed.
     """
