--- a/waxwingford/batch/tests/mutations.py
+++ b/waxwingford/batch/tests/mutations.py
@@ -220,11 +220,7 @@
 
 @contextlib.contextmanager
 def disabled(name):
-    """Disable one protection.
-
-    :param name: name of the mutation.
-    :yields: nothing.
-    """
+    """Disable one protection."""
     with contextlib.ExitStack() as stack:
         for patch in MUTATIONS[name]():
             stack.enter_context(patch)
--- a/waxwingford/batch/tests/placing_steps.py
+++ b/waxwingford/batch/tests/placing_steps.py
@@ -43,8 +43,6 @@
 
 
 class CountingPolicy(FirstFit):
-    """First fit that counts its calls."""
-
     def __init__(self):
         self.asked = 0
 
@@ -54,8 +52,6 @@
 
 
 class GreedyPolicy(FirstFit):
-    """Places every task on the first server."""
-
     def place(self, pending, servers, now_ms):
         return [Placement(one.key, servers[0].server_id) for one in pending]
 
--- a/waxwingford/batch/tests/task_steps.py
+++ b/waxwingford/batch/tests/task_steps.py
@@ -40,8 +40,6 @@
 
 
 class FakeDirectory:
-    """Directory with a constant list of VMs."""
-
     def __init__(self, vms):
         self.vms = vms
 
