--- a/waxwingford/batch/_settings.py
+++ b/waxwingford/batch/_settings.py
@@ -80,7 +80,10 @@
 
     @property
     def longest_task_lease_ms(self) -> int:
-        """Return the longest task lease that any daemon requests."""
+        """Return the longest task lease that any daemon requests.
+
+        :returns: duration, in milliseconds.
+        """
         return self._lease_timing_at(self.longest_renew_ms).task_lease_ms
 
     def lease_timing(self, held: int) -> LeaseTiming:
