--- a/waxwingford/ownership/_acquisition_schedule.py
+++ b/waxwingford/ownership/_acquisition_schedule.py
@@ -103,6 +103,7 @@
 
         :param delay_ms: mean delay, in milliseconds.
         :param now_ms: monotonic time, in milliseconds.
+        :returns: delay with jitter, in milliseconds.
         """
         stamp = now_ms.to_bytes(_STAMP_BYTES, 'big', signed=True)
         fraction = xxhash.xxh32_intdigest(stamp) / (1 << _HASH_BITS)
