--- a/waxwingford/metrics/_metrics.py
+++ b/waxwingford/metrics/_metrics.py
@@ -37,7 +37,6 @@
     """Metrics of a daemon; not thread-safe."""
 
     def __init__(self) -> None:
-        """Create an empty set of metrics."""
         self._count_by_series: collections.Counter[Series] = (
             collections.Counter()
         )
@@ -48,7 +47,6 @@
         """Increment a counter.
 
         :param name: name of the counter, ending in ``_total``.
-        :param by: increment.
         :param labels: label values by label name.
         """
         self._count_by_series[_make_series(name, labels)] += by
