--- a/waxwingford/peers/_clients.py
+++ b/waxwingford/peers/_clients.py
@@ -52,7 +52,6 @@
     ) -> None:
         """Create the channel; it connects on the first call.
 
-        :param address: address of the peer.
         :param timeline: timeline that records forwarded requests.
         :param tls: client context, or None for plain TCP.
         """
@@ -89,7 +88,6 @@
         outcome is ``Refused``.  After any later failure the peer may have
         executed the request, so the outcome is ``Unknown``.
 
-        :param request: request to forward.
         :param timeout_ms: call timeout, in milliseconds.
         :returns: outcome reported by the peer, ``Refused`` or ``Unknown``.
         """
@@ -206,8 +204,6 @@
     ) -> Outcome:
         """Forward a request to a peer.
 
-        :param peer_id: id of the peer.
-        :param request: request to forward.
         :param timeout_ms: call timeout, in milliseconds.
         :returns: outcome reported by the peer, ``Refused`` or ``Unknown``.
         """
@@ -267,7 +263,6 @@
     ) -> tuple[PeerHeartbeat, float] | None:
         """Exchange heartbeats with one peer and measure the round trip.
 
-        :param peer_id: id of the peer.
         :param own: heartbeat of this daemon.
         :param timeout_ms: call timeout, in milliseconds.
         :returns: heartbeat of the peer and the round trip in milliseconds, or
--- a/waxwingford/peers/_convert.py
+++ b/waxwingford/peers/_convert.py
@@ -17,20 +17,12 @@
 
 
 def beat_to_wire(beat: PeerHeartbeat) -> wire.Beat:
-    """Encode a heartbeat.
-
-    :param beat: heartbeat to send.
-    :returns: protobuf message.
-    """
+    """Encode a heartbeat."""
     return wire.Beat(**beat._asdict())
 
 
 def beat_from_wire(beat: wire.Beat) -> PeerHeartbeat:
-    """Decode a heartbeat.
-
-    :param beat: received protobuf message.
-    :returns: decoded heartbeat.
-    """
+    """Decode a heartbeat."""
     return PeerHeartbeat(
         daemon_id=beat.daemon_id,
         incarnation=beat.incarnation,
@@ -45,11 +37,7 @@
 
 
 def request_to_wire(request: Request) -> wire.ForwardRequest:
-    """Encode a request for forwarding; its hop count is incremented.
-
-    :param request: request to forward.
-    :returns: protobuf message.
-    """
+    """Encode a request for forwarding; its hop count is incremented."""
     return wire.ForwardRequest(
         request_id=request.request_id,
         member=request.member,
@@ -68,8 +56,6 @@
 def request_from_wire(request: wire.ForwardRequest) -> Request:
     """Decode a forwarded request.
 
-    :param request: received protobuf message.
-    :returns: decoded request.
     :raises ValueError: if the urgency is not a known value.
     """
     return Request(
@@ -88,12 +74,7 @@
 
 
 def outcome_to_wire(request_id: str, outcome: Outcome) -> wire.ForwardReply:
-    """Encode the outcome of a forwarded request.
-
-    :param request_id: id of the forwarded request.
-    :param outcome: outcome to report.
-    :returns: protobuf message.
-    """
+    """Encode the outcome of a forwarded request."""
     match outcome:
         case Answered():
             return wire.ForwardReply(
@@ -119,9 +100,6 @@
 
     A reply without an outcome does not prove that the request was not
     executed, so it decodes to ``Unknown``.
-
-    :param reply: received protobuf message.
-    :returns: decoded outcome.
     """
     match reply.WhichOneof('outcome'):
         case 'answered':
@@ -138,18 +116,13 @@
 
 
 def event_to_wire(event_id: EventId) -> wire.EventRef:
-    """Encode a reference to a timeline event.
-
-    :param event_id: event reference to send.
-    :returns: protobuf message.
-    """
+    """Encode a reference to a timeline event."""
     return wire.EventRef(**event_id._asdict())
 
 
 def event_from_wire(event: wire.EventRef) -> EventId | None:
     """Decode a reference to a timeline event.
 
-    :param event: received protobuf message.
     :returns: event reference, or None if the field is unset.
     """
     if not event.daemon:
@@ -161,7 +134,6 @@
     """Encode the state of an idempotency key.
 
     :param answer: state of the key at this daemon.
-    :returns: protobuf message.
     """
     answered = answer.outcome and _answered_to_wire(answer.outcome)
     return wire.RecallReply(
@@ -172,7 +144,6 @@
 def recall_from_wire(reply: wire.RecallReply) -> KeyLookupAnswer:
     """Decode the state of an idempotency key at a peer.
 
-    :param reply: received protobuf message.
     :returns: state of the key at the peer.
     :raises ValueError: if the state is not a known value.
     """
--- a/waxwingford/peers/_membership.py
+++ b/waxwingford/peers/_membership.py
@@ -87,7 +87,6 @@
     ) -> None:
         """Record the heartbeat of a peer.
 
-        :param beat: heartbeat of the peer.
         :param now_ms: monotonic time of receipt, in milliseconds.
         :param round_trip_ms: measured round trip, in milliseconds; None if
             the peer was the caller.
@@ -138,7 +137,6 @@
     def distance_ms(self, daemon_id: str) -> float:
         """Get the estimated round trip to a peer.
 
-        :param daemon_id: id of the peer.
         :returns: round trip in milliseconds; 0 if the peer has never sent a
             heartbeat.
         """
--- a/waxwingford/peers/_service.py
+++ b/waxwingford/peers/_service.py
@@ -20,7 +20,6 @@
         """Handle a forwarded request.
 
         :param request: request whose hop count includes this hop.
-        :returns: outcome to report to the peer.
         """
         ...
 
@@ -50,7 +49,6 @@
     ) -> None:
         """Create the service.
 
-        :param handler: handler of forwarded requests and key queries.
         :param exchange: function that processes the heartbeat of a peer and
             returns the heartbeat of this daemon.
         :param bundle_payloads: function that returns the bundle version in
@@ -63,10 +61,7 @@
         self._timeline = timeline
 
     async def Exchange(self, stream: Stream[wire.Beat, wire.Beat]) -> None:
-        """Exchange heartbeats.
-
-        :param stream: stream of the call.
-        """
+        """Exchange heartbeats."""
         beat = await stream.recv_message()
         if beat is None:
             return
@@ -76,10 +71,7 @@
     async def Forward(
         self, stream: Stream[wire.ForwardRequest, wire.ForwardReply]
     ) -> None:
-        """Handle a forwarded request.
-
-        :param stream: stream of the call.
-        """
+        """Handle a forwarded request."""
         message = await stream.recv_message()
         if message is None:
             return
@@ -98,10 +90,7 @@
     async def Recall(
         self, stream: Stream[wire.RecallRequest, wire.RecallReply]
     ) -> None:
-        """Report the state of an idempotency key.
-
-        :param stream: stream of the call.
-        """
+        """Report the state of an idempotency key."""
         message = await stream.recv_message()
         if message is None:
             return
@@ -116,10 +105,7 @@
     async def FetchBundle(
         self, stream: Stream[wire.FetchBundleRequest, wire.FetchBundleReply]
     ) -> None:
-        """Return the records of the bundle in force.
-
-        :param stream: stream of the call.
-        """
+        """Return the records of the bundle in force."""
         message = await stream.recv_message()
         if message is None:
             return
