--- a/waxwingford/peers/_clients.py
+++ b/waxwingford/peers/_clients.py
@@ -220,7 +220,6 @@
         """Query the state of an idempotency key at all peers concurrently.
 
         :param member: owner of the key.
-        :param key: idempotency key.
         :param body_digest: digest of the request body, to detect a key that
             is reused with another body.
         :returns: state of the key by peer id, ``unreachable`` where the call
--- a/waxwingford/peers/_membership.py
+++ b/waxwingford/peers/_membership.py
@@ -185,7 +185,7 @@
     single caller, chosen by hash.  In each other failure domain the daemon
     calls one peer, chosen by rendezvous hashing, and at most
     ``MAX_REMOTE_TARGETS`` in all, so that the number of calls does not grow
-    with the number of failure domains as it would in a full mesh.
+    with the number of failure domains.
 
     :param own: address of this daemon.
     :param peers: addresses of all configured daemons.
--- a/waxwingford/peers/_service.py
+++ b/waxwingford/peers/_service.py
@@ -29,7 +29,6 @@
         """Look up the state of an idempotency key and record the query.
 
         :param member: owner of the key.
-        :param key: idempotency key.
         :param body_digest: digest of the request body.
         :param asker: id of the daemon that sent the query.
         :returns: state of the key at this daemon.
