--- a/waxwingford/routing/_adaptive_limit.py
+++ b/waxwingford/routing/_adaptive_limit.py
@@ -27,10 +27,6 @@
     """
 
     def __init__(self, max_limit: float) -> None:
-        """Initialize the limit to its upper bound.
-
-        :param max_limit: upper bound of the limit, in requests.
-        """
         self.max_limit = max_limit
         self.limit = max_limit
         self._window_start_ms = 0
--- a/waxwingford/routing/_admission.py
+++ b/waxwingford/routing/_admission.py
@@ -28,7 +28,6 @@
 class Admitted:
     """The request was admitted and must be released exactly once.
 
-    :ivar service: requested service.
     :ivar member: member that sent the request.
     """
 
@@ -75,10 +74,7 @@
     def set_limits(
         self, limits_by_service: Mapping[str, ServiceLimits]
     ) -> None:
-        """Replace the limits; requests in progress stay counted.
-
-        :param limits_by_service: limits of all services.
-        """
+        """Replace the limits; requests in progress stay counted."""
         weight_by_member: dict[str, float] = {}
         for service, limits in limits_by_service.items():
             state = self._state_of(service)
@@ -105,13 +101,10 @@
     ) -> Admitted | Shed:
         """Admit or shed a request without queueing it.
 
-        :param service: requested service.
         :param member: member that sent the request.
-        :param urgency: urgency of the request.
         :param free_slots: free slots of the service on this daemon and, if the
             request may be forwarded, on its peers.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: the decision.
         """
         state = self._state_of(service)
         reason = self._daemon_shed_reason(
@@ -127,10 +120,7 @@
         return Admitted(service, member)
 
     def release(self, admitted: Admitted) -> None:
-        """Release the capacity of a request that has ended.
-
-        :param admitted: result of the admission.
-        """
+        """Release the capacity of a request that has ended."""
         state = self._state_of(admitted.service)
         self._in_progress -= 1
         state.in_progress -= 1
@@ -143,7 +133,6 @@
         The delay grows with the shed rate.  Jitter spreads the retries of
         callers that were refused at the same time.
 
-        :param service: requested service.
         :returns: delay, in milliseconds.
         """
         state = self._state_of(service)
@@ -155,10 +144,7 @@
         return max(MIN_RETRY_AFTER_MS, min(MAX_RETRY_AFTER_MS, jittered_ms))
 
     def in_progress(self) -> int:
-        """Count the admitted requests that have not been released.
-
-        :returns: number of requests in progress.
-        """
+        """Count the admitted requests that have not been released."""
         return self._in_progress
 
     def _daemon_shed_reason(
--- a/waxwingford/routing/_answer_cache.py
+++ b/waxwingford/routing/_answer_cache.py
@@ -21,11 +21,7 @@
         )
 
     def put(self, key_id: KeyId, answer: Answered) -> None:
-        """Store an answer, evicting the oldest ones if necessary.
-
-        :param key_id: member and key.
-        :param answer: answer to store.
-        """
+        """Store an answer, evicting the oldest ones if necessary."""
         self.discard(key_id)
         self._answer_by_id[key_id] = answer
         self._bytes += len(answer.body)
@@ -36,16 +32,12 @@
     def get(self, key_id: KeyId) -> Answered | None:
         """Look up an answer.
 
-        :param key_id: member and key.
         :returns: cached answer, or None.
         """
         return self._answer_by_id.get(key_id)
 
     def discard(self, key_id: KeyId) -> None:
-        """Remove an answer if present.
-
-        :param key_id: member and key.
-        """
+        """Remove an answer if present."""
         answer = self._answer_by_id.pop(key_id, None)
         if answer is not None:
             self._bytes -= len(answer.body)
--- a/waxwingford/routing/_call_tracker.py
+++ b/waxwingford/routing/_call_tracker.py
@@ -9,7 +9,6 @@
     """Calls in flight, including abandoned ones that may still run."""
 
     def __init__(self) -> None:
-        """Create a tracker without calls."""
         self._server_by_call: dict[int, str] = {}
         self._call_ids = itertools.count(1)
         self._abandoned: list[tuple[int, int]] = []
@@ -18,7 +17,6 @@
         """Register a call.
 
         :param server_id: server that the call is sent to.
-        :returns: call id.
         """
         call_id = next(self._call_ids)
         self._server_by_call[call_id] = server_id
@@ -27,7 +25,6 @@
     def end(self, call_id: int) -> str | None:
         """Remove a call.
 
-        :param call_id: id of the call.
         :returns: server of the call; None if it was already removed.
         """
         return self._server_by_call.pop(call_id, None)
@@ -35,7 +32,6 @@
     def abandon(self, call_id: int, until_ms: int) -> None:
         """Schedule the end of a call that nobody waits for any more.
 
-        :param call_id: id of the call.
         :param until_ms: monotonic time at which the server has certainly ended
             the call, in milliseconds.
         """
@@ -45,7 +41,6 @@
         """Remove the abandoned calls that have certainly ended.
 
         :param now_ms: monotonic time, in milliseconds.
-        :yields: call ids.
         """
         while self._abandoned and self._abandoned[0][0] <= now_ms:
             yield heapq.heappop(self._abandoned)[1]
--- a/waxwingford/routing/_calls.py
+++ b/waxwingford/routing/_calls.py
@@ -73,10 +73,8 @@
     ) -> None:
         """Create an instance without calls in flight.
 
-        :param table: slots of the held servers.
         :param servers: client for the backend servers.
         :param clock: source of monotonic time.
-        :param metrics: counters and latency histograms.
         :param overrun_ms: maximum time by which a server overruns a deadline,
             in milliseconds.
         """
@@ -95,10 +93,8 @@
     ) -> CallOutcome | NoFreeSlot:
         """Send a request once, to a server chosen by the slot table.
 
-        :param request: request to send.
         :param deadline_ms: monotonic time of the deadline, in milliseconds.
         :param tried: receivers that the request was already sent to.
-        :returns: outcome of the call.
         """
         slot = self._take_slot(request.service, frozenset(tried))
         if slot is None:
--- a/waxwingford/routing/_dispatcher.py
+++ b/waxwingford/routing/_dispatcher.py
@@ -32,10 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainTimedOut:
-    """Requests are still in progress after the timeout.
-
-    :ivar in_progress: number of requests in progress.
-    """
+    """Requests are still in progress after the timeout."""
 
     in_progress: int
 
@@ -56,9 +53,6 @@
 
         :param daemon_id: id of this daemon.
         :param failure_domain: failure domain of this daemon.
-        :param ports: external dependencies.
-        :param rng: random number generator.
-        :param limits: limits of the request path.
         """
         self._ports = ports
         self._admission = AdmissionController(limits.in_progress, rng)
@@ -73,8 +67,6 @@
 
         Must be called at least once a second: the intervals between calls
         also reveal when the process was suspended.
-
-        :param servers: all servers currently held.
         """
         self._gate.tick()
         self._router.table.set_servers(servers, self._now_ms())
@@ -88,10 +80,7 @@
         self._router.peer_table.set_peers(peers)
 
     def set_limits(self, limits: Mapping[str, ServiceLimits]) -> None:
-        """Replace the limits of services.
-
-        :param limits: limits by service.
-        """
+        """Replace the limits of services."""
         self._admission.set_limits(limits)
         self._router.set_limits(limits)
 
@@ -100,9 +89,6 @@
 
         Cancellation by the caller does not cancel the request: its slot and
         idempotency key stay in use until the call has ended.
-
-        :param request: request to handle.
-        :returns: final outcome.
         """
         if self._draining:
             retry_after_ms = self._admission.retry_after_ms(request.service)
@@ -124,7 +110,6 @@
         """Answer a key lookup by another daemon and record the lookup.
 
         :param member: owner of the key.
-        :param key: idempotency key.
         :param body_digest: digest of service, path and body.
         :param asker: id of the daemon that sent the lookup.
         :returns: state of the key on this daemon.
@@ -168,7 +153,6 @@
         """Refuse new requests and wait for those in progress.
 
         :param timeout_ms: maximum time to wait, in milliseconds.
-        :returns: whether all requests have ended.
         """
         self._draining = True
         self._ports.timeline.note(
--- a/waxwingford/routing/_evidence.py
+++ b/waxwingford/routing/_evidence.py
@@ -37,9 +37,7 @@
     Callers repeat refused requests, so a refusal without evidence could cause
     a request to be executed twice.
 
-    :param evidence: evidence that the request was not executed.
     :param retry_after_ms: delay before a retry, in milliseconds.
-    :returns: refusal.
     :raises InvariantViolation: if there is no evidence.
     """
     check_invariant(
@@ -62,10 +60,8 @@
     The outcome is unknown if the attempt may be a retry of a non-idempotent
     request, because an earlier attempt may have been executed.
 
-    :param request: request to decline.
     :param reason: human-readable reason.
     :param retry_after_ms: delay before a retry, in milliseconds.
-    :returns: refusal, or an unknown outcome if this may be a retry.
     """
     may_be_retry = request.attempt != 1 and not request.hops
     if request.key and not request.idempotent and may_be_retry:
--- a/waxwingford/routing/_indexed_set.py
+++ b/waxwingford/routing/_indexed_set.py
@@ -7,24 +7,17 @@
     """Unordered set; add, discard and sampling take constant time."""
 
     def __init__(self) -> None:
-        """Create an empty set."""
         self._names: list[str] = []
         self._index_by_name: dict[str, int] = {}
 
     def add(self, name: str) -> None:
-        """Add a name if absent.
-
-        :param name: name to add.
-        """
+        """Add a name if absent."""
         if name not in self._index_by_name:
             self._index_by_name[name] = len(self._names)
             self._names.append(name)
 
     def discard(self, name: str) -> None:
-        """Remove a name if present.
-
-        :param name: name to remove.
-        """
+        """Remove a name if present."""
         index = self._index_by_name.pop(name, None)
         if index is None:
             return
@@ -36,7 +29,6 @@
     def sample_two(self, rng: random.Random) -> tuple[str, ...]:
         """Sample two distinct names.
 
-        :param rng: random number generator.
         :returns: two names, or all names if there are fewer.
         """
         count = len(self._names)
@@ -49,16 +41,7 @@
         return self._names[first], self._names[second]
 
     def __len__(self) -> int:
-        """Count the names.
-
-        :returns: number of names.
-        """
         return len(self._names)
 
     def __contains__(self, name: str) -> bool:
-        """Test for membership.
-
-        :param name: name to look for.
-        :returns: whether the set contains the name.
-        """
         return name in self._index_by_name
--- a/waxwingford/routing/_key_gate.py
+++ b/waxwingford/routing/_key_gate.py
@@ -69,7 +69,6 @@
     """Extract the id of the entry daemon from a request id.
 
     :param request_id: ``<daemon id>/<incarnation>/<number>``.
-    :returns: daemon id.
     """
     return request_id.partition('/')[0]
 
@@ -87,7 +86,6 @@
         """Create a gate with an empty key store.
 
         :param daemon_id: id of this daemon.
-        :param limits: limits of the request path.
         :param peers: client for key lookups at the other daemons.
         :param clock: source of monotonic time.
         """
@@ -144,21 +142,13 @@
                 )
 
     def finish(self, request: Request, outcome: Outcome) -> None:
-        """Record the outcome of an attempt that was permitted to run.
-
-        :param request: request that ended.
-        :param outcome: outcome of the request.
-        """
+        """Record the outcome of an attempt that was permitted to run."""
         self._key_store.finish(_key_id(request), outcome, self._now_ms())
 
     def record_late_outcome(
         self, request: Request, outcome: CallOutcome
     ) -> None:
-        """Record an outcome that arrived after the caller was answered.
-
-        :param request: request that ended.
-        :param outcome: late outcome of the call.
-        """
+        """Record an outcome that arrived after the caller was answered."""
         if request.idempotent or not request.key:
             return
         match outcome:
@@ -177,7 +167,6 @@
         """Answer a key lookup by another daemon and record the lookup.
 
         :param member: owner of the key.
-        :param key: idempotency key.
         :param digest: digest of service, path and body.
         :param requester: id of the daemon that sent the lookup.
         :returns: state of the key on this daemon.
--- a/waxwingford/routing/_key_messages.py
+++ b/waxwingford/routing/_key_messages.py
@@ -20,7 +20,6 @@
 class Requester(NamedTuple):
     """Daemon that looks up a key.
 
-    :ivar daemon_id: id of the daemon.
     :ivar has_priority: whether its retry takes precedence over one in progress
         on this daemon.
     """
--- a/waxwingford/routing/_key_store.py
+++ b/waxwingford/routing/_key_store.py
@@ -53,10 +53,6 @@
     """Idempotency keys received by this daemon or looked up by others."""
 
     def __init__(self, limits: DispatchLimits) -> None:
-        """Create an empty store.
-
-        :param limits: limits of the request path.
-        """
         self._limits = limits
         self._record_by_id: dict[KeyId, _KeyRecord] = {}
         self._count_by_member: collections.Counter[str] = collections.Counter()
@@ -70,11 +66,9 @@
     ) -> KeyDecision:
         """Register an attempt before any other processing.
 
-        :param key_id: member and key.
         :param digest: digest of service, path and body.
         :param is_first: whether the attempt is handled as the first one.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: decision on the attempt.
         """
         self._expire(now_ms)
         record = self._record_by_id.get(key_id)
@@ -101,11 +95,8 @@
     ) -> KeyDecision:
         """Register an attempt that the entry daemon has already registered.
 
-        :param key_id: member and key.
         :param digest: digest of service, path and body.
-        :param entry_daemon: id of the entry daemon.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: decision on the attempt.
         """
         decision = self.begin(key_id, digest, True, now_ms)
         if not isinstance(decision, KeySuperseded):
@@ -121,7 +112,6 @@
     def start_retry(self, key_id: KeyId) -> bool:
         """Start a retry after no daemon reported an execution.
 
-        :param key_id: member and key.
         :returns: whether the retry may run; false if a concurrent retry on
             another daemon has priority.
         """
@@ -144,9 +134,7 @@
         Unknown keys are recorded too, so that a delayed first attempt does not
         run concurrently with the retry on the other daemon.
 
-        :param key_id: member and key.
         :param digest: digest of service, path and body of the retry.
-        :param requester: daemon that sent the lookup.
         :param now_ms: monotonic time, in milliseconds.
         :returns: state of the key, and the answer if it is still cached.
         """
@@ -174,7 +162,6 @@
     def finish(self, key_id: KeyId, outcome: Outcome, now_ms: int) -> None:
         """Record the outcome of an attempt that was registered here.
 
-        :param key_id: member and key.
         :param outcome: outcome of the attempt; a refused or rejected one was
             not executed.
         :param now_ms: monotonic time, in milliseconds.
@@ -194,8 +181,6 @@
     def finish_late(self, key_id: KeyId, outcome: Outcome, now_ms: int) -> None:
         """Record an outcome that arrived after the attempt was abandoned.
 
-        :param key_id: member and key.
-        :param outcome: late outcome of the attempt.
         :param now_ms: monotonic time, in milliseconds.
         """
         record = self._record_by_id.get(key_id)
@@ -205,7 +190,6 @@
     def abandon_lookup(self, key_id: KeyId, now_ms: int) -> None:
         """End the lookup of a retry that may not run.
 
-        :param key_id: member and key.
         :param now_ms: monotonic time, in milliseconds.
         """
         self._record_not_executed(key_id, self._record_by_id[key_id], now_ms)
--- a/waxwingford/routing/_member_shares.py
+++ b/waxwingford/routing/_member_shares.py
@@ -77,7 +77,6 @@
         """Count the requests in progress of a member.
 
         :param member: name of the member.
-        :returns: number of requests in progress.
         """
         usage = self._usage_by_member.get(member)
         return usage.in_progress if usage else 0
--- a/waxwingford/routing/_messages.py
+++ b/waxwingford/routing/_messages.py
@@ -19,7 +19,6 @@
 
     :ivar request_id: unique id assigned by the entry daemon.
     :ivar member: organisation of the caller.
-    :ivar service: service name.
     :ivar path: path below the service.
     :ivar body: complete body.
     :ivar urgency: urgency, for load shedding.
@@ -104,8 +103,6 @@
 class LeasedServer(NamedTuple):
     """Backend server whose control lease this daemon holds.
 
-    :ivar server_id: id of the server.
-    :ivar rack: rack of the server.
     :ivar service: service that the server runs.
     :ivar host: IP address.
     :ivar port: TCP port.
@@ -135,8 +132,6 @@
 class PeerView(NamedTuple):
     """State of a peer daemon as of its last heartbeat.
 
-    :ivar daemon_id: id of the peer.
-    :ivar failure_domain: failure domain of the peer.
     :ivar alive: whether heartbeats arrive; a hint only.
     :ivar spare_by_service: free slots by service.
     :ivar expected_ms_by_service: expected latency by service, in milliseconds.
@@ -170,7 +165,6 @@
     The daemon records the lookup, so that a first attempt that arrives later
     does not run there.
 
-    :ivar state: state of the key.
     :ivar up_ms: uptime of the daemon, in milliseconds; a daemon that started
         after the first attempt does not know what its predecessor executed.
     :ivar outcome: cached answer if the state is ``answered``.
--- a/waxwingford/routing/_peer_table.py
+++ b/waxwingford/routing/_peer_table.py
@@ -25,7 +25,6 @@
         """Create a table without peers.
 
         :param failure_domain: failure domain of this daemon.
-        :param rng: random number generator.
         """
         self._failure_domain = failure_domain
         self._rng = rng
@@ -37,10 +36,7 @@
         self._by_service: dict[str, _Candidates] = {}
 
     def set_peers(self, peers: Iterable[PeerView]) -> None:
-        """Replace the views of peers after a round of heartbeats.
-
-        :param peers: all peers.
-        """
+        """Replace the views of peers after a round of heartbeats."""
         self._peer_by_id = {peer.daemon_id: peer for peer in peers}
         self._free_slots = {}
         self._free_slots_by_service.clear()
@@ -49,10 +45,7 @@
             self._add(peer)
 
     def daemon_ids(self) -> frozenset[str]:
-        """List the ids of all peers, reachable or not.
-
-        :returns: daemon ids.
-        """
+        """List the ids of all peers, reachable or not."""
         return frozenset(self._peer_by_id)
 
     def choose(
@@ -62,7 +55,6 @@
 
         Peers in the failure domain of this daemon are preferred.
 
-        :param service: requested service.
         :param time_left_ms: time left until the deadline, in milliseconds.
         :param tried: receivers that the request was already sent to.
         :returns: daemon id; None if no peer can answer in time.
@@ -80,11 +72,7 @@
         return None
 
     def record_forwarded(self, daemon_id: str, service: str) -> None:
-        """Subtract a forwarded request from the free slots of a peer.
-
-        :param daemon_id: id of the peer.
-        :param service: requested service.
-        """
+        """Subtract a forwarded request from the free slots of a peer."""
         free_slots = self._free_slots.get((daemon_id, service), 0)
         if free_slots <= 1:
             self.exclude(daemon_id, service)
@@ -93,11 +81,7 @@
             self._free_slots_by_service[service] -= 1
 
     def exclude(self, daemon_id: str, service: str) -> None:
-        """Exclude a peer for a service until the next update.
-
-        :param daemon_id: id of the peer.
-        :param service: service for which the peer is excluded.
-        """
+        """Exclude a peer for a service until the next update."""
         free_slots = self._free_slots.pop((daemon_id, service), 0)
         self._free_slots_by_service[service] -= free_slots
         candidates = self._by_service.get(service)
@@ -105,11 +89,7 @@
             domain_peers.discard(daemon_id)
 
     def free_slots(self, service: str) -> int:
-        """Count the free slots of all peers.
-
-        :param service: service daemon_id.
-        :returns: number of free slots.
-        """
+        """Count the free slots of all peers."""
         return self._free_slots_by_service[service]
 
     def _add(self, peer: PeerView) -> None:
--- a/waxwingford/routing/_ports.py
+++ b/waxwingford/routing/_ports.py
@@ -17,10 +17,8 @@
         peer refused the request or nothing was sent, and an unknown outcome
         for any other failure.
 
-        :param peer_id: id of the peer.
         :param request: request whose deadline is the time left.
         :param timeout_ms: maximum time to wait, in milliseconds.
-        :returns: outcome of the request.
         """
         ...
 
@@ -30,7 +28,6 @@
         """Look up a key on every other daemon of the region.
 
         :param member: owner of the key.
-        :param key: idempotency key.
         :param body_digest: digest of service, path and body.
         :returns: answer by daemon id; ``unreachable`` for failed lookups.
         """
@@ -44,7 +41,6 @@
         """Increment a counter.
 
         :param name: name of the counter, ending in ``_total``.
-        :param by: increment.
         :param labels: label values by name.
         """
         ...
--- a/waxwingford/routing/_retry_budget.py
+++ b/waxwingford/routing/_retry_budget.py
@@ -20,7 +20,6 @@
     ) -> None:
         """Create a budget filled to a tenth of its maximum.
 
-        :param share: tokens deposited per first attempt.
         :param max_tokens: maximum number of tokens.
         """
         self.share = share
--- a/waxwingford/routing/_router.py
+++ b/waxwingford/routing/_router.py
@@ -43,7 +43,6 @@
     :ivar peers: client for the other daemons.
     :ivar clock: source of monotonic time.
     :ivar timeline: event log.
-    :ivar metrics: counters and latency histograms.
     """
 
     servers: BackendServerPort
@@ -86,9 +85,6 @@
         """Create a router without servers and peers.
 
         :param failure_domain: failure domain of this daemon.
-        :param ports: external dependencies.
-        :param rng: random number generator.
-        :param limits: limits of the request path.
         """
         self.table = SlotTable(rng)
         self.peer_table = PeerTable(failure_domain, rng)
@@ -105,10 +101,7 @@
         self._budget_by_service: dict[str, RetryBudget] = {}
 
     def set_limits(self, limits: Mapping[str, ServiceLimits]) -> None:
-        """Replace the limits of services.
-
-        :param limits: limits by service.
-        """
+        """Replace the limits of services."""
         self._limits_by_service = limits
         for service, budget in self._budget_by_service.items():
             budget.share = self._service_limits(service).retry_budget_share
@@ -116,7 +109,6 @@
     def free_slots(self, request: Request) -> int:
         """Count the free slots available to a request.
 
-        :param request: request to route.
         :returns: number of free slots, including those of peers if the request
             may be forwarded.
         """
@@ -133,11 +125,9 @@
     ) -> Outcome:
         """Send a request, with retries, until its outcome is final.
 
-        :param request: request to route.
         :param deadline_ms: monotonic time of the deadline, in milliseconds.
         :param retry_after_ms: delay before the caller may retry, in
             milliseconds.
-        :returns: final outcome.
         """
         budget = self._budget(request.service)
         budget.deposit()
--- a/waxwingford/routing/_server_pool.py
+++ b/waxwingford/routing/_server_pool.py
@@ -27,7 +27,6 @@
     """
 
     def __init__(self) -> None:
-        """Create an empty pool."""
         self.servers = 0
         self.ejected = 0
         self.free_slots = 0
@@ -35,25 +34,18 @@
         self._available_servers = IndexedSet()
 
     def available_count(self) -> int:
-        """Count the servers available for new calls.
-
-        :returns: number of servers.
-        """
+        """Count the servers available for new calls."""
         return len(self._available_servers)
 
     def sample_two(self, rng: random.Random) -> tuple[str, ...]:
         """Sample two available servers.
 
-        :param rng: random number generator.
         :returns: two server ids, or all available ones if there are fewer.
         """
         return self._available_servers.sample_two(rng)
 
     def remove(self, state: ServerState) -> None:
-        """Remove a server from the pool.
-
-        :param state: server of this pool.
-        """
+        """Remove a server from the pool."""
         self.servers -= 1
         self.free_slots -= state.counted_free_slots
         state.counted_free_slots = 0
@@ -65,7 +57,6 @@
     def refresh(self, state: ServerState, now_ms: int) -> None:
         """Update the totals after a change of a server.
 
-        :param state: server of this pool.
         :param now_ms: monotonic time, in milliseconds.
         """
         is_available = state.is_available(now_ms)
@@ -97,7 +88,6 @@
         The ejected fraction is limited, so that a fault common to all servers
         does not concentrate the load on a few of them.
 
-        :param state: server of this pool.
         :param now_ms: monotonic time, in milliseconds.
         :returns: whether the server was ejected.
         """
@@ -116,7 +106,6 @@
     def end_ejection_if_due(self, state: ServerState, now_ms: int) -> None:
         """End the ejection of a server if its time has passed.
 
-        :param state: server of this pool.
         :param now_ms: monotonic time, in milliseconds.
         """
         if 0 < state.ejected_until_ms <= now_ms:
@@ -127,7 +116,6 @@
 def lowest_latency(states: Iterable[ServerState]) -> ServerState | None:
     """Choose the server with the lowest expected latency.
 
-    :param states: candidates.
     :returns: chosen server; None if there are no candidates.
     """
     return min(states, key=ServerState.expected_ms, default=None)
--- a/waxwingford/routing/_slots.py
+++ b/waxwingford/routing/_slots.py
@@ -39,10 +39,6 @@
     """
 
     def __init__(self, rng: random.Random) -> None:
-        """Create a table without servers.
-
-        :param rng: random number generator.
-        """
         self.state_by_server: dict[str, ServerState] = {}
         self.pool_by_service: dict[str, ServerPool] = {}
         self._rng = rng
@@ -53,7 +49,6 @@
     def set_servers(self, servers: Iterable[LeasedServer], now_ms: int) -> None:
         """Replace the set of held servers.
 
-        :param servers: all servers currently held.
         :param now_ms: monotonic time, in milliseconds.
         """
         by_id = {server.server_id: server for server in servers}
@@ -70,7 +65,6 @@
     def add_or_renew(self, server: LeasedServer, now_ms: int) -> None:
         """Add a server or renew its lease.
 
-        :param server: server and lease.
         :param now_ms: monotonic time, in milliseconds.
         """
         state = self.state_by_server.get(server.server_id)
@@ -81,8 +75,6 @@
 
     def remove(self, server_id: str) -> None:
         """Remove a server; its state is dropped after its last call has ended.
-
-        :param server_id: id of the server.
         """
         state = self.state_by_server[server_id]
         if not state.removed:
@@ -102,7 +94,6 @@
         Candidates whose lease has expired are removed from the available set,
         which keeps the amortized cost constant.
 
-        :param service: requested service.
         :param now_ms: monotonic time, in milliseconds.
         :param tried: servers that the request was already sent to.
         :returns: server id; None if no held server has a free slot.
@@ -152,7 +143,6 @@
     def answered(self, slot: Slot, now_ms: int) -> float:
         """Release a slot after a complete answer.
 
-        :param slot: slot of the call.
         :param now_ms: monotonic time, in milliseconds.
         :returns: latency of the call, in milliseconds.
         """
@@ -193,7 +183,6 @@
         Releasing it at once would let the server get more calls than slots
         while it still runs the unanswered one.
 
-        :param slot: slot of the call.
         :param until_ms: monotonic time at which the server has certainly ended
             the call, in milliseconds.
         """
@@ -202,7 +191,6 @@
     def release(self, slot: Slot, now_ms: int) -> None:
         """Release a slot; has no effect if it was already released.
 
-        :param slot: slot to release.
         :param now_ms: monotonic time, in milliseconds.
         """
         self._end_call(slot.call_id, now_ms)
