--- a/waxwingford/routing/tests/callers.py
+++ b/waxwingford/routing/tests/callers.py
@@ -9,8 +9,6 @@
 
 
 class Callers:
-    """Sends requests and checks the outcomes against the executed ones."""
-
     def __init__(self, region):
         self._region = region
         self._first_s_by_key = {}
@@ -53,7 +51,6 @@
         return collections.Counter(type(one).__name__ for one in outcomes)
 
     def check_all(self):
-        """Check all outcomes against the executed requests."""
         counts = collections.Counter(self._region.executed_ids())
         for request, task in self._sent:
             self._check_one(request, self._outcome(task), counts)
--- a/waxwingford/routing/tests/slots_steps.py
+++ b/waxwingford/routing/tests/slots_steps.py
@@ -32,7 +32,6 @@
 
 
 def take_all(context):
-    """Take all free slots."""
     slots = []
     while True:
         server_id = context.slot_table.choose('dispatcher', context.now_ms)
--- a/waxwingford/routing/tests/virtual_loop.py
+++ b/waxwingford/routing/tests/virtual_loop.py
@@ -25,7 +25,6 @@
     """Event loop whose clock advances only when all tasks wait."""
 
     def __init__(self):
-        """Create a loop at time 0."""
         self.selector = _VirtualTimeSelector()
         super().__init__(self.selector)
         self._clock_resolution = _RESOLUTION_S
@@ -51,32 +50,22 @@
     def __init__(self, loop, start_ms=1_000_000):
         """Create a clock for a virtual loop.
 
-        :param loop: loop that provides the time.
         :param start_ms: clock reading at loop time 0, in milliseconds.
         """
         self._loop = loop
         self._start_ms = start_ms
 
     def monotonic_ms(self) -> int:
-        """Read virtual time.
-
-        :returns: milliseconds.
-        """
+        """Read virtual time."""
         return self._start_ms + round(self._loop.time() * _MS_IN_S)
 
     def wall_ms(self) -> int:
-        """Read virtual time.
-
-        :returns: milliseconds.
-        """
+        """Read virtual time."""
         return self.monotonic_ms()
 
 
 def end_loop(loop: VirtualLoop) -> None:
-    """Cancel all tasks and close the loop.
-
-    :param loop: loop to close.
-    """
+    """Cancel all tasks and close the loop."""
     for task in asyncio.all_tasks(loop):
         task.cancel()
     loop.run_until_complete(asyncio.sleep(0))
