--- a/waxwingford/routing/_slots.py
+++ b/waxwingford/routing/_slots.py
@@ -74,8 +74,7 @@
         self._refresh(state, now_ms)
 
     def remove(self, server_id: str) -> None:
-        """Remove a server; its state is dropped after its last call has ended.
-        """
+        """Remove a server; its state is dropped after its last call has ended."""
         state = self.state_by_server[server_id]
         if not state.removed:
             state.removed = True
