--- a/waxwingford/routing/_adaptive_limit.py
+++ b/waxwingford/routing/_adaptive_limit.py
@@ -39,7 +39,6 @@
 
         :param wait_ms: time from the arrival of the request to the start of
             its handler, in milliseconds.
-        :param in_progress: requests in progress.
         :param now_ms: monotonic time, in milliseconds.
         """
         self._requests += 1
--- a/waxwingford/routing/_answer_cache.py
+++ b/waxwingford/routing/_answer_cache.py
@@ -30,10 +30,7 @@
             self._bytes -= len(oldest.body)
 
     def get(self, key_id: KeyId) -> Answered | None:
-        """Look up an answer.
-
-        :returns: cached answer, or None.
-        """
+        """Look up an answer."""
         return self._answer_by_id.get(key_id)
 
     def discard(self, key_id: KeyId) -> None:
--- a/waxwingford/routing/_key_gate.py
+++ b/waxwingford/routing/_key_gate.py
@@ -53,7 +53,6 @@
 def body_digest(request: Request) -> bytes:
     """Compute the digest that detects reuse of a key for another request.
 
-    :param request: request with a key.
     :returns: digest of service, path and body, 16 bytes.
     """
     digest = xxhash.xxh3_128()
@@ -111,7 +110,6 @@
 
         :param request: non-idempotent request with a key.
         :param daemon_ids: ids of all other daemons, to be queried for a retry.
-        :returns: permission to run, or the final outcome.
         """
         self.tick()
         max_wait_ms = self._stall_detector.max_wait_ms(
--- a/waxwingford/routing/_member_shares.py
+++ b/waxwingford/routing/_member_shares.py
@@ -58,10 +58,8 @@
     def member_limit(self, member: str, capacity: float, now_ms: int) -> float:
         """Compute the current concurrency limit of a member.
 
-        :param member: member that sends a request.
         :param capacity: requests in progress allowed over all members.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: maximum number of requests in progress of the member.
         """
         own = self._usage_by_member.setdefault(member, _MemberUsage(1.0))
         own.record_demand(own.in_progress + 1, now_ms)
@@ -74,10 +72,7 @@
         return max(capacity - reserved, capacity * own.weight / weights)
 
     def in_progress(self, member: str) -> int:
-        """Count the requests in progress of a member.
-
-        :param member: name of the member.
-        """
+        """Count the requests in progress of a member."""
         usage = self._usage_by_member.get(member)
         return usage.in_progress if usage else 0
 
--- a/waxwingford/routing/_ports.py
+++ b/waxwingford/routing/_ports.py
@@ -48,7 +48,6 @@
     def latency(self, name: str, elapsed_ms: float, **labels: str) -> None:
         """Record a latency in a histogram.
 
-        :param name: name of the histogram.
         :param elapsed_ms: latency, in milliseconds.
         :param labels: label values by name.
         """
--- a/waxwingford/routing/_retry_decision.py
+++ b/waxwingford/routing/_retry_decision.py
@@ -54,7 +54,6 @@
 
     :param answer_by_daemon: lookup answers of all daemons, this one included.
     :param age_ms: maximum age of the first attempt, in milliseconds.
-    :returns: permission to run, or the final outcome.
     """
     answers = answer_by_daemon.values()
     states = {answer.state for answer in answers}
--- a/waxwingford/routing/_router.py
+++ b/waxwingford/routing/_router.py
@@ -68,12 +68,7 @@
 
 
 class Router:
-    """Sends requests to servers and peers within deadline and retry budget.
-
-    :ivar table: slots of held servers.
-    :ivar peer_table: peers with free slots.
-    :ivar calls: calls in flight to held servers.
-    """
+    """Sends requests to servers and peers within deadline and retry budget."""
 
     def __init__(
         self,
--- a/waxwingford/routing/_server_state.py
+++ b/waxwingford/routing/_server_state.py
@@ -58,10 +58,7 @@
     removed: bool = False
 
     def max_in_flight(self) -> int:
-        """Compute the concurrency limit given by slots and connections.
-
-        :returns: maximum number of calls in flight.
-        """
+        """Compute the concurrency limit given by slots and connections."""
         usable = self.held.connections - CONTROL_CONNECTIONS
         return max(0, min(self.held.slots, usable))
 
