--- a/waxwingford/peers/_membership.py
+++ b/waxwingford/peers/_membership.py
@@ -87,7 +87,6 @@
     ) -> None:
         """Record the heartbeat of a peer.
 
-        :param beat: heartbeat of the peer.
         :param now_ms: monotonic time of receipt, in milliseconds.
         :param round_trip_ms: measured round trip, in milliseconds; None if
             the peer was the caller.
@@ -138,7 +137,6 @@
     def distance_ms(self, daemon_id: str) -> float:
         """Get the estimated round trip to a peer.
 
-        :param daemon_id: id of the peer.
         :returns: round trip in milliseconds; 0 if the peer has never sent a
             heartbeat.
         """
@@ -187,7 +185,7 @@
     single caller, chosen by hash.  In each other failure domain the daemon
     calls one peer, chosen by rendezvous hashing, and at most
     ``MAX_REMOTE_TARGETS`` in all, so that the number of calls does not grow
-    with the number of failure domains as it would in a full mesh.
+    with the number of failure domains.
 
     :param own: address of this daemon.
     :param peers: addresses of all configured daemons.
