--- a/waxwingford/bundles/_baseline.py
+++ b/waxwingford/bundles/_baseline.py
@@ -84,7 +84,6 @@
     if all entries from that offset on are in the window.  Of several
     restatements the one that leads to the newest version is used.
 
-    :param window: end of the stream.
     :param key_by_member: pinned public keys, base64.
     :returns: chain at the head, empty if the window proves no bundle.
     """
@@ -106,10 +105,8 @@
 ) -> bool:
     """Check for fully signed versions newer than the result of the fold.
 
-    :param window: end of the stream.
     :param key_by_member: pinned public keys, base64.
     :param version: version that the fold reached.
-    :returns: whether the window holds such a version.
     """
     return any(
         not signature_fault(
@@ -140,7 +137,6 @@
 ) -> RecoveredChain | LogUnavailable:
     """Read back from the head until the bundle in force is proved.
 
-    :param log: the platform's log.
     :param key_by_member: pinned public keys, base64.
     :returns: chain at the head, or the error of a failed read.
     """
--- a/waxwingford/bundles/_canonical.py
+++ b/waxwingford/bundles/_canonical.py
@@ -23,7 +23,6 @@
 def canonical_bytes(body: Body) -> bytes:
     """Encode a body in its canonical form.
 
-    :param body: JSON object.
     :returns: compact JSON with sorted keys.
     """
     return _encoder.encode(body)
@@ -32,7 +31,6 @@
 def compute_digest(canonical: bytes) -> str:
     """Compute the digest that identifies a body.
 
-    :param canonical: canonical bytes of the body.
     :returns: SHA-256 as 64 hex digits.
     """
     return hashlib.sha256(canonical).hexdigest()
@@ -41,7 +39,6 @@
 def short_digest(digest: str) -> str:
     """Shorten a digest for messages.
 
-    :param digest: hex digest.
     :returns: its first 12 digits.
     """
     return digest[:_SHORT_DIGEST_DIGITS]
@@ -51,7 +48,6 @@
     """Apply a merge patch; null removes a key.
 
     :param target: body to patch; not modified.
-    :param patch: merge patch.
     :param depth: nesting level of ``patch``, 0 at the root.
     :returns: patched body, which shares unchanged parts with the target.
     :raises PatchTooDeep: if the patch exceeds the maximum nesting depth.
@@ -77,7 +73,6 @@
 def make_merge_patch(old: Body, new: Body) -> Body:
     """Compute the merge patch between two bodies.
 
-    :param old: body before the change.
     :param new: body after the change; must not contain nulls.
     :returns: smallest merge patch that turns ``old`` into ``new``.
     """
--- a/waxwingford/bundles/_chain.py
+++ b/waxwingford/bundles/_chain.py
@@ -59,18 +59,12 @@
 
     @property
     def current(self) -> BundleInForce | None:
-        """Bundle in force.
-
-        :returns: the bundle in force, or None if there is none yet.
-        """
+        """Bundle in force, or None if there is none yet."""
         return self._accepted.in_force if self._accepted else None
 
     @property
     def version(self) -> int:
-        """Version of the bundle in force.
-
-        :returns: the version, 0 without a bundle.
-        """
+        """Version of the bundle in force, 0 without a bundle."""
         return self._accepted.in_force.version if self._accepted else 0
 
     @property
@@ -84,7 +78,6 @@
     def offer_payload(self, payload: bytes, source: Source) -> Verdict:
         """Decode a record and offer it to the chain.
 
-        :param payload: encoded record.
         :param source: where the record was read.
         :returns: whether the record took force, or why it was rejected.
         """
@@ -96,7 +89,6 @@
     def offer(self, record: BundleRecord, source: Source) -> Verdict:
         """Offer a record; an invalid one leaves the chain unchanged.
 
-        :param record: decoded record.
         :param source: where the record was read.
         :returns: whether the record took force, or why it was rejected.
         """
--- a/waxwingford/bundles/_model.py
+++ b/waxwingford/bundles/_model.py
@@ -50,7 +50,6 @@
 class FailureDomain(_StrictModel):
     """A failure domain.
 
-    :ivar region: name of the region that contains it.
     :ivar daemons: ids of the daemons in it.
     """
 
@@ -126,7 +125,6 @@
     :ivar failures_before_quarantine: consecutive failures after which a
         server is quarantined.
     :ivar attempts: maximum attempts of a task that fails on every server.
-    :ivar kinds: kinds of batch work by name.
     """
 
     probation_ms: Millis = 60_000
@@ -160,16 +158,11 @@
     :ivar version: version number, one above that of the predecessor.
     :ivar predecessor: hex SHA-256 of the predecessor's canonical body; empty
         for version 1.
-    :ivar members: entitlements by member.
-    :ivar failure_domains: failure domains by name.
     :ivar largest_server: capacity of the largest backend server; upper bound
         of each service's reservation.
-    :ivar services: services by name.
     :ivar teams: quotas by ``<member>/<team>``.
     :ivar policy: name of the colocation policy.
     :ivar routing: name of the routing policy.
-    :ivar batch: parameters of batch scheduling.
-    :ivar switches: feature switches.
     """
 
     version: Annotated[int, Field(ge=1, le=_MAX_VERSION)]
@@ -188,7 +181,6 @@
     def check_limits(self) -> 'Bundle':
         """Check constraints between fields.
 
-        :returns: the bundle itself.
         :raises ValueError: listing every violated constraint.
         """
         faults = list(limit_faults(self))
--- a/waxwingford/bundles/_peers.py
+++ b/waxwingford/bundles/_peers.py
@@ -18,10 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerUnavailable:
-    """A peer did not answer.
-
-    :ivar reason: error message.
-    """
+    """A peer did not answer."""
 
     reason: str
 
--- a/waxwingford/bundles/_publish.py
+++ b/waxwingford/bundles/_publish.py
@@ -48,7 +48,6 @@
 class Published:
     """The bundle is in force at the head of the stream.
 
-    :ivar version: version of the bundle.
     :ivar digest: hex digest of the bundle.
     :ivar offset: offset of its record; -1 if it was in force already.
     """
@@ -81,10 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishUnknown:
-    """The append may have taken effect; publishing again is safe.
-
-    :ivar reason: error message.
-    """
+    """The append may have taken effect; publishing again is safe."""
 
     reason: str
 
@@ -102,12 +98,10 @@
 ) -> BundleRecord:
     """Build a record, with a merge patch if that is smaller than the body.
 
-    :param bundle: bundle to publish.
     :param signature_by_member: signatures over the bundle's digest.
     :param current_body: body of the predecessor, empty for none.
     :param as_of: for a restatement, the offset up to which all entries have
         been read; else None.
-    :returns: record to append.
     """
     body = bundle_body(bundle)
     canonical = canonical_bytes(body)
@@ -135,9 +129,7 @@
 ) -> PublishOutcome:
     """Publish a bundle; an invalid one is rejected before the append.
 
-    :param log: the platform's log.
     :param key_by_member: pinned public keys, base64.
-    :param bundle: bundle to publish.
     :param signature_by_member: signature of every member.
     :param restate: publish a restatement instead of a successor; allowed only
         if the retained entries prove no bundle.  Daemons that have a newer
@@ -189,9 +181,6 @@
 
     :param log: the platform's log.
     :param recovered: chain before the append.
-    :param record: record that was appended.
-    :param appended: outcome of the append.
-    :returns: tagged outcome.
     """
     position = recovered.next_offset
     while True:
--- a/waxwingford/bundles/_reader.py
+++ b/waxwingford/bundles/_reader.py
@@ -33,10 +33,6 @@
     """Follows stream ``config``; queries peers while the log is unavailable."""
 
     def __init__(self, setup: ReaderDependencies) -> None:
-        """Create a reader without a bundle or a position in the stream.
-
-        :param setup: dependencies and timing.
-        """
         self._setup = setup
         self._chain = BundleChain(setup.key_by_member)
         self._restatement_schedule = RestatementSchedule(setup.rng)
@@ -48,17 +44,11 @@
 
     @property
     def current(self) -> BundleInForce | None:
-        """Bundle in force on this daemon.
-
-        :returns: the bundle in force, or None.
-        """
+        """Bundle in force on this daemon, or None."""
         return self._chain.current if self._notified_version else None
 
     def readiness(self) -> Ready | NotReady:
-        """Report whether a bundle is in force on this daemon.
-
-        :returns: ready, or the reason why not.
-        """
+        """Report whether a bundle is in force on this daemon."""
         return Ready() if self.current else NotReady(self._not_ready_reason)
 
     def whole_record(self) -> bytes:
@@ -103,10 +93,8 @@
 
         Prevents a busy loop.
 
-        :param outcome: result of the read.
         :param started_ms: monotonic time when the step began, in milliseconds.
         :param wait_ms: requested long-poll time, in milliseconds.
-        :returns: pause, in milliseconds.
         """
         if isinstance(outcome, RecoveredChain) or outcome.entries:
             return 0
@@ -140,7 +128,6 @@
         appended again would be taken as the first version, and a restatement
         would cover entries that were never read.
 
-        :param recovered: chain at the head of the stream.
         :returns: whether to follow the stream from the head.
         """
         found, own = recovered.chain.current, self._chain.current
--- a/waxwingford/bundles/_record.py
+++ b/waxwingford/bundles/_record.py
@@ -20,7 +20,6 @@
 ):
     """Payload of one entry of the stream.
 
-    :ivar version: version of the bundle.
     :ivar predecessor: hex digest of the predecessor, empty for version 1.
     :ivar digest: hex digest of the whole body.
     :ivar signature_by_member: signatures over the digest, by member.
@@ -63,7 +62,6 @@
 def encode_record(record: BundleRecord) -> bytes:
     """Serialize a record.
 
-    :param record: record to serialize.
     :returns: JSON, the payload of one log entry.
     """
     return _encoder.encode(record)
--- a/waxwingford/bundles/_requests.py
+++ b/waxwingford/bundles/_requests.py
@@ -39,10 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unverified:
-    """The request could not be verified.
-
-    :ivar reason: error message.
-    """
+    """The request could not be verified."""
 
     reason: str
 
@@ -55,10 +52,6 @@
     """
 
     def __init__(self, capacity: int = _NONCE_CAPACITY) -> None:
-        """Create an empty cache.
-
-        :param capacity: maximum number of nonces.
-        """
         self._capacity = capacity
         self._expiry_ms_by_nonce: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
@@ -95,10 +88,7 @@
     """Sign a request.
 
     :param key: private key of the member.
-    :param member: name of the member.
-    :param method: HTTP method.
     :param path: path with query.
-    :param body: request body.
     :param wall_ms: current time, in milliseconds since the epoch.
     :returns: headers to add to the request.
     """
@@ -125,9 +115,7 @@
 
     :param public_key_by_member: pinned keys, base64 (``settings.trust``).
     :param headers: request headers; names are case-insensitive.
-    :param method: HTTP method.
     :param path: path with query.
-    :param body: request body.
     :param now_wall_ms: current time, in milliseconds since the epoch.
     :param nonces: nonces of requests that were accepted before.
     :returns: the member that signed, or why verification failed.
--- a/waxwingford/bundles/_restate.py
+++ b/waxwingford/bundles/_restate.py
@@ -51,8 +51,6 @@
     ) -> None:
         """Update the schedule with one entry of the stream.
 
-        :param payload: payload of the entry.
-        :param offset: offset of the entry.
         :param verdict: result of offering the entry to the chain.
         """
         match verdict:
@@ -73,7 +71,6 @@
 
         :param now_ms: monotonic time, in milliseconds.
         :param oldest_offset: first offset that the log retains.
-        :returns: whether to restate now.
         """
         if self._interval_start_ms is None:
             self._interval_start_ms = now_ms
--- a/waxwingford/bundles/_setup.py
+++ b/waxwingford/bundles/_setup.py
@@ -33,7 +33,6 @@
     def __call__(self, kind: str, subject: str, detail: str = '') -> object:
         """Record an event.
 
-        :param kind: kind of the event.
         :param subject: object that the event concerns.
         :param detail: details for operators.
         :returns: ignored.
@@ -45,21 +44,11 @@
     """Interface of the metrics that the reader updates."""
 
     def count(self, name: str, by: int = 1, **labels: str) -> None:
-        """Increment a counter.
-
-        :param name: name of the metric.
-        :param by: increment.
-        :param labels: label values by name.
-        """
+        """Increment a counter."""
         ...
 
     def gauge(self, name: str, level: float, **labels: str) -> None:
-        """Set a gauge.
-
-        :param name: name of the metric.
-        :param level: current value.
-        :param labels: label values by name.
-        """
+        """Set a gauge."""
         ...
 
 
@@ -79,7 +68,6 @@
 class ReaderDependencies(NamedTuple):
     """Dependencies of the reader.
 
-    :ivar log: the platform's log.
     :ivar peers: client for all configured peers.
     :ivar clock: clock for idle pauses and restatements.
     :ivar key_by_member: pinned public keys, base64.
@@ -87,9 +75,7 @@
         domain.
     :ivar on_bundle_change: called with each bundle that takes force.
     :ivar note: records an event.
-    :ivar counters: metrics.
     :ivar rng: source of jitter.
-    :ivar times: timing of reads and backoff.
     :ivar sleep: asynchronous sleep, in seconds.
     """
 
--- a/waxwingford/bundles/_signing.py
+++ b/waxwingford/bundles/_signing.py
@@ -20,7 +20,6 @@
     """Decode a public key.
 
     :param encoded_key: base64 of 32 bytes.
-    :returns: the key.
     :raises ValueError: if the text is not a valid key.
     """
     return Ed25519PublicKey.from_public_bytes(base64.b64decode(encoded_key))
@@ -29,7 +28,6 @@
 def encode_public_key(key: Ed25519PrivateKey) -> str:
     """Encode the public key of a private key as in the settings.
 
-    :param key: private key.
     :returns: public key, base64.
     """
     return base64.b64encode(key.public_key().public_bytes_raw()).decode()
@@ -50,8 +48,6 @@
 
     :param encoded_key: public key, base64.
     :param digest: hex digest that was signed.
-    :param signature: signature to verify.
-    :returns: whether the signature was made with the key.
     """
     try:
         decode_public_key(encoded_key).verify(
@@ -71,7 +67,6 @@
 
     :param key_by_member: pinned public keys, base64, of all members.
     :param digest: hex digest that was signed.
-    :param signature_by_member: signatures by member.
     :returns: the fault, empty if all signatures are valid.
     """
     unknown = sorted(signature_by_member.keys() - key_by_member.keys())
--- a/waxwingford/bundles/_toml.py
+++ b/waxwingford/bundles/_toml.py
@@ -10,10 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BundleLoaded:
-    """The file is valid.
-
-    :ivar bundle: validated bundle.
-    """
+    """The file is valid."""
 
     bundle: Bundle
 
@@ -29,11 +26,7 @@
 
 
 def load_bundle(path: str | pathlib.Path) -> BundleLoaded | BundleInvalid:
-    """Load a bundle from a TOML file.
-
-    :param path: path of the file.
-    :returns: the validated bundle, or all problems found in the file.
-    """
+    """Load a bundle from a TOML file."""
     loaded = load_toml(path, Bundle)
     if isinstance(loaded, Bundle):
         return BundleLoaded(loaded)
@@ -43,7 +36,6 @@
 def bundle_body(bundle: Bundle) -> Body:
     """Convert a bundle to the JSON object that is signed.
 
-    :param bundle: validated bundle.
     :returns: body of the bundle, including fields with default values.
     """
     return bundle.model_dump(mode='json')
--- a/waxwingford/bundles/_verdicts.py
+++ b/waxwingford/bundles/_verdicts.py
@@ -9,20 +9,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FromLog:
-    """The record was read from the stream.
-
-    :ivar offset: offset of its entry.
-    """
+    """The record was read from the stream."""
 
     offset: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FromPeer:
-    """A peer has the record in force.
-
-    :ivar daemon_id: id of the peer.
-    """
+    """A peer has the record in force."""
 
     daemon_id: str
 
@@ -43,8 +37,6 @@
 class BundleInForce(NamedTuple):
     """A bundle in force.
 
-    :ivar bundle: validated bundle.
-    :ivar version: version of the bundle.
     :ivar digest: hex digest of the bundle.
     """
 
@@ -55,20 +47,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """The record took force.
-
-    :ivar in_force: the bundle now in force.
-    """
+    """The record took force."""
 
     in_force: BundleInForce
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AlreadyInForce:
-    """The record repeats the bundle in force, as duplicate records do.
-
-    :ivar version: version in force.
-    """
+    """The record repeats the bundle in force, as duplicate records do."""
 
     version: int
 
