--- a/waxwingford/records/_fold.py
+++ b/waxwingford/records/_fold.py
@@ -58,7 +58,6 @@
     """
 
     def __init__(self) -> None:
-        """Create the state at the beginning of the stream."""
         self.next_offset = 0
         self.snapshot_offset = 0
         self.jobs_by_id: dict[str, JobState] = {}
@@ -85,7 +84,6 @@
         """Look up the task of an attempt that is claimed on a server.
 
         :param key: identifier of the attempt.
-        :param server_id: identifier of the server.
         :returns: the task; None if the attempt has ended or is not claimed on
             this server.
         """
@@ -95,10 +93,7 @@
         )
 
     def skip(self, offset: int) -> None:
-        """Skip an entry that cannot be decoded as a record group.
-
-        :param offset: offset of the entry.
-        """
+        """Skip an entry that cannot be decoded as a record group."""
         self.next_offset = max(self.next_offset, offset + 1)
 
     def apply(self, offset: int, group: RecordGroup) -> list[Verdict]:
@@ -108,7 +103,6 @@
         its writer and sequence, and ignored.
 
         :param offset: offset of the entry; entries already applied are ignored.
-        :param group: record group in the entry.
         :returns: verdicts in the order of the records; empty if the entry was
             already applied.
         """
--- a/waxwingford/records/_index.py
+++ b/waxwingford/records/_index.py
@@ -30,7 +30,6 @@
 def job_hash(job_id: str) -> int:
     """Hash a job id for the tombstones of finished jobs.
 
-    :param job_id: identifier of the job.
     :returns: 64-bit hash.
     """
     return xxhash.xxh3_64_intdigest(job_id.encode())
@@ -45,7 +44,6 @@
     """
 
     def __init__(self) -> None:
-        """Create empty indexes."""
         self.pending_by_id: dict[str, TaskState] = {}
         self.attempts_by_server: dict[str, dict[str, TaskState]] = {}
         self.used_by_team: dict[str, Resources] = {}
@@ -108,14 +106,12 @@
     """
 
     def __init__(self) -> None:
-        """Create an empty history."""
         self.summary_by_id: dict[str, FinishedJob] = {}
         self.tombstones: dict[int, None] = {}
 
     def __contains__(self, job_id: str) -> bool:
         """Check whether a job is in the history.
 
-        :param job_id: identifier of the job.
         :returns: True unless the job is unfinished, unknown or older than the
             history.
         """
--- a/waxwingford/records/_messages.py
+++ b/waxwingford/records/_messages.py
@@ -46,10 +46,7 @@
 
 
 class JobAccepted(msgspec.Struct, frozen=True, array_like=True, tag='accepted'):
-    """The failure domain has accepted responsibility for a job.
-
-    :ivar job: specification of the job.
-    """
+    """The failure domain has accepted responsibility for a job."""
 
     job: JobSpec
 
@@ -59,7 +56,6 @@
 ):
     """A member has cancelled its job.
 
-    :ivar job_id: identifier of the job.
     :ivar member: member that requested it; must own the job.
     """
 
@@ -82,10 +78,8 @@
     """Attempts are claimed for a backend server, before they are started.
 
     :ivar holder: ``<daemon>#<incarnation>`` that claims the attempts.
-    :ivar server_id: identifier of the backend server.
     :ivar boot_id: boot of the server for which the claims are valid.
     :ivar epoch: epoch of the holder's control lease on the server.
-    :ivar claims: claimed attempts.
     """
 
     holder: str
@@ -98,7 +92,6 @@
 class AttemptEnded(msgspec.Struct, frozen=True, array_like=True, tag='ended'):
     """An attempt is known to have ended.
 
-    :ivar key: identifier of the attempt.
     :ivar server_id: identifier of the server on which it was claimed.
     :ivar how: ``done``, ``failed``, ``checkpointed``, ``stopped``, ``absent``
         (the server's current holder found that it does not exist) or
@@ -148,7 +141,6 @@
 class ServerLost(msgspec.Struct, frozen=True, array_like=True, tag='lost'):
     """Operators have declared a backend server lost; its attempts have ended.
 
-    :ivar server_id: identifier of the backend server.
     :ivar boot_id: boot of the server that was lost.
     :ivar statement: statement signed by the members' operators.
     """
@@ -202,7 +194,6 @@
 def encode_group(group: RecordGroup) -> bytes:
     """Encode a record group.
 
-    :param group: group to encode.
     :returns: payload of one log entry.
     """
     return _encoder.encode(group)
@@ -212,7 +203,6 @@
     """Decode a record group.
 
     :param payload: payload of one log entry.
-    :returns: the decoded group.
     :raises msgspec.DecodeError: if the payload is not a valid group.
     """
     return _decoder.decode(payload)
--- a/waxwingford/records/_rules.py
+++ b/waxwingford/records/_rules.py
@@ -22,7 +22,6 @@
 def validate_job(spec: JobSpec) -> str:
     """Validate a job specification.
 
-    :param spec: job specification.
     :returns: reason why it is invalid; empty if it is valid.
     """
     if not spec.job_id.startswith(f'{spec.member}.'):
@@ -45,7 +44,6 @@
     attempt, so a valid claim cannot overlap with an earlier attempt.
 
     :param task: claimed task; None if it is unknown.
-    :param claim: claim to validate.
     :returns: reason why it is invalid; empty if it is valid.
     """
     if task is None:
@@ -90,7 +88,6 @@
 
     :param task: the task; a failure must already be recorded.
     :param how: outcome of the attempt.
-    :returns: next stage of the task.
     """
     if how == 'done':
         return TaskStage.done
--- a/waxwingford/records/_snapshot.py
+++ b/waxwingford/records/_snapshot.py
@@ -148,7 +148,6 @@
 def encode_snapshot(state: DomainState, covers_offset: int) -> list[bytes]:
     """Encode a state as snapshot chunks.
 
-    :param state: state to encode.
     :param covers_offset: next offset of the state.
     :returns: entries for the snapshot stream, each below 256 KiB.
     :raises ValueError: if ``covers_offset`` is not the state's next offset;
@@ -238,7 +237,6 @@
     """
 
     def __init__(self) -> None:
-        """Create an assembler without chunks."""
         self.newest: DomainState | None = None
         self._payloads_by_snapshot: dict[
             tuple[int, str, int], dict[int, bytes]
--- a/waxwingford/records/_state.py
+++ b/waxwingford/records/_state.py
@@ -31,8 +31,6 @@
     """A task and its latest attempt.
 
     :ivar task_id: ``<job id>/<index>``.
-    :ivar job: job that the task belongs to.
-    :ivar stage: current stage.
     :ivar attempt: number of the latest claimed attempt; 0 before the first.
     :ivar server_id: server on which the latest attempt was claimed.
     :ivar boot_id: boot of that server.
@@ -69,26 +67,17 @@
 
     @property
     def key(self) -> AttemptKey:
-        """Identifier of the latest attempt.
-
-        :returns: task id and attempt number.
-        """
+        """Identifier of the latest attempt."""
         return AttemptKey(self.task_id, self.attempt)
 
     @property
     def next_key(self) -> AttemptKey:
-        """Identifier of the next attempt.
-
-        :returns: task id and attempt number.
-        """
+        """Identifier of the next attempt."""
         return AttemptKey(self.task_id, self.attempt + 1)
 
     @property
     def resources(self) -> Resources:
-        """Declared size of the task.
-
-        :returns: declared resources of each task of the job.
-        """
+        """Declared size of the task."""
         return self.job.spec.resources
 
 
@@ -96,7 +85,6 @@
 class JobState:
     """An accepted, unfinished job.
 
-    :ivar spec: specification of the job.
     :ivar accepted_offset: offset of the record that accepted it.
     :ivar cancelled: whether its member has cancelled it.
     :ivar open_count: number of tasks that are not in a terminal stage.
@@ -114,7 +102,6 @@
 class FinishedJob:
     """Summary of a finished job.
 
-    :ivar job_id: identifier of the job.
     :ivar member: member that owns the job.
     :ivar done: number of tasks that completed.
     :ivar failed: number of tasks that failed.
@@ -133,7 +120,6 @@
 def new_job(spec: JobSpec, offset: int) -> JobState:
     """Create the state of a newly accepted job.
 
-    :param spec: specification of the job.
     :param offset: offset of the record that accepted it.
     :returns: the job, with all its tasks pending.
     """
@@ -148,7 +134,6 @@
 def team_key(spec: JobSpec) -> str:
     """Build the key of a job's team, which is unique across members.
 
-    :param spec: specification of a job of the team.
     :returns: ``<member>/<team>``.
     """
     return f'{spec.member}/{spec.team}'
--- a/waxwingford/records/_verdicts.py
+++ b/waxwingford/records/_verdicts.py
@@ -10,7 +10,6 @@
 class Valid:
     """A record that was applied, entirely or for the listed attempts.
 
-    :ivar record: the record.
     :ivar keys: attempts for which it was applied; empty for a record that
         concerns no attempt.
     """
@@ -23,8 +22,6 @@
 class Invalid:
     """A record that was rejected, entirely or for the listed attempts.
 
-    :ivar record: the record.
-    :ivar reason: human-readable reason.
     :ivar keys: attempts for which it was rejected; empty if the whole record
         was.
     """
