--- a/waxwingford/placement/_failures.py
+++ b/waxwingford/placement/_failures.py
@@ -32,7 +32,6 @@
 class ServerQuarantined:
     """The server is quarantined and accepts only probation tasks.
 
-    :ivar server_id: identifier of the server.
     :ivar task_ids: tasks that failed on it, sorted.
     """
 
@@ -44,7 +43,6 @@
 class TaskStopped:
     """The task failed on too many servers and is not retried.
 
-    :ivar task_id: identifier of the task.
     :ivar server_ids: healthy servers on which it failed, sorted.
     """
 
--- a/waxwingford/placement/_fit.py
+++ b/waxwingford/placement/_fit.py
@@ -28,29 +28,18 @@
 
 
 def largest(left: Resources, right: Resources) -> Resources:
-    """Compute the element-wise maximum of two resource vectors.
-
-    :param left: first vector.
-    :param right: second vector.
-    :returns: the larger value in each dimension.
-    """
+    """Compute the element-wise maximum of two resource vectors."""
     return Resources(*map(max, left, right))
 
 
 def smallest(left: Resources, right: Resources) -> Resources:
-    """Compute the element-wise minimum of two resource vectors.
-
-    :param left: first vector.
-    :param right: second vector.
-    :returns: the smaller value in each dimension.
-    """
+    """Compute the element-wise minimum of two resource vectors."""
     return Resources(*map(min, left, right))
 
 
 def sum_resources(sizes: Iterable[Resources]) -> Resources:
     """Sum resource vectors.
 
-    :param sizes: vectors to add.
     :returns: the element-wise sum; all zero if there are none.
     """
     total = NO_RESOURCES
@@ -62,7 +51,6 @@
 def free_resources(server: ServerView) -> Resources:
     """Compute the unallocated batch capacity of a server.
 
-    :param server: view of the server.
     :returns: ``total - reserved`` minus the resources allocated to batch
         attempts; negative if the reservation was raised above what running
         attempts leave.
--- a/waxwingford/placement/_pending.py
+++ b/waxwingford/placement/_pending.py
@@ -14,11 +14,7 @@
 
 
 class TeamName(NamedTuple):
-    """Qualified team name; a team name is unique only within its member.
-
-    :ivar member: member organisation that the team belongs to.
-    :ivar team: name of the team.
-    """
+    """Qualified team name; a team name is unique only within its member."""
 
     member: str
     team: str
@@ -28,7 +24,6 @@
     """Heap entry of a team; stale once the team's share has changed.
 
     :ivar share: dominant share divided by quota when the entry was pushed.
-    :ivar name: qualified name of the team.
     """
 
     share: float
@@ -70,7 +65,6 @@
 def rank_ms(task: PendingTask, now_ms: int) -> int:
     """Compute a task's rank within its team.
 
-    :param task: the pending task.
     :param now_ms: monotonic time, in milliseconds.
     :returns: a monotonic time, in milliseconds, where smaller runs earlier:
         the time the task became pending, moved back according to its
@@ -88,9 +82,7 @@
 def with_current_times(tracked: TrackedTask, now_ms: int) -> PendingTask:
     """Update a task's waiting time and slack to the current time.
 
-    :param tracked: the task and its insertion time.
     :param now_ms: monotonic time, in milliseconds.
-    :returns: a copy of the task with current times.
     """
     elapsed_ms = now_ms - tracked.added_ms
     task = tracked.task
--- a/waxwingford/placement/_quarantine.py
+++ b/waxwingford/placement/_quarantine.py
@@ -53,7 +53,6 @@
     """Outcomes of the tasks of one job.
 
     :ivar failed_on: servers on which at least one task failed.
-    :ivar has_succeeded: whether any task has succeeded.
     """
 
     failed_on: set[str] = dataclasses.field(default_factory=set)
@@ -72,7 +71,6 @@
     """Extract the job id from a task id.
 
     :param task_id: ``<job id>/<index>``.
-    :returns: the job id.
     """
     return task_id.rpartition('/')[0]
 
@@ -104,10 +102,7 @@
 
     @property
     def quarantined(self) -> frozenset[str]:
-        """Quarantined servers.
-
-        :returns: identifiers of the servers.
-        """
+        """Identifiers of the quarantined servers."""
         return frozenset(self._probation_by_server)
 
     def failed(
@@ -119,13 +114,9 @@
     ) -> FailureVerdict:
         """Record a failed attempt.
 
-        :param task_id: task that failed.
-        :param server_id: server on which it failed.
         :param now_ms: monotonic time, in milliseconds.
         :param server_count: total number of servers, which limits how many
             may be in quarantine.
-        :returns: whether the server is quarantined, the task is stopped, or
-            the task may be retried on another server.
         """
         if (
             len(self._failed_tasks_by_server[server_id])
@@ -147,11 +138,7 @@
         return RetryElsewhere()
 
     def succeeded(self, task_id: str, server_id: str) -> None:
-        """Record a success, which clears the server's earlier failures.
-
-        :param task_id: task that succeeded.
-        :param server_id: server on which it ran.
-        """
+        """Record a success, which clears the server's earlier failures."""
         self.forget_task(task_id)
         self._outcomes_by_job[_job_id(task_id)].has_succeeded = True
         self._failed_tasks_by_server.pop(server_id, None)
@@ -166,8 +153,6 @@
         """Discard the record of a task that has ended.
 
         Its failures still count against servers.
-
-        :param task_id: identifier of the task.
         """
         self._failed_servers_by_task.pop(task_id, None)
         self._stopped_tasks.discard(task_id)
@@ -177,8 +162,6 @@
 
         Failures of a suspect job are discarded too; otherwise they would count
         against every server that ran its tasks.
-
-        :param job_id: identifier of the job.
         """
         outcomes = self._outcomes_by_job.pop(job_id, None)
         if outcomes is None or not outcomes.is_suspect:
@@ -188,10 +171,7 @@
             task_ids -= {one for one in task_ids if _job_id(one) == job_id}
 
     def retain_servers(self, server_ids: Container[str]) -> None:
-        """Discard the records of servers that no longer exist.
-
-        :param server_ids: identifiers of the existing servers.
-        """
+        """Discard the records of servers that no longer exist."""
         recorded = (
             self._failed_tasks_by_server.keys()
             | self._probation_by_server.keys()
@@ -202,11 +182,7 @@
                 self._probation_by_server.pop(server_id, None)
 
     def is_quarantined(self, server_id: str) -> bool:
-        """Check whether a server accepts only probation tasks.
-
-        :param server_id: identifier of the server.
-        :returns: True if the server is in quarantine.
-        """
+        """Check whether a server accepts only probation tasks."""
         return server_id in self._probation_by_server
 
     def is_probe_due(self, server_id: str, now_ms: int) -> bool:
@@ -215,7 +191,6 @@
         Quarantined servers for which this is False must not be passed to
         :meth:`ColocationPolicy.place`.
 
-        :param server_id: identifier of the server.
         :param now_ms: monotonic time, in milliseconds.
         :returns: True if a probation task is due; False if not, or if the
             server is not in quarantine.
@@ -226,7 +201,6 @@
     def record_probe(self, server_id: str, now_ms: int) -> None:
         """Record the start of a probation task and defer the next one.
 
-        :param server_id: identifier of the server.
         :param now_ms: monotonic time, in milliseconds.
         """
         probation = self._probation_by_server.get(server_id)
@@ -234,17 +208,12 @@
             probation.next_probe_ms = now_ms + probation.probe_interval_ms
 
     def is_stopped(self, task_id: str) -> bool:
-        """Check whether a task was stopped after failing on several servers.
-
-        :param task_id: identifier of the task.
-        :returns: True if the task is not to be retried.
-        """
+        """Check whether a task was stopped after failing on several servers."""
         return task_id in self._stopped_tasks
 
     def failed_on(self, task_id: str) -> tuple[str, ...]:
         """List the healthy servers on which a task failed.
 
-        :param task_id: identifier of the task.
         :returns: sorted identifiers of servers, excluding those in quarantine.
         """
         return tuple(
--- a/waxwingford/placement/_quotas.py
+++ b/waxwingford/placement/_quotas.py
@@ -57,10 +57,7 @@
         self._team_heap_by_member: dict[str, list[TeamHeapEntry]] = {}
 
     def __len__(self) -> int:
-        """Count the pending tasks.
-
-        :returns: number of pending tasks.
-        """
+        """Count the pending tasks."""
         return len(self._tracked_by_key)
 
     def update_quotas(
@@ -94,7 +91,6 @@
     def add(self, task: PendingTask, now_ms: int) -> None:
         """Add a pending task; has no effect if it is already tracked.
 
-        :param task: the pending task.
         :param now_ms: monotonic time, in milliseconds.
         """
         if task.key in self._tracked_by_key:
@@ -117,27 +113,18 @@
         self._tracked_by_key.pop(key, None)
 
     def charge(self, name: TeamName, allocated: Resources) -> None:
-        """Charge a team for a task that starts.
-
-        :param name: qualified name of the team.
-        :param allocated: resources allocated to the task.
-        """
+        """Charge a team for a task that starts."""
         self.shares.charge(name, allocated)
         if self._task_heap_by_team.get(name):
             self._push_team(name)
 
     def release(self, name: TeamName, allocated: Resources) -> None:
-        """Release a team's charge for a task that ended.
-
-        :param name: qualified name of the team.
-        :param allocated: resources that were allocated to the task.
-        """
+        """Release a team's charge for a task that ended."""
         self.charge(name, subtract(NO_RESOURCES, allocated))
 
     def member_share(self, member: str) -> float:
         """Look up a member's dominant share, weighted by its quota.
 
-        :param member: name of the member.
         :returns: dominant share of the capacity divided by the quota.
         """
         return self.shares.of_member(member)
@@ -154,7 +141,6 @@
         chosen.  Leaves the usage and the pending tasks unchanged; takes
         O(limit * log n).
 
-        :param limit: maximum number of tasks.
         :param now_ms: monotonic time, in milliseconds.
         :param is_eligible: predicate called for each task before it is listed;
             if it returns False, the task's team is excluded from the rest of
@@ -189,10 +175,7 @@
         ]
 
     def count_heap_entries(self) -> int:
-        """Count the heap entries, including stale ones.
-
-        :returns: number of entries in all heaps.
-        """
+        """Count the heap entries, including stale ones."""
         heaps = itertools.chain(
             self._task_heap_by_team.values(),
             self._team_heap_by_member.values(),
--- a/waxwingford/placement/_shares.py
+++ b/waxwingford/placement/_shares.py
@@ -36,7 +36,6 @@
     def charge(self, name: TeamName, allocated: Resources) -> None:
         """Add an allocation to the usage of a team and its member.
 
-        :param name: qualified name of the team.
         :param allocated: resources allocated to a task; negative to release.
         """
         used = add(self._used_by_team.get(name, NO_RESOURCES), allocated)
@@ -50,16 +49,12 @@
         self._share_by_member[member] = self.dominant_share(used) / quota
 
     def used_by_team(self) -> dict[TeamName, Resources]:
-        """Copy the usage of all teams.
-
-        :returns: allocated resources by team.
-        """
+        """Copy the usage of all teams."""
         return dict(self._used_by_team)
 
     def of_team(self, name: TeamName) -> float:
         """Look up a team's dominant share, weighted by its quota.
 
-        :param name: qualified name of the team.
         :returns: dominant share of the capacity divided by the quota.
         """
         return self._share_by_team.get(name, 0)
@@ -67,7 +62,6 @@
     def of_member(self, member: str) -> float:
         """Look up a member's dominant share, weighted by its quota.
 
-        :param member: name of the member.
         :returns: dominant share of the capacity divided by the quota.
         """
         return self._share_by_member.get(member, 0)
@@ -79,8 +73,6 @@
     ) -> tuple[tuple[str, float], tuple[TeamName, float]]:
         """Compute how much one more task adds to its owners' shares.
 
-        :param name: qualified name of the task's team.
-        :param task_share: dominant share of the task.
         :returns: the member and the team, each with the increase of its
             quota-weighted share.
         """
@@ -94,7 +86,6 @@
     def dominant_share(self, used: Resources) -> float:
         """Compute the dominant share of a resource vector.
 
-        :param used: resource vector.
         :returns: largest fraction of the capacity over all dimensions.
         """
         return max(
--- a/waxwingford/placement/_sizes.py
+++ b/waxwingford/placement/_sizes.py
@@ -102,7 +102,6 @@
     """
 
     def __init__(self) -> None:
-        """Create a tracker without measurements."""
         self._measurements_by_class: dict[_TaskClass, _Measurements] = {}
 
     def record_peak_usage(
@@ -110,8 +109,6 @@
     ) -> None:
         """Learn the usage_quantile of one task.
 
-        :param member: owner of the task.
-        :param kind: batch kind.
         :param peak: largest usage in each dimension while the task ran.
         """
         self._measurements_of(member, kind).add_peak_usage(peak)
@@ -125,8 +122,6 @@
     ) -> None:
         """Record the run time of a task that has ended.
 
-        :param member: owner of the task.
-        :param kind: batch kind.
         :param declared_ms: declared run time, in milliseconds.
         :param ran_ms: run time over all attempts, in milliseconds.
         """
@@ -142,9 +137,6 @@
     ) -> Resources:
         """Compute the allocation of a task.
 
-        :param member: owner of the task.
-        :param kind: batch kind.
-        :param declared: declared size.
         :param max_capacity: element-wise maximum of ``total - reserved`` over
             all servers, which bounds the correction so that it does not make
             the task infeasible.
@@ -161,8 +153,6 @@
     def run_ms(self, member: str, kind: str, declared_ms: int) -> int:
         """Correct a declared run time.
 
-        :param member: owner of the task.
-        :param kind: batch kind.
         :param declared_ms: declared run time, in milliseconds.
         :returns: expected run time, in milliseconds: the declared one times
             the weighted mean of 1 and the measured ratio.
--- a/waxwingford/placement/_views.py
+++ b/waxwingford/placement/_views.py
@@ -11,8 +11,6 @@
 
     :ivar key: task id and number of the next attempt.
     :ivar member: member organisation that owns the task.
-    :ivar team: team of the member.
-    :ivar kind: batch kind.
     :ivar resources: declared size.
     :ivar run_ms: expected remaining run time, in milliseconds.
     :ivar priority: 0 to 100; larger is more urgent.
@@ -41,13 +39,9 @@
 class RunningTask(NamedTuple):
     """A batch attempt on a server.
 
-    :ivar key: identifier of the attempt.
     :ivar member: member organisation that owns the task.
-    :ivar team: team of the member.
-    :ivar kind: batch kind.
     :ivar resources: allocated resources.
     :ivar ran_ms: run time of this attempt so far, in milliseconds.
-    :ivar throttled: whether the attempt is currently throttled.
     :ivar slack_ms: time to the deadline minus remaining run time, in
         milliseconds; None without a deadline.
     """
@@ -66,7 +60,6 @@
 class ServerView:
     """State of a backend server as known to the daemon that controls it.
 
-    :ivar server_id: identifier of the server.
     :ivar rack: rack of its VM.
     :ivar service: latency-critical service that it runs.
     :ivar total: resources of the VM.
@@ -89,11 +82,7 @@
 
 
 class Placement(NamedTuple):
-    """Decision to run a pending task on a server.
-
-    :ivar key: identifier of the attempt.
-    :ivar server_id: identifier of the server.
-    """
+    """Decision to run a pending task on a server."""
 
     key: AttemptKey
     server_id: str
@@ -103,7 +92,6 @@
 class Throttle:
     """Decision to limit an attempt to a percentage of its processors.
 
-    :ivar key: identifier of the attempt.
     :ivar percent: 1 to 100; 100 removes the limit.
     """
 
@@ -113,20 +101,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Evict:
-    """Decision to checkpoint an attempt and remove it from its server.
-
-    :ivar key: identifier of the attempt.
-    """
+    """Decision to checkpoint an attempt and remove it from its server."""
 
     key: AttemptKey
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stop:
-    """Decision to stop an attempt without a checkpoint, as a last resort.
-
-    :ivar key: identifier of the attempt.
-    """
+    """Decision to stop an attempt without a checkpoint, as a last resort."""
 
     key: AttemptKey
 
@@ -163,8 +145,6 @@
     ) -> None:
         """Process a usage sample, which may arrive late.
 
-        :param server_id: server on which the sample was taken.
-        :param sample: usage sample.
         :param received_ms: monotonic time of arrival, in milliseconds.
         :param kind_by_task_id: batch kinds of the tasks in the sample.
         """
@@ -192,14 +172,12 @@
 
         :param servers: servers that this daemon controls.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: decisions on running attempts.
         """
         ...
 
     def predicted_ms(self, server: ServerView) -> float:
         """Predict the latency of a server's service, for request routing.
 
-        :param server: view of the server.
         :returns: predicted latency, in milliseconds.
         """
         ...
