--- a/waxwingford/colocation/_baselines.py
+++ b/waxwingford/colocation/_baselines.py
@@ -31,7 +31,6 @@
         """Create the policy.
 
         :param weights_by_service: policy weights from the bundle.
-        :param seed: seed of the random number generator.
         """
         self._weights_by_service = weights_by_service
         self._rng = random.Random(seed)
@@ -45,10 +44,7 @@
     ) -> None:
         """Ignore the sample.
 
-        :param server_id: server on which the sample was taken.
-        :param sample: usage sample.
         :param received_ms: monotonic time of receipt, in milliseconds.
-        :param kind_by_task_id: batch kinds of the tasks in the sample.
         """
 
     def place(
@@ -62,7 +58,6 @@
         :param pending: pending tasks, highest priority first.
         :param servers: servers whose control lease this daemon holds.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: placement decisions.
         """
         capacity = FreeCapacity(servers)
         placements = []
@@ -82,14 +77,12 @@
 
         :param servers: servers whose control lease this daemon holds.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: empty list.
         """
         return []
 
     def predicted_ms(self, server: ServerView) -> float:
         """Return a constant prediction.
 
-        :param server: view of the server.
         :returns: latency in milliseconds, equal for all servers.
         """
         return _NO_PREDICTION_MS
@@ -161,7 +154,6 @@
         """Create the policy.
 
         :param weights_by_service: policy weights from the bundle.
-        :param seed: seed of the random number generator.
         """
         super().__init__(weights_by_service, seed)
         self._over_target: set[str] = set()
@@ -175,10 +167,7 @@
     ) -> None:
         """Record whether the service exceeded its latency target.
 
-        :param server_id: server on which the sample was taken.
-        :param sample: usage sample.
         :param received_ms: monotonic time of receipt, in milliseconds.
-        :param kind_by_task_id: batch kinds of the tasks in the sample.
         """
         weights = self._weights_by_service.get(sample.service)
         if weights and sample.service_p99_ms > weights.target_p99_ms:
@@ -191,7 +180,6 @@
 
         :param servers: servers whose control lease this daemon holds.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: evictions.
         """
         over_target = [
             server
--- a/waxwingford/colocation/_capacity.py
+++ b/waxwingford/colocation/_capacity.py
@@ -27,11 +27,7 @@
         self._assigned: set[str] = set()
 
     def free(self, server_id: str) -> Resources:
-        """Return the resources that are still free on a server.
-
-        :param server_id: name of the server.
-        :returns: free resources.
-        """
+        """Return the resources that are still free on a server."""
         free = self._free_by_id.get(server_id)
         if free is None:
             free = free_resources(self.server_by_id[server_id])
@@ -41,8 +37,6 @@
     def admits(self, task: PendingTask, server: ServerView) -> bool:
         """Check whether a task may be placed on a server.
 
-        :param task: pending task.
-        :param server: view of the server.
         :returns: true if the task fits and has not failed on the server, and
             the server is neither leaving nor quarantined with other work.
         """
@@ -53,11 +47,7 @@
         return fits(task.resources, self.free(server.server_id))
 
     def reserve(self, task: PendingTask, server_id: str) -> None:
-        """Reserve the resources of a placed task.
-
-        :param task: placed task.
-        :param server_id: server on which it is placed.
-        """
+        """Reserve the resources of a placed task."""
         remaining = subtract(self.free(server_id), task.resources)
         self._free_by_id[server_id] = remaining
         self._assigned.add(server_id)
--- a/waxwingford/colocation/_escalation.py
+++ b/waxwingford/colocation/_escalation.py
@@ -43,10 +43,7 @@
 
     @property
     def is_enough(self) -> bool:
-        """Check whether the latency is back at its throttle threshold.
-
-        :returns: true if no more throttles are needed.
-        """
+        """Check whether the latency is back at its throttle threshold."""
         return self.log_p99 <= self.prediction.thresholds.throttle
 
     def add(self, reduction: float) -> None:
@@ -64,10 +61,6 @@
     """Chooses reactions for one server at a time."""
 
     def __init__(self, mechanisms: Mechanisms) -> None:
-        """Create an escalation.
-
-        :param mechanisms: enabled parts of the policy.
-        """
         self._mechanisms = mechanisms
 
     def react(
@@ -78,10 +71,8 @@
     ) -> list[Reaction]:
         """Choose the reactions for a server and record them in its state.
 
-        :param prediction: prediction for the server.
         :param predictor: predictor of this pass.
         :param now_ms: monotonic time, in milliseconds.
-        :returns: decisions, possibly none.
         """
         stops = list(_overdue_stops(prediction, now_ms))
         if stops:
@@ -199,11 +190,7 @@
 
 
 def _relief_per_cpu(interference: Interference) -> float:
-    """Compute the relief per millicore, lower for urgent tasks.
-
-    :param interference: interference of a task.
-    :returns: benefit of throttling or evicting the task.
-    """
+    """Compute the relief per millicore, lower for urgent tasks."""
     millicores = max(interference.task.resources.processors_milli, 1)
     slack_ms = interference.task.slack_ms
     urgency = 1.0
@@ -215,7 +202,6 @@
 def _overdue_stops(prediction: Prediction, now_ms: int) -> Iterator[Reaction]:
     """Stop attempts that did not complete their eviction in time.
 
-    :param prediction: prediction for the server.
     :param now_ms: monotonic time, in milliseconds.
     :yields: stops, if the latency is above the stop threshold.
     """
--- a/waxwingford/colocation/_learned.py
+++ b/waxwingford/colocation/_learned.py
@@ -46,8 +46,6 @@
         """Create the policy.
 
         :param weights_by_service: policy weights from the bundle.
-        :param seed: seed of the random number generator.
-        :param mechanisms: enabled parts of the policy.
         """
         self._thresholds_by_service = {
             service: thresholds_for(weights)
@@ -76,10 +74,7 @@
     ) -> None:
         """Update the model with a delayed sample.
 
-        :param server_id: server on which the sample was taken.
-        :param sample: usage sample.
         :param received_ms: monotonic time of receipt, in milliseconds.
-        :param kind_by_task_id: batch kinds of the tasks in the sample.
         """
         state = self._state_by_server[server_id]
         state.prediction = None
@@ -138,7 +133,6 @@
     def predicted_ms(self, server: ServerView) -> float:
         """Predict the 99th percentile latency of a service for routing.
 
-        :param server: view of the server.
         :returns: predicted latency, in milliseconds.
         """
         return math.exp(self._predict(server).log_p99)
--- a/waxwingford/colocation/_model.py
+++ b/waxwingford/colocation/_model.py
@@ -52,8 +52,6 @@
 class WorkloadMix(NamedTuple):
     """A service and the batch work colocated with it.
 
-    :ivar server_id: name of the server.
-    :ivar service: name of the service.
     :ivar load: share of busy slots, 0 to 1.
     :ivar units_by_kind: CPU units used by each batch kind, see
         :func:`cpu_units`.
@@ -77,11 +75,7 @@
 
 
 def cpu_units(used: Resources) -> float:
-    """Convert CPU use to the unit of the model, four cores.
-
-    :param used: resources used by a task.
-    :returns: CPU units.
-    """
+    """Convert CPU use to the unit of the model, four cores."""
     return used.processors_milli / _MILLICORES_PER_UNIT
 
 
@@ -120,7 +114,6 @@
 
         :param weights: weights of the load bands.
         :param units: factor of the whole term.
-        :returns: estimates with their weights.
         """
         weighted = [(self.overall, units)]
         if self.bands:
@@ -142,7 +135,6 @@
 
         :param expected_ms_by_service: prior 99th percentile latency of each
             service in isolation, in milliseconds.
-        :param mechanisms: enabled parts of the policy.
         """
         self._prior_mean_by_service = {
             service: math.log(expected_ms)
@@ -156,8 +148,6 @@
     def isolated(self, server_id: str, service: str, load: float) -> Term:
         """Predict the latency of a service without colocated batch work.
 
-        :param server_id: name of the server.
-        :param service: name of the service.
         :param load: share of busy slots, 0 to 1.
         :returns: logarithm of the 99th percentile latency in milliseconds.
         """
@@ -168,8 +158,6 @@
     def effect(self, service: str, kind: str, load: float) -> Term:
         """Predict the effect of one CPU unit of a batch kind on a service.
 
-        :param service: name of the service.
-        :param kind: batch kind.
         :param load: share of busy slots, 0 to 1.
         :returns: increase of the logarithm of the 99th percentile latency.
         """
--- a/waxwingford/colocation/_priors.py
+++ b/waxwingford/colocation/_priors.py
@@ -11,8 +11,6 @@
 class Prior(NamedTuple):
     """Prior of one estimate of a log latency.
 
-    :ivar mean: prior mean.
-    :ivar variance: prior variance.
     :ivar process_noise: variance added with each sample.
     """
 
--- a/waxwingford/colocation/_samples.py
+++ b/waxwingford/colocation/_samples.py
@@ -48,7 +48,6 @@
 ) -> dict[str, float] | None:
     """Sum the CPU use of each batch kind in a window.
 
-    :param sample: usage sample.
     :param kind_by_task_id: batch kinds by task ID.
     :returns: CPU units by kind, or None if the kind of a task is unknown.
     """
@@ -70,7 +69,6 @@
     """
 
     def __init__(self) -> None:
-        """Start with an empty buffer."""
         self._sample_by_server: dict[str, _BufferedSample] = {}
 
     def add(
@@ -81,8 +79,6 @@
     ) -> Observation | None:
         """Add a sample and return the previous one.
 
-        :param server_id: server on which the sample was taken.
-        :param sample: usage sample.
         :param kind_by_task_id: batch kinds by task ID.
         :returns: previous sample of the server, with a lower weight if its
             tasks differ from those of the sample before or after it; None if
--- a/waxwingford/colocation/_scoring.py
+++ b/waxwingford/colocation/_scoring.py
@@ -44,9 +44,7 @@
     ) -> None:
         """Start a pass.
 
-        :param predictor: predictor of this pass.
         :param predictions: predictions for the servers that accept new work.
-        :param rng: random number generator.
         """
         self._predictor = predictor
         self._rng = rng
@@ -60,7 +58,6 @@
     def place(self, task: PendingTask) -> Placement | None:
         """Choose the best server that stays within its placement threshold.
 
-        :param task: pending task.
         :returns: placement decision, or None if there is no such server.
         """
         candidates = [
--- a/waxwingford/colocation/_state.py
+++ b/waxwingford/colocation/_state.py
@@ -73,10 +73,7 @@
             self.prediction = None
 
     def update_running(self, server: ServerView) -> None:
-        """Update the running attempts and drop the state of ended ones.
-
-        :param server: view of the server.
-        """
+        """Update the running attempts and drop the state of ended ones."""
         signature = [(task.key, task.throttled) for task in server.running]
         if signature == self.signature:
             return
@@ -91,7 +88,6 @@
     def cpu_percent(self, task: RunningTask) -> int:
         """Return the share of its CPU that a task may use.
 
-        :param task: running task.
         :returns: percent, 100 without a throttle.
         """
         if not task.throttled:
@@ -109,7 +105,6 @@
 class Interference(NamedTuple):
     """Predicted interference of a task with the colocated service.
 
-    :ivar task: running task.
     :ivar cpu_percent: percent of its CPU that the task may use.
     :ivar unthrottled: increase of the log 99th percentile latency without a
         throttle.
@@ -132,9 +127,6 @@
 class Prediction:
     """Predicted latency of the service on a server.
 
-    :ivar server: view of the server.
-    :ivar state: state of the server.
-    :ivar thresholds: thresholds of its service.
     :ivar load: share of busy slots assumed by the prediction, 0 to 1.
     :ivar isolated: log latency of the service without batch work.
     :ivar interferences: interference of each running task, including those
@@ -161,11 +153,6 @@
     def __init__(
         self, model: InterferenceModel, utilization: UtilizationTracker
     ) -> None:
-        """Create a predictor with an empty cache.
-
-        :param model: interference model.
-        :param utilization: CPU utilization by batch kind.
-        """
         self._model = model
         self.utilization = utilization
         self._term_by_key: dict[tuple[str, str, int], Term] = {}
@@ -173,8 +160,6 @@
     def effect(self, service: str, kind: str, load: float) -> Term:
         """Predict the effect of a batch kind at the load, rounded to a step.
 
-        :param service: name of the service.
-        :param kind: batch kind.
         :param load: share of busy slots, 0 to 1.
         :returns: effect of one CPU unit on the log latency.
         """
@@ -192,13 +177,7 @@
         state: ServerState,
         thresholds: Thresholds,
     ) -> Prediction:
-        """Predict the latency with the tasks that run on a server.
-
-        :param server: view of the server.
-        :param state: state of the server.
-        :param thresholds: thresholds of its service.
-        :returns: prediction.
-        """
+        """Predict the latency with the tasks that run on a server."""
         load = server.busy_share if state.load is None else state.load
         isolated = self._model.isolated(server.server_id, server.service, load)
         interferences = tuple(self._interferences(server, state, load))
--- a/waxwingford/colocation/_utilization.py
+++ b/waxwingford/colocation/_utilization.py
@@ -29,9 +29,7 @@
     ) -> None:
         """Update the average with one task in one window.
 
-        :param kind: batch kind.
         :param used: mean resources used in the window.
-        :param allocated: resources allocated to the task.
         :param cpu_percent: share of its CPU that the task was allowed to use in
             the window.
         """
@@ -47,8 +45,6 @@
     def expected_units(self, kind: str, allocated: Resources) -> float:
         """Predict the CPU use of a task that is not throttled.
 
-        :param kind: batch kind.
-        :param allocated: resources allocated to the task.
         :returns: CPU units of the interference model.
         """
         return cpu_units(allocated) * self._utilization_by_kind.get(kind, 1)
