--- a/waxwingford/colocation/_escalation.py
+++ b/waxwingford/colocation/_escalation.py
@@ -71,7 +71,6 @@
     ) -> list[Reaction]:
         """Choose the reactions for a server and record them in its state.
 
-        :param predictor: predictor of this pass.
         :param now_ms: monotonic time, in milliseconds.
         """
         stops = list(_overdue_stops(prediction, now_ms))
--- a/waxwingford/records/_fold.py
+++ b/waxwingford/records/_fold.py
@@ -50,7 +50,6 @@
     :ivar next_offset: offset of the next entry to apply.
     :ivar jobs_by_id: unfinished jobs by id.
     :ivar finished: bounded history of finished jobs.
-    :ivar index: indexes of pending and claimed tasks.
     :ivar failing_by_server: failed attempts per server since the last attempt
         that was done there.
     :ivar snapshot_offset: first offset not covered by the latest snapshot.
@@ -83,7 +82,6 @@
     def claimed(self, key: AttemptKey, server_id: str) -> TaskState | None:
         """Look up the task of an attempt that is claimed on a server.
 
-        :param key: identifier of the attempt.
         :returns: the task; None if the attempt has ended or is not claimed on
             this server.
         """
--- a/waxwingford/records/_index.py
+++ b/waxwingford/records/_index.py
@@ -63,10 +63,7 @@
             self._add_usage(task.job.spec, task.resources)
 
     def remove(self, task: TaskState) -> None:
-        """Remove a task; must be called before its stage changes.
-
-        :param task: task to remove.
-        """
+        """Remove a task; must be called before its stage changes."""
         if task.stage == TaskStage.pending:
             self.pending_by_id.pop(task.task_id, None)
         elif task.stage == TaskStage.claimed:
--- a/waxwingford/records/_messages.py
+++ b/waxwingford/records/_messages.py
@@ -117,7 +117,6 @@
 
     Applies only to attempts of jobs with a ``lost_after_ms``.
 
-    :ivar keys: identifiers of the suspected attempts.
     :ivar by: ``<daemon>#<incarnation>`` that suspects them.
     """
 
--- a/waxwingford/records/_state.py
+++ b/waxwingford/records/_state.py
@@ -86,7 +86,6 @@
     """An accepted, unfinished job.
 
     :ivar accepted_offset: offset of the record that accepted it.
-    :ivar cancelled: whether its member has cancelled it.
     :ivar open_count: number of tasks that are not in a terminal stage.
     :ivar tasks: tasks in the order of their indices.
     """
@@ -102,7 +101,6 @@
 class FinishedJob:
     """Summary of a finished job.
 
-    :ivar member: member that owns the job.
     :ivar done: number of tasks that completed.
     :ivar failed: number of tasks that failed.
     :ivar cancelled: number of tasks that were cancelled.
