--- a/waxwingford/placement/_quarantine.py
+++ b/waxwingford/placement/_quarantine.py
@@ -53,6 +53,7 @@
     """Outcomes of the tasks of one job.
 
     :ivar failed_on: servers on which at least one task failed.
+    :ivar has_succeeded: whether any task has succeeded.
     """
 
     failed_on: set[str] = dataclasses.field(default_factory=set)
