--- a/waxwingford/entry/_bodies.py
+++ b/waxwingford/entry/_bodies.py
@@ -16,7 +16,6 @@
     """The request body is invalid; the request was not run.
 
     :ivar reason: human-readable explanation.
-    :ivar status: HTTP status.
     """
 
     reason: str
--- a/waxwingford/entry/_headers.py
+++ b/waxwingford/entry/_headers.py
@@ -63,12 +63,10 @@
         """Build the request for the dispatcher.
 
         :param request_id: unique ID of the request.
-        :param service: service name.
         :param path: path below the service, including the query string.
         :param body: complete body.
         :param elapsed_ms: time since the request arrived, in milliseconds;
             subtracted from the deadline and added to the age.
-        :returns: the request.
         """
         return Request(
             request_id=request_id,
@@ -100,7 +98,6 @@
 ) -> CallerHeaders | InvalidHeader:
     """Parse and validate the headers of a request.
 
-    :param request: request of a caller.
     :param limits: default and maximum deadline.
     :returns: the parsed values, or the first error.
     """
--- a/waxwingford/entry/_job_service.py
+++ b/waxwingford/entry/_job_service.py
@@ -17,26 +17,19 @@
     """Manages jobs; a member has access to its own jobs only."""
 
     async def submit(self, job: JobSpec) -> SubmissionOutcome:
-        """Submit a job; repeated submissions have the same outcome.
-
-        :param job: specification of the job.
-        :returns: tagged outcome.
-        """
+        """Submit a job; repeated submissions have the same outcome."""
         ...
 
     async def cancel(self, job_id: str, member: str) -> SubmissionOutcome:
         """Cancel a job.
 
-        :param job_id: ID of the job.
         :param member: member that signed the request.
-        :returns: tagged outcome.
         """
         ...
 
     def evict(self, task_id: str) -> bool:
         """Request the eviction of a task.
 
-        :param task_id: ID of the task.
         :returns: whether the eviction was requested; False if the task does
             not run on a backend server whose lease this daemon holds.
         """
@@ -45,7 +38,6 @@
     def jobs(self, member: str) -> list[JobView]:
         """List the jobs of a member.
 
-        :param member: owner of the jobs.
         :returns: views of the jobs, without individual tasks.
         """
         ...
@@ -53,7 +45,6 @@
     def job(self, job_id: str, member: str) -> JobView | None:
         """Look up a job.
 
-        :param job_id: ID of the job.
         :param member: member that signed the request.
         :returns: view of the job; None if the member has no such job.
         """
--- a/waxwingford/entry/_jobs.py
+++ b/waxwingford/entry/_jobs.py
@@ -38,8 +38,6 @@
 class JobRoutesConfig(NamedTuple):
     """Dependencies of the job routes.
 
-    :ivar dispatcher: service that manages the jobs.
-    :ivar verify: verifies the signature of a request.
     :ivar clock: source of the submission time.
     :ivar limits: limits on bodies and response time.
     """
@@ -60,7 +58,6 @@
 def job_routes(entry: JobRoutesConfig) -> list[web.RouteDef]:
     """Build the job routes.
 
-    :param entry: dependencies of the routes.
     :returns: routes for ``aiohttp.web.Application.add_routes``.
     """
     routes = _JobRoutes(entry)
@@ -212,11 +209,7 @@
 
 
 def _to_builtins(payload: Any) -> Any:
-    """Convert named tuples to dicts, so that JSON keeps the field names.
-
-    :param payload: views of jobs.
-    :returns: the same data as dicts and lists.
-    """
+    """Convert named tuples to dicts, so that JSON keeps the field names."""
     if isinstance(payload, tuple) and hasattr(payload, '_asdict'):
         return {
             name: _to_builtins(item) for name, item in payload._asdict().items()
--- a/waxwingford/entry/_responses.py
+++ b/waxwingford/entry/_responses.py
@@ -39,9 +39,7 @@
 def build_response(outcome: Outcome, request_id: str) -> web.Response:
     """Convert the outcome of a service request to an HTTP response.
 
-    :param outcome: outcome from the dispatcher.
     :param request_id: ID of the request, returned in a header.
-    :returns: the response.
     """
     response = _response_for(outcome)
     response.headers[REQUEST_ID_HEADER] = request_id
@@ -76,8 +74,6 @@
 def outcome_response(status: int, payload: OutcomeBody) -> web.Response:
     """Build a response that does not come from a backend server.
 
-    :param status: HTTP status.
-    :param payload: outcome, reason and retry delay.
     :returns: the response, with the outcome and retry headers.
     """
     headers = {OUTCOME_HEADER: payload.outcome}
@@ -102,7 +98,6 @@
     connection indefinitely.  After an orderly close a truncated response could
     pass for a complete one; after a reset it cannot.
 
-    :param request: request that is answered.
     :param response: response with a known length.
     :param timeout_ms: time limit for the write, in milliseconds.
     :returns: the same response, whether or not all of it was sent.
@@ -139,7 +134,6 @@
     Data in the kernel's send buffer is not covered by the write timeout.
     Without a limit of its own such a connection stays open for many minutes.
 
-    :param transport: transport of the connection.
     :param limit_ms: time that sent data may remain unacknowledged, in
         milliseconds.
     """
--- a/waxwingford/entry/_services.py
+++ b/waxwingford/entry/_services.py
@@ -30,11 +30,7 @@
     """Serves requests, as ``routing.RequestDispatcher`` does."""
 
     async def handle(self, request: Request) -> Outcome:
-        """Serve, forward or refuse a request.
-
-        :param request: request of a caller.
-        :returns: tagged outcome.
-        """
+        """Serve, forward or refuse a request."""
         ...
 
 
@@ -44,7 +40,6 @@
     :ivar daemon_id: ID of this daemon, the first part of request IDs.
     :ivar incarnation: incarnation of this process, the second part of request
         IDs.
-    :ivar dispatcher: serves the requests.
     :ivar clock: source of monotonic time.
     :ivar members_by_service: returns the members that may use each service
         under the bundle in force; empty without a bundle.
@@ -65,7 +60,6 @@
 def service_routes(entry: ServiceRoutesConfig) -> list[web.RouteDef]:
     """Build the service routes.
 
-    :param entry: dependencies of the routes.
     :returns: routes for ``aiohttp.web.Application.add_routes``.
     """
     routes = _ServiceRoutes(entry)
--- a/waxwingford/entry/_site.py
+++ b/waxwingford/entry/_site.py
@@ -39,7 +39,6 @@
     def __init__(self, app: web.Application, limits: HttpLimits) -> None:
         """Initialize without listening.
 
-        :param app: application to serve.
         :param limits: limits on connections, headers and idle time.
         """
         self.port = 0
--- a/waxwingford/entry/_submissions.py
+++ b/waxwingford/entry/_submissions.py
@@ -48,7 +48,6 @@
     :ivar job_id: ID in the form ``<member>.<name>``.
     :ivar member: owner of the job; must be the member that signed.
     :ivar team: team of the member.
-    :ivar kind: batch kind.
     :ivar task_count: number of tasks.
     :ivar resources: resources of each task, as an object or as an array of
         the three numbers in the order of its fields.
