--- a/waxwingford/adapters/_http_directory.py
+++ b/waxwingford/adapters/_http_directory.py
@@ -29,10 +29,7 @@
         self._session = HttpSession(_MAX_CONNECTIONS)
 
     async def read(self) -> VmList | VmListUnavailable:
-        """Read the VM list.
-
-        :returns: the list, or the reason why it is unavailable.
-        """
+        """Read the VM list."""
         exchange = await self._session.exchange(
             'GET', self._url, self._timeout_ms
         )
--- a/waxwingford/adapters/_http_log.py
+++ b/waxwingford/adapters/_http_log.py
@@ -48,7 +48,6 @@
     async def append(self, stream: str, payload: bytes) -> AppendOutcome:
         """Append one entry.
 
-        :param stream: stream name.
         :param payload: payload of at most 1 MiB.
         :returns: appended, refused (nothing was appended) or unknown.
         """
@@ -77,12 +76,10 @@
     ) -> ReadOutcome:
         """Read entries in ascending order of offset.
 
-        :param stream: stream name.
         :param from_offset: first offset to read.
         :param limit: maximum number of entries.
         :param wait_ms: time for which the log may wait for new entries before
             it responds, in milliseconds.
-        :returns: the entries, or the reason why the log is unavailable.
         """
         query = urlencode(
             {
--- a/waxwingford/adapters/_http_platform.py
+++ b/waxwingford/adapters/_http_platform.py
@@ -14,7 +14,6 @@
 
         :param url: base URL.
         :param timeout_ms: timeout of each call, in milliseconds.
-        :returns: adapter of the log.
         """
         return HttpLog(url, timeout_ms)
 
@@ -23,15 +22,11 @@
 
         :param url: base URL.
         :param timeout_ms: timeout of each call, in milliseconds.
-        :returns: adapter of the VM list.
         """
         return HttpDirectory(url, timeout_ms)
 
     def open_servers(self) -> HttpServers:
-        """Open the client of the backend servers.
-
-        :returns: adapter of the backend servers.
-        """
+        """Open the client of the backend servers."""
         return HttpServers()
 
 
--- a/waxwingford/adapters/_http_servers.py
+++ b/waxwingford/adapters/_http_servers.py
@@ -49,10 +49,7 @@
 
 
 class HttpServers:
-    """Client of the backend servers.
-
-    :ivar discarded_responses: counts of discarded responses.
-    """
+    """Client of the backend servers."""
 
     def __init__(
         self, connections_per_server: int = _MAX_CONNECTIONS_PER_SERVER
@@ -75,7 +72,6 @@
         """Send a batched control request.
 
         :param host: IP address.
-        :param port: TCP port.
         :param request: lease renewals and commands.
         :param timeout_ms: timeout of the exchange, in milliseconds.
         :returns: granted, denied or unknown.
@@ -104,8 +100,6 @@
         """Send a service request, with its deadline as the timeout.
 
         :param host: IP address.
-        :param port: TCP port.
-        :param call: service request.
         :returns: the server's response, not run, or unknown.
         """
         if _has_dot_segments(call.path):
@@ -141,10 +135,6 @@
 
         Keeps a server that mixes up responses from sending data of one tenant
         to another.
-
-        :param call: service request.
-        :param response: response of the server.
-        :returns: tagged outcome.
         """
         request_id = response.headers.get(REQUEST_ID_HEADER, '')
         if request_id != call.request_id:
--- a/waxwingford/adapters/_registry.py
+++ b/waxwingford/adapters/_registry.py
@@ -35,7 +35,6 @@
 
         :param url: base URL.
         :param timeout_ms: timeout of each call, in milliseconds.
-        :returns: adapter of the log.
         """
         ...
 
@@ -44,15 +43,11 @@
 
         :param url: base URL.
         :param timeout_ms: timeout of each call, in milliseconds.
-        :returns: adapter of the VM list.
         """
         ...
 
     def open_servers(self) -> ClosableServers:
-        """Open the client of the backend servers.
-
-        :returns: adapter of the backend servers.
-        """
+        """Open the client of the backend servers."""
         ...
 
 
@@ -61,7 +56,6 @@
 
     :ivar log: append-only log.
     :ivar directory: VM list, which may lag behind the actual state.
-    :ivar servers: client of the backend servers.
     """
 
     log: ClosableLog
--- a/waxwingford/adapters/_sessions.py
+++ b/waxwingford/adapters/_sessions.py
@@ -26,12 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompleteResponse:
-    """Response that was received completely.
-
-    :ivar status: HTTP status.
-    :ivar headers: response headers.
-    :ivar body: complete body.
-    """
+    """Response that was received completely."""
 
     status: int
     headers: Any
@@ -108,8 +103,6 @@
         :param method: HTTP method; a ``POST`` is never resent.
         :param url: full URL.
         :param timeout_ms: total timeout, in milliseconds.
-        :param body: request body.
-        :param headers: request headers.
         :returns: complete response, not sent, or no complete response.
         """
         progress = SimpleNamespace(connected=False, response_started=False)
--- a/waxwingford/adapters/_wire.py
+++ b/waxwingford/adapters/_wire.py
@@ -81,7 +81,6 @@
 def encode_control_request(request: ControlRequest) -> bytes:
     """Encode a control request.
 
-    :param request: control request.
     :returns: JSON encoding.
     """
     return encode_json(
@@ -104,7 +103,6 @@
     """Decode a control request.
 
     :param body: JSON encoding.
-    :returns: control request.
     :raises msgspec.DecodeError: if the body is not a valid control request.
     """
     message = _request_decoder.decode(body)
@@ -125,7 +123,6 @@
 def encode_control_reply(reply: ControlGranted | ControlDenied) -> bytes:
     """Encode the server's reply to a control request.
 
-    :param reply: granted or denied.
     :returns: JSON encoding.
     """
     match reply:
@@ -139,7 +136,6 @@
     """Decode the server's reply to a control request.
 
     :param body: JSON encoding.
-    :returns: granted or denied.
     :raises msgspec.DecodeError: if the body is not a valid reply.
     """
     message = _reply_decoder.decode(body)
@@ -152,7 +148,6 @@
 def encode_log_read(entries: LogRead) -> bytes:
     """Encode entries of a stream.
 
-    :param entries: result of a log read.
     :returns: msgpack encoding, with payloads as bytes.
     """
     return _msgpack_encoder.encode(entries)
@@ -162,7 +157,6 @@
     """Decode entries of a stream.
 
     :param body: msgpack encoding.
-    :returns: result of a log read.
     :raises msgspec.DecodeError: if the body is not a valid log read.
     """
     return _log_read_decoder.decode(body)
@@ -172,7 +166,6 @@
     """Decode the VM list.
 
     :param body: JSON encoding.
-    :returns: VM list.
     :raises msgspec.DecodeError: if the body is not a valid VM list.
     """
     return _vm_list_decoder.decode(body)
@@ -182,7 +175,6 @@
     """Decode one VM, as sent in a heartbeat.
 
     :param body: JSON encoding.
-    :returns: VM.
     :raises msgspec.DecodeError: if the body is not a valid VM.
     """
     return _vm_decoder.decode(body)
