--- a/waxwingford/kernel/_invariants.py
+++ b/waxwingford/kernel/_invariants.py
@@ -27,15 +27,11 @@
 
 
 class InvariantViolation(Exception):
-    """An invariant was violated; the process must stop.
-
-    :ivar invariant: the violated invariant.
-    """
+    """An invariant was violated; the process must stop."""
 
     def __init__(self, invariant: Invariant, detail: str) -> None:
         """Initialize the message from the invariant and the detail.
 
-        :param invariant: the violated invariant.
         :param detail: IDs and values that show the violation.
         """
         super().__init__(f'{invariant.name}: {detail}')
@@ -57,7 +53,6 @@
     """Check an invariant, and notify the listeners of a violation.
 
     :param holds: whether the invariant holds.
-    :param invariant: the checked invariant.
     :param detail: IDs and values that show the violation.
     :raises InvariantViolation: if the invariant does not hold.
     """
--- a/waxwingford/kernel/_mailbox.py
+++ b/waxwingford/kernel/_mailbox.py
@@ -34,11 +34,7 @@
         self._queue: asyncio.Queue[Message] = asyncio.Queue(capacity)
 
     def post(self, message: Message) -> Posted | MailboxFull:
-        """Queue a message without waiting.
-
-        :param message: message to queue.
-        :returns: posted, or mailbox full.
-        """
+        """Queue a message without waiting."""
         try:
             self._queue.put_nowait(message)
         except asyncio.QueueFull:
@@ -46,10 +42,7 @@
         return Posted()
 
     async def take(self) -> Message:
-        """Remove the oldest message, waiting if the mailbox is empty.
-
-        :returns: the oldest message.
-        """
+        """Remove the oldest message, waiting if the mailbox is empty."""
         return await self._queue.get()
 
     def take_all(self) -> list[Message]:
@@ -60,8 +53,5 @@
         return [self._queue.get_nowait() for _ in range(self._queue.qsize())]
 
     def __len__(self) -> int:
-        """Count the queued messages.
-
-        :returns: number of messages.
-        """
+        """Count the queued messages."""
         return self._queue.qsize()
--- a/waxwingford/kernel/_registry.py
+++ b/waxwingford/kernel/_registry.py
@@ -42,8 +42,6 @@
     def get(self, name: str) -> Plugin:
         """Look up a plug-in.
 
-        :param name: registered name.
-        :returns: the plug-in.
         :raises UnknownPlugin: if the name is not registered; the message lists
             the registered names.
         """
