--- a/waxwingford/commands/_bundle_files.py
+++ b/waxwingford/commands/_bundle_files.py
@@ -15,10 +15,7 @@
 
 
 def add_source_argument(parser: ArgumentParser) -> None:
-    """Add the bundle source as a positional argument.
-
-    :param parser: parser of a bundle command.
-    """
+    """Add the bundle source as a positional argument."""
     parser.add_argument('file', metavar='FILE.toml', help='bundle source')
 
 
@@ -39,7 +36,6 @@
 def source_digest(bundle: Bundle) -> str:
     """Compute the digest of a bundle's canonical form.
 
-    :param bundle: validated bundle.
     :returns: hexadecimal digest that members sign.
     """
     return compute_digest(canonical_bytes(bundle_body(bundle)))
@@ -48,7 +44,6 @@
 def load_source(args: Namespace) -> Bundle | None:
     """Load the bundle source named on the command line.
 
-    :param args: parsed arguments.
     :returns: the bundle, or None after its problems were printed.
     """
     return load_source_file(args.file)
--- a/waxwingford/commands/_fleet.py
+++ b/waxwingford/commands/_fleet.py
@@ -41,10 +41,7 @@
 
 
 def add_fleet_options(parser: ArgumentParser) -> None:
-    """Add the options that name the daemons and the log.
-
-    :param parser: parser of a command that connects to daemons or the log.
-    """
+    """Add the options that name the daemons and the log."""
     parser.add_argument('--fleet', metavar='FILE', help='fleet file, TOML')
     parser.add_argument(
         '--daemons',
@@ -61,7 +58,6 @@
 def load_fleet(args: Namespace) -> Fleet | ExitCode:
     """Load the fleet file and apply the options that override it.
 
-    :param args: parsed arguments.
     :returns: the fleet, or the exit code after problems were printed.
     """
     fleet = Fleet()
@@ -82,7 +78,6 @@
 def require_fields(fleet: Fleet, *keys: str) -> bool:
     """Check that a fleet has the fields a command needs, or print an error.
 
-    :param fleet: the fleet.
     :param keys: names of the fields that must not be empty.
     :returns: whether all of them are set.
     """
--- a/waxwingford/commands/_http.py
+++ b/waxwingford/commands/_http.py
@@ -18,8 +18,6 @@
 class HttpResponse:
     """Response of a daemon.
 
-    :ivar status: HTTP status.
-    :ivar body: complete body.
     :ivar retry_after: header ``Retry-After``, empty if absent.
     """
 
@@ -63,10 +61,7 @@
 
     :param fleet: fleet that the daemon belongs to, for its CA certificate.
     :param address: address of the daemon as ``ADDRESS:PORT``.
-    :param method: HTTP method.
     :param path: path with query.
-    :param body: complete body.
-    :param headers: additional headers.
     :returns: the response, or how the request failed.
     """
     scheme = 'https' if fleet.authority_file else 'http'
@@ -107,7 +102,6 @@
     :param addresses: addresses of the daemons as ``ADDRESS:PORT``.
     :param path: path with query.
     :param sign: makes the headers of one request; none by default.
-    :returns: outcome by address.
     """
 
     async def _gather_responses() -> list[HttpOutcome]:
--- a/waxwingford/commands/_keys.py
+++ b/waxwingford/commands/_keys.py
@@ -12,8 +12,6 @@
 def create_private_file(path: pathlib.Path, content: bytes) -> bool:
     """Create a file that only its owner can read, unless it exists.
 
-    :param path: file to create.
-    :param content: content of the file.
     :returns: False if the file exists; it is not overwritten.
     """
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
@@ -30,7 +28,6 @@
     """Encode a private key as unencrypted PEM in PKCS #8 format.
 
     :param key: Ed25519 or elliptic curve private key.
-    :returns: the PEM text.
     """
     return key.private_bytes(
         serialization.Encoding.PEM,
--- a/waxwingford/commands/_output.py
+++ b/waxwingford/commands/_output.py
@@ -13,10 +13,7 @@
 
 
 def add_json_option(parser: ArgumentParser) -> None:
-    """Add the option ``--json``.
-
-    :param parser: parser of a command that prints results.
-    """
+    """Add the option ``--json``."""
     parser.add_argument(
         '--json', action='store_true', help='print JSON instead of text'
     )
@@ -46,7 +43,6 @@
     """Format rows as a table with aligned columns.
 
     :param head: column headings.
-    :param rows: cells of each row.
     :returns: the table, one line per row.
     """
     lines = [tuple(head), *(tuple(map(str, row)) for row in rows)]
--- a/waxwingford/commands/_signatures.py
+++ b/waxwingford/commands/_signatures.py
@@ -8,7 +8,6 @@
 class SignOff(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Signatures over a bundle.
 
-    :ivar version: version of the bundle.
     :ivar digest: hexadecimal digest of the bundle.
     :ivar signature_by_member: signature over the digest by member.
     """
@@ -38,7 +37,6 @@
     """Write a signature file, replacing an existing one.
 
     :param path: JSON file.
-    :param sign_off: signatures to write.
     """
     text = msgspec.json.format(msgspec.json.encode(sign_off)).decode()
     pathlib.Path(path).write_text(f'{text}\n')
--- a/waxwingford/commands/_signed.py
+++ b/waxwingford/commands/_signed.py
@@ -33,10 +33,7 @@
 
 
 def add_signer_options(parser: ArgumentParser) -> None:
-    """Add the options that name the signing member and its key.
-
-    :param parser: parser of a command that sends signed requests.
-    """
+    """Add the options that name the signing member and its key."""
     parser.add_argument('--member', required=True, help='member that signs')
     parser.add_argument(
         '--key', required=True, help="file of the member's private key"
@@ -55,8 +52,6 @@
     says that the request was not executed, so that it never runs twice.
 
     :param args: parsed arguments with the fleet, member and key options.
-    :param path: path of the request.
-    :param body: body of the request.
     :param next_status: HTTP status, besides 503, after which the next daemon
         is tried.
     :returns: exit code, after the outcome was printed.
@@ -78,7 +73,6 @@
     All are queried since a job is known in one failure domain only.
 
     :param args: parsed arguments with the fleet, member and key options.
-    :param path: path of the request.
     :returns: decoded bodies of the responses with status 200; or the exit
         code, after errors were printed, if there are errors only.
     """
--- a/waxwingford/commands/main.py
+++ b/waxwingford/commands/main.py
@@ -25,10 +25,7 @@
 
 
 def build_parser() -> ArgumentParser:
-    """Build the parser of all registered commands.
-
-    :returns: parser of the whole command line.
-    """
+    """Build the parser of all registered commands."""
     load_plugins(f'waxwingford.commands.{name}' for name in _MODULES)
     parser = ArgumentParser(prog='waxwingford', epilog=_EPILOG)
     top = parser.add_subparsers(required=True, metavar='COMMAND')
