--- a/waxwingford/daemon/_application.py
+++ b/waxwingford/daemon/_application.py
@@ -23,7 +23,6 @@
 ) -> web.Application:
     """Create the application with all routes.
 
-    :param components: components of the daemon.
     :param request_stop: callback that starts a planned stop.
     :returns: the application, not yet serving.
     """
@@ -39,11 +38,7 @@
 
 
 def entry_limits(settings: Settings) -> HttpLimits:
-    """Extract the limits of the HTTP entry.
-
-    :param settings: settings of the daemon.
-    :returns: limits on size, connections and deadlines.
-    """
+    """Extract the limits of the HTTP entry."""
     return HttpLimits(
         body_bytes=settings.limits.body_bytes,
         header_bytes=settings.limits.header_bytes,
--- a/waxwingford/daemon/_assembly.py
+++ b/waxwingford/daemon/_assembly.py
@@ -37,7 +37,6 @@
     """Create and connect all components without starting them.
 
     :param settings: validated settings.
-    :returns: the components.
     """
     load_plugins(PLUGINS)
     incarnation = secrets.token_hex(_INCARNATION_BYTES)
--- a/waxwingford/daemon/_bundle_settings.py
+++ b/waxwingford/daemon/_bundle_settings.py
@@ -12,7 +12,6 @@
 def bundle_settings(bundle: Bundle) -> BundleSettings:
     """Extract the settings for batch scheduling.
 
-    :param bundle: bundle in force.
     :returns: quotas, policy weights, reserved resources and the policy name.
     """
     return BundleSettings(
@@ -43,11 +42,7 @@
 
 
 def service_limits(bundle: Bundle) -> Mapping[str, ServiceLimits]:
-    """Extract the limits for request routing.
-
-    :param bundle: bundle in force.
-    :returns: limits by service.
-    """
+    """Extract the limits for request routing."""
     weight_by_member = {
         name: member.share for name, member in bundle.members.items()
     }
@@ -66,7 +61,6 @@
 def members_by_service(bundle: Bundle) -> dict[str, frozenset[str]]:
     """List the members that may call each service.
 
-    :param bundle: bundle in force.
     :returns: by service, its owner and all members with a concurrency limit.
     """
     return {
--- a/waxwingford/daemon/_components.py
+++ b/waxwingford/daemon/_components.py
@@ -27,18 +27,13 @@
 class Components:
     """All components of one daemon.
 
-    :ivar settings: validated settings.
     :ivar incarnation: random id of this run of the process.
     :ivar clock: monotonic and wall clock of the VM.
-    :ivar lifecycle: lifecycle and readiness.
     :ivar metrics: counters, gauges and histograms.
     :ivar timeline: ring buffer of events.
     :ivar platform: clients of the log, the VM list and the backend servers.
     :ivar links: connections to peers.
     :ivar membership: latest heartbeats of the peers.
-    :ivar batch: batch task.
-    :ivar dispatcher: request dispatcher.
-    :ivar reader: bundle reader.
     :ivar nonces: nonces of signed requests, for replay protection.
     """
 
@@ -57,10 +52,7 @@
     nonces: NonceCache
 
     def own_heartbeat(self) -> PeerHeartbeat:
-        """Make this daemon's heartbeat.
-
-        :returns: heartbeat with the current state of the daemon.
-        """
+        """Make this daemon's heartbeat."""
         current = self.reader.current
         return PeerHeartbeat(
             daemon_id=self.settings.identity.daemon_id,
@@ -73,20 +65,13 @@
         )
 
     def exchange_heartbeats(self, heartbeat: PeerHeartbeat) -> PeerHeartbeat:
-        """Process a peer's heartbeat and respond with this daemon's.
-
-        :param heartbeat: heartbeat of the peer.
-        :returns: heartbeat of this daemon.
-        """
+        """Process a peer's heartbeat and respond with this daemon's."""
         self.membership.record_heartbeat(heartbeat, self.clock.monotonic_ms())
         self.handle_heartbeat(heartbeat)
         return self.own_heartbeat()
 
     def handle_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
-        """Process the released servers in a peer's heartbeat.
-
-        :param heartbeat: heartbeat of the peer.
-        """
+        """Process the released servers in a peer's heartbeat."""
         if heartbeat.released:
             # The peer may be draining: exclude it before its servers are
             # assigned.
@@ -128,8 +113,6 @@
     ) -> Verified | Unverified:
         """Verify the signature of an operator's request.
 
-        :param headers: headers of the request.
-        :param method: HTTP method.
         :param path: path with query.
         :param body: complete body.
         :returns: the member that signed, or why verification failed.
@@ -148,7 +131,6 @@
 def own_address(settings: Settings) -> PeerAddress:
     """Return the address at which peers reach this daemon.
 
-    :param settings: settings of this daemon.
     :returns: address and failure domain of this daemon.
     """
     return PeerAddress(
--- a/waxwingford/daemon/_daemon.py
+++ b/waxwingford/daemon/_daemon.py
@@ -31,10 +31,7 @@
     """Runs the tasks and servers of one daemon process."""
 
     def __init__(self, components: Components) -> None:
-        """Create the servers and the heartbeat task without starting them.
-
-        :param components: components of the daemon.
-        """
+        """Create the servers and the heartbeat task without starting them."""
         self._components = components
         self._stop_requested = asyncio.Event()
         self._immediate_stop_requested = asyncio.Event()
--- a/waxwingford/daemon/_heartbeats.py
+++ b/waxwingford/daemon/_heartbeats.py
@@ -56,7 +56,6 @@
         :param membership: membership that this task updates.
         :param targets: peers to exchange heartbeats with.
         :param clock: source of monotonic time.
-        :param hooks: callbacks for heartbeats.
         """
         self._links = links
         self._membership = membership
--- a/waxwingford/daemon/_lifecycle.py
+++ b/waxwingford/daemon/_lifecycle.py
@@ -27,7 +27,6 @@
     stop: Callable[[], bool]
 
     def __init__(self) -> None:
-        """Create a lifecycle in state ``starting`` without checks."""
         self._check_by_component: dict[str, Callable[[], str]] = {}
         Machine(
             model=self,
@@ -45,7 +44,6 @@
     ) -> None:
         """Register a readiness check.
 
-        :param component: name of the checked component.
         :param missing: returns what is missing, empty if ready.
         """
         self._check_by_component[component] = missing
--- a/waxwingford/daemon/_load_sync.py
+++ b/waxwingford/daemon/_load_sync.py
@@ -19,8 +19,6 @@
     checks each lease at dispatch.  Busy shares let batch react to load earlier
     than usage samples.  ``set_servers`` is called even without changes: the
     dispatcher takes a long gap between calls as a stall of the process.
-
-    :param components: components of the daemon.
     """
     busy_by_server: dict[str, float] = {}
     while True:
--- a/waxwingford/daemon/_logging.py
+++ b/waxwingford/daemon/_logging.py
@@ -17,7 +17,6 @@
         """Create a formatter.
 
         :param form: output format, ``json`` or ``text``.
-        :param daemon: daemon id.
         :param incarnation: random id of this run of the process.
         """
         self._form = form
@@ -66,7 +65,6 @@
     """Create the daemon's log handler.
 
     :param settings: output format and log level.
-    :param daemon: daemon id.
     :param incarnation: random id of this run of the process.
     :returns: handler that writes to standard error.
     """
--- a/waxwingford/daemon/_status.py
+++ b/waxwingford/daemon/_status.py
@@ -12,7 +12,6 @@
 def make_status(components: Components) -> Status:
     """Build the current status of the daemon.
 
-    :param components: components of the daemon.
     :returns: response body of ``GET /v1/status``.
     """
     identity = components.settings.identity
@@ -47,10 +46,7 @@
 
 
 def refresh_gauges(components: Components) -> None:
-    """Set the gauges to the current state of the daemon.
-
-    :param components: components of the daemon.
-    """
+    """Set the gauges to the current state of the daemon."""
     now_ms = components.clock.monotonic_ms()
     pending, running = components.batch.task_counts()
     views = components.membership.peer_views(now_ms)
