--- a/waxwingford/timeline/_events.py
+++ b/waxwingford/timeline/_events.py
@@ -14,7 +14,6 @@
 class EventId(NamedTuple):
     """Identity of an event, unique over all processes.
 
-    :ivar daemon: daemon id.
     :ivar incarnation: random id of one run of the process.
     :ivar sequence: sequence number within the incarnation, from 1.
     """
@@ -27,7 +26,6 @@
 class Event(NamedTuple):
     """Event in one process.
 
-    :ivar event_id: identity of the event.
     :ivar monotonic_ms: time on the daemon's monotonic clock, in milliseconds.
     :ivar wall_ms: time on the daemon's wall clock, in milliseconds since the
         epoch.
@@ -60,7 +58,6 @@
     ) -> None:
         """Create an empty ring buffer.
 
-        :param daemon: daemon id.
         :param incarnation: random id of this run of the process.
         :param clock: source of monotonic and wall time.
         :param capacity: maximum number of events kept.
@@ -84,9 +81,6 @@
     ) -> EventId:
         """Record an event.
 
-        :param kind: kind of event.
-        :param subject: affected object.
-        :param detail: human-readable description.
         :param parent: event in another process that caused it, if known.
         :returns: id of the event, for use as the parent of its effects in
             other processes.
--- a/waxwingford/timeline/_merge.py
+++ b/waxwingford/timeline/_merge.py
@@ -17,7 +17,6 @@
 class PlacedEvent(NamedTuple):
     """An event with its position on the common time axis.
 
-    :ivar event: the event.
     :ivar at_ms: milliseconds since the first event; greater than that of its
         cause, if the cause precedes the event in the timeline.
     """
@@ -70,10 +69,7 @@
             yield event
 
     def _next_queue(self) -> deque[Event]:
-        """Choose the process whose event comes next.
-
-        :returns: queue of that process.
-        """
+        """Choose the process whose event comes next."""
         oldest_queue = min(self._queues, key=_head_sort_key)
         ready = (queue for queue in self._queues if self._is_ready(queue[0]))
         next_queue = min(ready, key=_head_sort_key, default=oldest_queue)
