--- a/waxwingford/adapters/_sessions.py
+++ b/waxwingford/adapters/_sessions.py
@@ -103,7 +103,6 @@
         :param method: HTTP method; a ``POST`` is never resent.
         :param url: full URL.
         :param timeout_ms: total timeout, in milliseconds.
-        :returns: complete response, not sent, or no complete response.
         """
         progress = SimpleNamespace(connected=False, response_started=False)
         client = self._open_client()
@@ -172,7 +171,6 @@
     Keeps a body truncated by a failing server from being taken for complete.
 
     :param response: response whose headers have been received.
-    :returns: the complete response, or the reason why there is none.
     """
     length = response.content_length
     chunked = 'chunked' in response.headers.get('Transfer-Encoding', '')
