--- a/waxwingford/kernel/_invariants.py
+++ b/waxwingford/kernel/_invariants.py
@@ -52,7 +52,6 @@
 def check_invariant(holds: bool, invariant: Invariant, detail: str) -> None:
     """Check an invariant, and notify the listeners of a violation.
 
-    :param holds: whether the invariant holds.
     :param detail: IDs and values that show the violation.
     :raises InvariantViolation: if the invariant does not hold.
     """
