--- a/waxwingford/commands/_http.py
+++ b/waxwingford/commands/_http.py
@@ -62,7 +62,6 @@
     :param fleet: fleet that the daemon belongs to, for its CA certificate.
     :param address: address of the daemon as ``ADDRESS:PORT``.
     :param path: path with query.
-    :returns: the response, or how the request failed.
     """
     scheme = 'https' if fleet.authority_file else 'http'
     timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
--- a/waxwingford/commands/_output.py
+++ b/waxwingford/commands/_output.py
@@ -42,7 +42,6 @@
 def format_table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
     """Format rows as a table with aligned columns.
 
-    :param head: column headings.
     :returns: the table, one line per row.
     """
     lines = [tuple(head), *(tuple(map(str, row)) for row in rows)]
--- a/waxwingford/commands/main.py
+++ b/waxwingford/commands/main.py
@@ -54,7 +54,6 @@
     """Parse a command line and run its command.
 
     :param arguments: command line without the program name.
-    :returns: exit code of the command.
     """
     args: Namespace = build_parser().parse_args(arguments)
     command: Command = args.command
