--- a/waxwingford/timeline/_merge.py
+++ b/waxwingford/timeline/_merge.py
@@ -32,7 +32,6 @@
     precede its request.
 
     :param events: events of all processes; duplicates are removed.
-    :returns: events in causal order.
     """
     return list(_CausalMerge(events).events())
 
@@ -69,7 +68,6 @@
             yield event
 
     def _next_queue(self) -> deque[Event]:
-        """Choose the process whose event comes next."""
         oldest_queue = min(self._queues, key=_head_sort_key)
         ready = (queue for queue in self._queues if self._is_ready(queue[0]))
         next_queue = min(ready, key=_head_sort_key, default=oldest_queue)
