--- a/waxwingford/commands/_http.py
+++ b/waxwingford/commands/_http.py
@@ -62,6 +62,7 @@
     :param fleet: fleet that the daemon belongs to, for its CA certificate.
     :param address: address of the daemon as ``ADDRESS:PORT``.
     :param path: path with query.
+    :param headers: additional headers.
     """
     scheme = 'https' if fleet.authority_file else 'http'
     timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
@@ -101,6 +102,7 @@
     :param addresses: addresses of the daemons as ``ADDRESS:PORT``.
     :param path: path with query.
     :param sign: makes the headers of one request; none by default.
+    :returns: outcome by address.
     """
 
     async def _gather_responses() -> list[HttpOutcome]:
