--- a/waxwingford/daemon/_bundle_settings.py
+++ b/waxwingford/daemon/_bundle_settings.py
@@ -42,7 +42,10 @@
 
 
 def service_limits(bundle: Bundle) -> Mapping[str, ServiceLimits]:
-    """Extract the limits for request routing."""
+    """Extract the limits for request routing.
+
+    :returns: limits by service.
+    """
     weight_by_member = {
         name: member.share for name, member in bundle.members.items()
     }
--- a/waxwingford/daemon/_logging.py
+++ b/waxwingford/daemon/_logging.py
@@ -17,6 +17,7 @@
         """Create a formatter.
 
         :param form: output format, ``json`` or ``text``.
+        :param daemon: daemon id.
         :param incarnation: random id of this run of the process.
         """
         self._form = form
@@ -65,6 +66,7 @@
     """Create the daemon's log handler.
 
     :param settings: output format and log level.
+    :param daemon: daemon id.
     :param incarnation: random id of this run of the process.
     :returns: handler that writes to standard error.
     """
