--- a/waxwingford/timeline/_events.py
+++ b/waxwingford/timeline/_events.py
@@ -14,6 +14,7 @@
 class EventId(NamedTuple):
     """Identity of an event, unique over all processes.
 
+    :ivar daemon: daemon id.
     :ivar incarnation: random id of one run of the process.
     :ivar sequence: sequence number within the incarnation, from 1.
     """
@@ -58,6 +59,7 @@
     ) -> None:
         """Create an empty ring buffer.
 
+        :param daemon: daemon id.
         :param incarnation: random id of this run of the process.
         :param clock: source of monotonic and wall time.
         :param capacity: maximum number of events kept.
--- a/waxwingford/timeline/_from_logs.py
+++ b/waxwingford/timeline/_from_logs.py
@@ -67,6 +67,8 @@
     A request is logged when it is answered, often after its effects.  Ordering
     these after it would delay all later events of their process.
 
+    :param fields: fields of the effect's log line.
+    :param cause: fields of the cause's log line.
     :returns: whether the cause was logged later than the effect, by no more
         than its duration.
     """
