--- a/waxwingford/commands/_http.py
+++ b/waxwingford/commands/_http.py
@@ -18,8 +18,6 @@
 class HttpResponse:
     """Response of a daemon.
 
-    :ivar status: HTTP status.
-    :ivar body: complete body.
     :ivar retry_after: header ``Retry-After``, empty if absent.
     """
 
@@ -63,11 +61,8 @@
 
     :param fleet: fleet that the daemon belongs to, for its CA certificate.
     :param address: address of the daemon as ``ADDRESS:PORT``.
-    :param method: HTTP method.
     :param path: path with query.
-    :param body: complete body.
     :param headers: additional headers.
-    :returns: the response, or how the request failed.
     """
     scheme = 'https' if fleet.authority_file else 'http'
     timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
--- a/waxwingford/commands/main.py
+++ b/waxwingford/commands/main.py
@@ -25,10 +25,7 @@
 
 
 def build_parser() -> ArgumentParser:
-    """Build the parser of all registered commands.
-
-    :returns: parser of the whole command line.
-    """
+    """Build the parser of all registered commands."""
     load_plugins(f'waxwingford.commands.{name}' for name in _MODULES)
     parser = ArgumentParser(prog='waxwingford', epilog=_EPILOG)
     top = parser.add_subparsers(required=True, metavar='COMMAND')
@@ -57,7 +54,6 @@
     """Parse a command line and run its command.
 
     :param arguments: command line without the program name.
-    :returns: exit code of the command.
     """
     args: Namespace = build_parser().parse_args(arguments)
     command: Command = args.command
--- a/waxwingford/timeline/_events.py
+++ b/waxwingford/timeline/_events.py
@@ -27,7 +27,6 @@
 class Event(NamedTuple):
     """Event in one process.
 
-    :ivar event_id: identity of the event.
     :ivar monotonic_ms: time on the daemon's monotonic clock, in milliseconds.
     :ivar wall_ms: time on the daemon's wall clock, in milliseconds since the
         epoch.
@@ -84,9 +83,6 @@
     ) -> EventId:
         """Record an event.
 
-        :param kind: kind of event.
-        :param subject: affected object.
-        :param detail: human-readable description.
         :param parent: event in another process that caused it, if known.
         :returns: id of the event, for use as the parent of its effects in
             other processes.
