--- a/waxwingford_standins/audit.py
+++ b/waxwingford_standins/audit.py
@@ -29,7 +29,6 @@
 class FinishedJob(NamedTuple):
     """Task counts of a finished job, as recorded in the log.
 
-    :ivar job_id: id of the job.
     :ivar done: number of completed tasks.
     :ivar failed: number of tasks that failed permanently.
     :ivar cancelled: number of cancelled tasks.
@@ -47,7 +46,6 @@
     """Check that responses agree with what the servers executed.
 
     :param calls: completed calls, as observed by their callers.
-    :param servers: audits of all servers.
     :returns: violated invariants.
     """
     runs_by_key: collections.Counter[str] = collections.Counter()
@@ -69,7 +67,6 @@
 def audit_attempts(servers: Sequence[ServerAudit]) -> list[Finding]:
     """Check that the attempts of a task neither overlap nor lose progress.
 
-    :param servers: audits of all servers.
     :returns: violated invariants.
     """
     runs_by_task: dict[str, list[AttemptRun]] = collections.defaultdict(list)
@@ -88,7 +85,6 @@
 def audit_leaving(servers: Iterable[ServerAudit]) -> list[Finding]:
     """Check that leaving servers received no new work.
 
-    :param servers: audits of all servers.
     :returns: violated invariants.
     """
     return [
@@ -113,7 +109,6 @@
     :param acknowledged: ids of jobs whose submission was acknowledged.
     :param in_log: ids of jobs recorded as accepted in the log.
     :param finished: finished jobs recorded in the log.
-    :param servers: audits of all servers.
     :returns: violated invariants.
     """
     lost = [
@@ -155,7 +150,6 @@
 def _audit_task(task_id: str, runs: list[AttemptRun]) -> Iterator[Finding]:
     """Check all attempts of one task.
 
-    :param task_id: id of the task.
     :param runs: its attempts, ordered by start time.
     :yields: violated invariants.
     """
--- a/waxwingford_standins/backend_host.py
+++ b/waxwingford_standins/backend_host.py
@@ -74,11 +74,6 @@
     """
 
     def __init__(self, core: BackendServerCore, clock: Clock) -> None:
-        """Create the server without listening.
-
-        :param core: state machine of the server.
-        :param clock: monotonic clock.
-        """
         self.core = core
         self.down = False
         self._clock = clock
@@ -196,11 +191,6 @@
         return list(self._runner.server.connections)
 
     def _within_connection_limit(self, request: web.Request) -> bool:
-        """Check whether a connection is within the limit of the server.
-
-        :param request: request received on the connection.
-        :returns: false if the connection exceeds the limit.
-        """
         allowed = self._connections()[: self.core.vm.connections]
         return request.protocol in allowed
 
@@ -239,13 +229,7 @@
 async def _respond_truncated(
     request: web.Request, headers: dict[str, str], body: bytes
 ) -> web.StreamResponse:
-    """Send half of a response and close the connection.
-
-    :param request: request to respond to.
-    :param headers: headers of the complete response.
-    :param body: body of the complete response.
-    :returns: response whose connection is closed.
-    """
+    """Send half of a response and close the connection."""
     response = web.StreamResponse(headers=headers)
     response.content_length = len(body)
     await response.prepare(request)
--- a/waxwingford_standins/backend_main.py
+++ b/waxwingford_standins/backend_main.py
@@ -56,20 +56,12 @@
     """Simulated servers of the process and their admin interface."""
 
     def __init__(self, hosts: list[ServerHost], clock: Clock) -> None:
-        """Create the process without servers listening.
-
-        :param hosts: HTTP servers, one per backend server.
-        :param clock: monotonic clock.
-        """
         self._hosts = hosts
         self._clock = clock
         self._fault_tasks: set[asyncio.Task[None]] = set()
 
     def admin_application(self) -> web.Application:
-        """Create the application of the admin port.
-
-        :returns: web application.
-        """
+        """Create the application of the admin port."""
         app = web.Application()
         app.add_routes(
             (
--- a/waxwingford_standins/backend_server.py
+++ b/waxwingford_standins/backend_server.py
@@ -47,7 +47,6 @@
 class ServerAudit(NamedTuple):
     """Record of what a server executed, across restarts.
 
-    :ivar server_id: id of the server.
     :ivar runs_by_key: number of executions by idempotency key.
     :ivar runs_by_token: number of executions by request token.
     :ivar attempts: all batch attempts.
@@ -85,8 +84,6 @@
     ) -> None:
         """Create a freshly booted server.
 
-        :param vm: description of the VM.
-        :param model: latency model of the service.
         :param seed: seed of the latencies.
         :param first_epoch: initial lease epoch; must exceed every epoch
             granted by an earlier process for this VM.
@@ -112,7 +109,6 @@
     ) -> ControlGranted | ControlDenied:
         """Execute all commands of a control request, or none of them.
 
-        :param request: control request.
         :param now_ms: monotonic time, in milliseconds.
         :returns: results of the commands, or the lease that denied them.
         """
@@ -166,7 +162,6 @@
     ) -> CallStarted | CallRefused:
         """Start a service request if a slot is free.
 
-        :param call: service request.
         :param now_ms: monotonic time, in milliseconds.
         :returns: handle and duration, or the reason of the refusal.
         """
@@ -193,11 +188,7 @@
         self._service.end(number, now_ms)
 
     def answer(self, call: ServiceCall) -> bytes:
-        """Build the response body of a service request.
-
-        :param call: service request.
-        :returns: response body.
-        """
+        """Build the response body of a service request."""
         return self._service.answer(call, self.vm.server_id)
 
     def leave(self, now_ms: int) -> None:
--- a/waxwingford_standins/configs.py
+++ b/waxwingford_standins/configs.py
@@ -77,7 +77,6 @@
     """Generate a signing key for each member.
 
     :param members: names of the members.
-    :returns: private keys by member.
     """
     return {member: Ed25519PrivateKey.generate() for member in members}
 
@@ -95,7 +94,6 @@
     :param deployment: deployment to configure.
     :param layout: addresses of the run.
     :param keys: private keys by member; only the public keys are written.
-    :param options: options of the run.
     :returns: paths of the files.
     """
     directory.mkdir(parents=True, exist_ok=True)
--- a/waxwingford_standins/deployment.py
+++ b/waxwingford_standins/deployment.py
@@ -60,7 +60,6 @@
 class ServicePlan(_StrictModel):
     """Latency model of the latency-critical service.
 
-    :ivar name: name of the service.
     :ivar median_ms: median service time without interference, in
         milliseconds.
     :ivar sigma: standard deviation of the logarithm of the service time.
@@ -118,7 +117,6 @@
     :ivar member: member that owns the jobs.
     :ivar team: team of the owner.
     :ivar kind: batch kind.
-    :ivar jobs: number of jobs.
     :ivar tasks: number of tasks per job.
     :ivar processors_milli: requested CPU per task, in thousandths of a core.
     :ivar memory_mb: requested memory per task, in mebibytes.
@@ -164,7 +162,6 @@
 class Deployment(_StrictModel):
     """Daemons, servers and load of a local run.
 
-    :ivar name: name of the deployment.
     :ivar region: region of all failure domains.
     :ivar seed: seed of the random choices of stand-ins and load.
     :ivar failure_domains: failure domains with their daemons and racks.
--- a/waxwingford_standins/launcher.py
+++ b/waxwingford_standins/launcher.py
@@ -46,8 +46,6 @@
     """Run the deployment until it completes or a signal arrives.
 
     :param local_run: run to start; always stopped on return.
-    :param options: parsed command line.
-    :param log_progress: callback that receives progress messages.
     :returns: exit code.
     """
     load_task = asyncio.ensure_future(
--- a/waxwingford_standins/layout.py
+++ b/waxwingford_standins/layout.py
@@ -21,8 +21,6 @@
 class DaemonPlace(NamedTuple):
     """Address of a daemon.
 
-    :ivar daemon_id: id of the daemon.
-    :ivar failure_domain: failure domain of the daemon.
     :ivar http_port: port for callers and operators.
     :ivar rpc_port: port for peers.
     :ivar scheme: URL scheme, ``https`` if the daemons have certificates.
@@ -48,7 +46,6 @@
 
     :ivar platform_port: port of the platform's log and VM list.
     :ivar backend_admin_port: admin port of the backend server process.
-    :ivar relay_admin_port: admin port of the relay.
     :ivar vms: all backend servers.
     :ivar daemons: addresses of all daemons.
     :ivar links: links of the relay.
@@ -92,7 +89,6 @@
 def allocate_layout(deployment: Deployment, scheme: str = 'http') -> Layout:
     """Allocate the ports of a run.
 
-    :param deployment: deployment to run.
     :param scheme: URL scheme of the daemons.
     :returns: addresses of all processes.
     """
--- a/waxwingford_standins/load.py
+++ b/waxwingford_standins/load.py
@@ -50,7 +50,6 @@
 class AttemptResult(NamedTuple):
     """Result of one attempt of a call.
 
-    :ivar outcome: outcome of the attempt.
     :ivar retry_after_s: delay before the next attempt, in seconds.
     :ivar reason: reason given by the daemon, or type of the client error.
     :ivar daemon_id: daemon that received the attempt.
@@ -115,7 +114,6 @@
         """Create the load generator without sending requests.
 
         :param deployment: callers and network latencies.
-        :param layout: addresses of the daemons.
         :param label: prefix of every token; unique among concurrent loads.
         :param tls: TLS context, or whether to verify certificates.
         """
@@ -249,9 +247,7 @@
     """Classify a response.
 
     :param answer: status and headers of the response.
-    :param body: body of the response.
     :param token: token of the request, which an answer must repeat.
-    :returns: result of the attempt.
     """
     tag = answer.headers.get('Waxwingford-Outcome', '')
     if tag == CallOutcome.answered:
--- a/waxwingford_standins/local_run.py
+++ b/waxwingford_standins/local_run.py
@@ -58,7 +58,6 @@
 class LocalRun:
     """Processes of a deployment and their admin interfaces.
 
-    :ivar deployment: deployment to run.
     :ivar layout: addresses of the processes.
     :ivar key_by_member: private keys of the members.
     :ivar processes: started processes.
@@ -76,10 +75,8 @@
     ) -> None:
         """Allocate ports and write files without starting processes.
 
-        :param deployment: deployment to run.
         :param bundle: first configuration bundle.
         :param directory: directory for configuration files and logs.
-        :param log_progress: callback that receives progress messages.
         :param options: leases and TLS.
         """
         self.deployment = deployment
@@ -195,10 +192,7 @@
         return await self._poll(self.unready, _READY_TIMEOUT_S)
 
     async def start_daemon(self, daemon_id: str) -> None:
-        """Start or restart a daemon.
-
-        :param daemon_id: id of the daemon.
-        """
+        """Start or restart a daemon."""
         settings = self.files.settings_by_daemon[daemon_id]
         await self.processes.start(
             daemon_id, _DAEMON_MODULE, '--settings', str(settings)
--- a/waxwingford_standins/night.py
+++ b/waxwingford_standins/night.py
@@ -25,7 +25,6 @@
 class SubmittedJob(NamedTuple):
     """A job and the response to its submission.
 
-    :ivar job_id: id of the job.
     :ivar plan: plan that the job was created from.
     :ivar status: HTTP status of the last response; 0 if there was none.
     :ivar reply: body of the last response.
--- a/waxwingford_standins/operator.py
+++ b/waxwingford_standins/operator.py
@@ -37,8 +37,6 @@
 
         :param member: member whose key signs the request.
         :param daemon: daemon to try first.
-        :param path: path of the request.
-        :param body: body of the request.
         :returns: status and text of the last response; status 0 if there was
             none.
         """
@@ -64,9 +62,6 @@
         """Send a signed request once.
 
         :param member: member whose key signs the request.
-        :param daemon: daemon to send the request to.
-        :param path: path of the request.
-        :param body: body of the request.
         :returns: status and text of the response; status 0 and the error if
             there was none.
         """
--- a/waxwingford_standins/platform_list.py
+++ b/waxwingford_standins/platform_list.py
@@ -58,7 +58,6 @@
         """Read the list as it was ``lag_ms`` ago.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: the list, or that it is unavailable.
         """
         if self.faults.outage:
             return VmListUnavailable('list is out of service')
--- a/waxwingford_standins/platform_log.py
+++ b/waxwingford_standins/platform_log.py
@@ -96,7 +96,6 @@
     ) -> None:
         """Create a log without streams.
 
-        :param limits: rate limit and retention.
         :param seed: seed of the choice of lost acknowledgements.
         """
         self.faults = LogFaults()
@@ -190,7 +189,6 @@
 
     :param first: offset of the first payload.
     :param payloads: payloads in offset order.
-    :returns: log entries.
     """
     return [
         LogEntry(offset, payload)
@@ -201,7 +199,6 @@
 def _drop_oldest(stored: _Stream, count: int) -> None:
     """Drop the oldest entries of a stream.
 
-    :param stored: stream to shorten.
     :param count: number of entries; values below 1 have no effect.
     """
     dropped = min(max(count, 0), len(stored.payloads))
--- a/waxwingford_standins/platform_main.py
+++ b/waxwingford_standins/platform_main.py
@@ -62,12 +62,6 @@
     """
 
     def __init__(self, log: LogCore, vms: VmListCore, clock: Clock) -> None:
-        """Create the handlers.
-
-        :param log: log to serve.
-        :param vms: VM list to serve.
-        :param clock: monotonic clock.
-        """
         self.counts = PlatformCounts()
         self._log = log
         self._vms = vms
@@ -242,11 +236,7 @@
 
 
 def _drop_response(request: web.Request) -> web.Response:
-    """Abort the connection of a request, so that its response is lost.
-
-    :param request: request whose connection is aborted.
-    :returns: response that is never delivered.
-    """
+    """Abort the connection of a request, so that its response is lost."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
--- a/waxwingford_standins/processes.py
+++ b/waxwingford_standins/processes.py
@@ -63,17 +63,12 @@
     def output(self, name: str) -> str:
         """Read the output of a process.
 
-        :param name: name of the process.
         :returns: output written so far.
         """
         return (self._logs / f'{name}.log').read_text()
 
     def send(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a process if it is running.
-
-        :param name: name of the process.
-        :param number: signal to send.
-        """
+        """Send a signal to a process if it is running."""
         process = self.process_by_name[name]
         if process.returncode is None:
             process.send_signal(number)
@@ -114,7 +109,6 @@
     ) -> list[str]:
         """Wait for processes to exit, up to a time limit.
 
-        :param names: names of the processes.
         :param wait_s: time limit, in seconds.
         :returns: names of the processes that are still running.
         """
--- a/waxwingford_standins/relay_main.py
+++ b/waxwingford_standins/relay_main.py
@@ -66,17 +66,13 @@
     """Relay for all links, with the current partition."""
 
     def __init__(self) -> None:
-        """Create a relay without a partition."""
         self._isolated: frozenset[str] = frozenset()
         self._cut: frozenset[tuple[str, str]] = frozenset()
         self._changed = asyncio.Event()
         self._connections: set[asyncio.Task[None]] = set()
 
     def admin_application(self) -> web.Application:
-        """Create the application of the admin port.
-
-        :returns: web application.
-        """
+        """Create the application of the admin port."""
         app = web.Application()
         app.add_routes((web.post('/fault', self.set_fault),))
         return app
@@ -100,7 +96,6 @@
     async def open(self, link: Link) -> asyncio.Server:
         """Start listening for a link.
 
-        :param link: link to relay.
         :returns: server that accepts the connections.
         """
         return await asyncio.start_server(
@@ -142,7 +137,6 @@
     ) -> None:
         """Relay data until either side closes its connection.
 
-        :param link: link of the connection.
         :param source_streams: reader and writer of the source.
         :param target_streams: reader and writer of the destination.
         """
--- a/waxwingford_standins/report.py
+++ b/waxwingford_standins/report.py
@@ -90,11 +90,8 @@
     :param deployment: name of the deployment.
     :param seconds: duration of the load, in seconds.
     :param callers: load generator with the completed calls.
-    :param servers: audits of all servers.
-    :param submitted: submitted jobs.
     :param trackers: replayed streams of all failure domains.
     :param platform: counters of the platform.
-    :returns: report of the run.
     """
     in_log = frozenset().union(*(tracker.accepted for tracker in trackers))
     finished = list(_finished_jobs(trackers))
@@ -124,11 +121,7 @@
 
 
 def report_text(report: RunReport) -> str:
-    """Format a report as text.
-
-    :param report: report to format.
-    :returns: text of the report.
-    """
+    """Format a report as text."""
     return '\n'.join((*_report_lines(report), ''))
 
 
--- a/waxwingford_standins/run_certificates.py
+++ b/waxwingford_standins/run_certificates.py
@@ -21,7 +21,6 @@
     also covers the certificates that operators create.
 
     :param directory: directory of the authority; created if missing.
-    :param daemon_ids: ids of the daemons.
     :returns: TLS settings by daemon, with paths of the files.
     :raises RuntimeError: if a certificate of a daemon exists already.
     """
--- a/waxwingford_standins/server_attempts.py
+++ b/waxwingford_standins/server_attempts.py
@@ -53,7 +53,6 @@
     ) -> None:
         """Renew task leases, ignoring unknown attempts.
 
-        :param keys: keys of the attempts.
         :param lease_ms: duration of the new leases, in milliseconds.
         :param now_ms: monotonic time, in milliseconds.
         """
@@ -103,10 +102,7 @@
         return ''
 
     def running(self) -> list[ServerAttempt]:
-        """List running attempts.
-
-        :returns: running attempts.
-        """
+        """List running attempts."""
         return [
             attempt
             for attempt in self._attempt_by_key.values()
@@ -126,10 +122,7 @@
         ]
 
     def reports(self) -> tuple[AttemptReport, ...]:
-        """Report every attempt that is not forgotten.
-
-        :returns: reports of the attempts.
-        """
+        """Report every attempt that is not forgotten."""
         return tuple(
             attempt.report() for attempt in self._attempt_by_key.values()
         )
@@ -137,7 +130,6 @@
     def runs(self, boot_id: str) -> list[AttemptRun]:
         """List all attempts, across restarts, for the audit.
 
-        :param boot_id: id of the current boot.
         :returns: attempts of all boots.
         """
         return [
--- a/waxwingford_standins/server_changes.py
+++ b/waxwingford_standins/server_changes.py
@@ -12,7 +12,6 @@
     """
 
     def __init__(self) -> None:
-        """Create a tracker without changes."""
         self.version = 0
         self._version_by_key: dict[AttemptKey, int] = {}
         self._first_version_by_key: dict[AttemptKey, int] = {}
@@ -44,7 +43,6 @@
 
         :param reports: reports of all attempts, as last recorded.
         :param version: version to compare with.
-        :returns: the changed reports.
         """
         return tuple(
             report
--- a/waxwingford_standins/server_lease.py
+++ b/waxwingford_standins/server_lease.py
@@ -21,7 +21,6 @@
     def grant(self, request: ControlRequest, now_ms: int) -> bool:
         """Acquire or renew the lease for a request.
 
-        :param request: control request.
         :param now_ms: monotonic time, in milliseconds.
         :returns: whether the lease was granted; if not, it is unchanged.
         """
--- a/waxwingford_standins/server_service.py
+++ b/waxwingford_standins/server_service.py
@@ -23,7 +23,6 @@
 class ServiceModel(NamedTuple):
     """Parameters of the latency model.
 
-    :ivar name: name of the service.
     :ivar median_ms: median service time without interference, in
         milliseconds.
     :ivar sigma: standard deviation of the logarithm of the service time.
@@ -86,7 +85,6 @@
     def __init__(self, model: ServiceModel, slots: int, seed: int) -> None:
         """Create an idle service.
 
-        :param model: latency model.
         :param slots: maximum number of concurrent requests.
         :param seed: seed of the latencies.
         """
@@ -116,7 +114,6 @@
     ) -> CallStarted | CallRefused:
         """Start a request if a slot is free.
 
-        :param call: service request.
         :param kinds: kind and throttle percentage of each colocated batch
             task.
         :param now_ms: monotonic time, in milliseconds.
@@ -172,8 +169,6 @@
     def answer(self, call: ServiceCall, server_id: str) -> bytes:
         """Build the response body of a request.
 
-        :param call: service request.
-        :param server_id: id of the server.
         :returns: JSON body that repeats the token of the request.
         """
         echo = decode_echo(call.body)
@@ -206,7 +201,6 @@
 def decode_echo(body: bytes) -> ServiceEcho:
     """Decode a request body of the load generator.
 
-    :param body: request body.
     :returns: decoded body; an empty one if the body has another format.
     """
     try:
--- a/waxwingford_standins/server_tasks.py
+++ b/waxwingford_standins/server_tasks.py
@@ -36,9 +36,6 @@
 class AttemptRun(NamedTuple):
     """Audit record of an attempt.
 
-    :ivar task_id: id of the task.
-    :ivar attempt: attempt number.
-    :ivar server_id: id of the server.
     :ivar boot_id: id of the boot of the server.
     :ivar started_ms: monotonic start time, in milliseconds.
     :ivar ended_ms: monotonic end time, in milliseconds; 0 while running.
@@ -72,7 +69,6 @@
     :ivar progress_ms: progress including earlier attempts, in milliseconds of
         unthrottled run time.
     :ivar percent: CPU limit, as a percentage of the requested CPU.
-    :ivar phase: current phase.
     :ivar detail: result, checkpoint reference or reason.
     :ivar ended_ms: monotonic end time, in milliseconds; 0 while running.
     """
@@ -153,10 +149,7 @@
         self.end(AttemptPhase.checkpointed, reference, now_ms)
 
     def report(self) -> AttemptReport:
-        """Build the report for the lease holder.
-
-        :returns: report of the attempt.
-        """
+        """Build the report for the lease holder."""
         until_ms = self.ended_ms or self.updated_ms
         return AttemptReport(
             self.key,
@@ -167,12 +160,7 @@
         )
 
     def run(self, server_id: str, boot_id: str) -> AttemptRun:
-        """Build the audit record.
-
-        :param server_id: id of the server.
-        :param boot_id: id of the boot of the server.
-        :returns: audit record of the attempt.
-        """
+        """Build the audit record."""
         return AttemptRun(
             self.key.task_id,
             self.key.attempt,
--- a/waxwingford_standins/switches.py
+++ b/waxwingford_standins/switches.py
@@ -26,7 +26,6 @@
     ) -> None:
         """Create a client without connecting.
 
-        :param layout: addresses of the run.
         :param authorities: authorities of the daemons' certificates; empty
             without TLS.
         """
--- a/waxwingford_standins/trial.py
+++ b/waxwingford_standins/trial.py
@@ -54,7 +54,6 @@
         """Wait for the jobs, up to a time limit, and audit the run.
 
         :param seconds: duration of the load, in seconds, for the report.
-        :returns: report of the run.
         """
         trackers = await _wait_for_jobs(self._run)
         switches = self._run.switches
@@ -72,7 +71,6 @@
 async def read_servers(local_run: LocalRun) -> list[ServerAudit]:
     """Read the audits of all backend servers.
 
-    :param local_run: run of the servers.
     :returns: one audit per server.
     """
     return _servers_decoder.decode(await local_run.switches.server_audit())
@@ -84,7 +82,6 @@
     """Write the report and plot the timeline of the running daemons.
 
     :param local_run: run whose daemons are queried for their timelines.
-    :param report: report to write.
     :param directory: target directory.
     :returns: text of the report.
     """
@@ -102,7 +99,6 @@
 async def _wait_for_jobs(local_run: LocalRun) -> list[DomainTracker]:
     """Wait until the log records no unfinished job, up to a time limit.
 
-    :param local_run: run whose platform holds the log.
     :returns: replayed streams of all failure domains.
     """
     loop = asyncio.get_running_loop()
