--- a/waxwingford_standins/audit.py
+++ b/waxwingford_standins/audit.py
@@ -29,9 +29,7 @@
 class FinishedJob(NamedTuple):
     """Task counts of a finished job, as recorded in the log.
 
-    :ivar done: number of completed tasks.
     :ivar failed: number of tasks that failed permanently.
-    :ivar cancelled: number of cancelled tasks.
     """
 
     job_id: str
@@ -46,7 +44,6 @@
     """Check that responses agree with what the servers executed.
 
     :param calls: completed calls, as observed by their callers.
-    :returns: violated invariants.
     """
     runs_by_key: collections.Counter[str] = collections.Counter()
     runs_by_token: collections.Counter[str] = collections.Counter()
@@ -65,10 +62,7 @@
 
 
 def audit_attempts(servers: Sequence[ServerAudit]) -> list[Finding]:
-    """Check that the attempts of a task neither overlap nor lose progress.
-
-    :returns: violated invariants.
-    """
+    """Check that the attempts of a task neither overlap nor lose progress."""
     runs_by_task: dict[str, list[AttemptRun]] = collections.defaultdict(list)
     for run in itertools.chain.from_iterable(
         server.attempts for server in servers
@@ -83,10 +77,7 @@
 
 
 def audit_leaving(servers: Iterable[ServerAudit]) -> list[Finding]:
-    """Check that leaving servers received no new work.
-
-    :returns: violated invariants.
-    """
+    """Check that leaving servers received no new work."""
     return [
         Finding(
             'work_on_leaving_server',
@@ -109,7 +100,6 @@
     :param acknowledged: ids of jobs whose submission was acknowledged.
     :param in_log: ids of jobs recorded as accepted in the log.
     :param finished: finished jobs recorded in the log.
-    :returns: violated invariants.
     """
     lost = [
         Finding('job_lost', f'{job_id} was accepted but is not in the log')
@@ -151,7 +141,6 @@
     """Check all attempts of one task.
 
     :param runs: its attempts, ordered by start time.
-    :yields: violated invariants.
     """
     yield from _find_duplicates(task_id, runs)
     checkpoint = ''
--- a/waxwingford_standins/backend_host.py
+++ b/waxwingford_standins/backend_host.py
@@ -148,10 +148,7 @@
         return await self._respond(request, call)
 
     async def apply(self, fault: ServerFault) -> None:
-        """Apply persistent and one-time faults.
-
-        :param fault: faults to inject.
-        """
+        """Apply persistent and one-time faults."""
         now_ms = self._clock.monotonic_ms()
         if fault.frozen is not None:
             self._set_frozen(frozen=fault.frozen)
--- a/waxwingford_standins/backend_main.py
+++ b/waxwingford_standins/backend_main.py
@@ -29,7 +29,6 @@
     """Configuration of one simulated server.
 
     :ivar vm: description of the VM, including the port to listen on.
-    :ivar model: latency model of the service.
     :ivar seed: seed of the latencies.
     """
 
@@ -44,7 +43,6 @@
     :ivar admin_port: TCP port for faults and audits.
     :ivar directory_url_by_domain: base URL to which the servers of each
         failure domain send heartbeats.
-    :ivar servers: servers to simulate.
     """
 
     admin_port: int
--- a/waxwingford_standins/backend_server.py
+++ b/waxwingford_standins/backend_server.py
@@ -49,7 +49,6 @@
 
     :ivar runs_by_key: number of executions by idempotency key.
     :ivar runs_by_token: number of executions by request token.
-    :ivar attempts: all batch attempts.
     :ivar most_at_once: largest number of concurrent requests.
     :ivar refused: requests refused because all slots were busy.
     :ivar newest_work_after_leaving_ms: time from entering the leaving state
@@ -71,8 +70,6 @@
 
     :ivar vm: description and current state of the VM.
     :ivar boot_id: unique id of the current boot.
-    :ivar attempts: batch attempts on this server.
-    :ivar usage: sampling parameters of resource usage.
     """
 
     def __init__(
@@ -217,7 +214,6 @@
         """Report what the server executed, across restarts.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: execution counts and attempts.
         """
         self.advance(now_ms)
         return ServerAudit(
--- a/waxwingford_standins/configs.py
+++ b/waxwingford_standins/configs.py
@@ -61,8 +61,6 @@
 class RunFiles(NamedTuple):
     """Paths of the configuration files of a run.
 
-    :ivar backends: configuration of the backend server process.
-    :ivar relay: configuration of the relay process.
     :ivar settings_by_daemon: settings file by daemon id.
     :ivar authorities: certificates of all authorities; empty without TLS.
     """
@@ -74,10 +72,7 @@
 
 
 def generate_keys(members: Iterable[str]) -> dict[str, Ed25519PrivateKey]:
-    """Generate a signing key for each member.
-
-    :param members: names of the members.
-    """
+    """Generate a signing key for each member."""
     return {member: Ed25519PrivateKey.generate() for member in members}
 
 
@@ -91,10 +86,7 @@
     """Write all configuration files.
 
     :param directory: target directory; created if missing.
-    :param deployment: deployment to configure.
-    :param layout: addresses of the run.
     :param keys: private keys by member; only the public keys are written.
-    :returns: paths of the files.
     """
     directory.mkdir(parents=True, exist_ok=True)
     backends = directory / 'backends.json'
@@ -135,7 +127,6 @@
     """Format a document of tables, arrays of tables and scalars as TOML.
 
     :param document: mapping with at most two levels of nested tables.
-    :returns: TOML text.
     """
     return '\n'.join(_toml_lines(document, ''))
 
--- a/waxwingford_standins/deployment.py
+++ b/waxwingford_standins/deployment.py
@@ -21,7 +21,6 @@
 class DomainPlan(_StrictModel):
     """Daemons and servers of a failure domain.
 
-    :ivar name: name of the failure domain.
     :ivar daemons: ids of its daemons.
     :ivar racks: number of servers in each rack.
     """
@@ -48,10 +47,7 @@
     connections: Annotated[int, Field(ge=1, le=65_536)]
 
     def resources(self) -> Resources:
-        """Convert the capacity to a resource vector.
-
-        :returns: resources of one server.
-        """
+        """Convert the capacity to a resource vector."""
         return Resources(
             self.processors_milli, self.memory_mb, self.accelerators
         )
@@ -164,12 +160,6 @@
 
     :ivar region: region of all failure domains.
     :ivar seed: seed of the random choices of stand-ins and load.
-    :ivar failure_domains: failure domains with their daemons and racks.
-    :ivar servers: capacity of every backend server.
-    :ivar service: the latency-critical service.
-    :ivar network: network latencies.
-    :ivar callers: request load.
-    :ivar jobs: batch load.
     """
 
     name: Name
--- a/waxwingford_standins/latencies.py
+++ b/waxwingford_standins/latencies.py
@@ -17,7 +17,6 @@
     """Latency percentiles of one caller and outcome.
 
     :ivar caller: name of the caller plan.
-    :ivar outcome: outcome of the calls.
     :ivar count: number of calls.
     :ivar p50_ms: median, in milliseconds.
     :ivar p99_ms: 99th percentile, in milliseconds.
@@ -35,7 +34,6 @@
 def latency_rows(calls: Iterable[Call]) -> list[LatencyRow]:
     """Compute latency percentiles by caller and outcome.
 
-    :param calls: completed calls.
     :returns: rows sorted by caller and outcome.
     """
     histograms: dict[tuple[str, str], HdrHistogram] = {}
--- a/waxwingford_standins/layout.py
+++ b/waxwingford_standins/layout.py
@@ -34,10 +34,7 @@
 
     @property
     def url(self) -> str:
-        """Base URL for callers.
-
-        :returns: URL of the HTTP port.
-        """
+        """Base URL for callers."""
         return f'{self.scheme}://{HOST}:{self.http_port}'
 
 
@@ -46,9 +43,6 @@
 
     :ivar platform_port: port of the platform's log and VM list.
     :ivar backend_admin_port: admin port of the backend server process.
-    :ivar vms: all backend servers.
-    :ivar daemons: addresses of all daemons.
-    :ivar links: links of the relay.
     """
 
     platform_port: int
@@ -90,7 +84,6 @@
     """Allocate the ports of a run.
 
     :param scheme: URL scheme of the daemons.
-    :returns: addresses of all processes.
     """
     ports = free_ports()
     platform_port, backend_port, relay_port = itertools.islice(ports, 3)
--- a/waxwingford_standins/load.py
+++ b/waxwingford_standins/load.py
@@ -100,7 +100,6 @@
 class Callers:
     """Load generator for all callers of a deployment.
 
-    :ivar calls: completed calls.
     :ivar reasons: number of unanswered attempts by outcome and reason.
     """
 
--- a/waxwingford_standins/local_run.py
+++ b/waxwingford_standins/local_run.py
@@ -47,10 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartFailed:
-    """A process failed to start; the caller must stop the run.
-
-    :ivar reason: human-readable reason.
-    """
+    """A process failed to start; the caller must stop the run."""
 
     reason: str
 
@@ -58,10 +55,7 @@
 class LocalRun:
     """Processes of a deployment and their admin interfaces.
 
-    :ivar layout: addresses of the processes.
     :ivar key_by_member: private keys of the members.
-    :ivar processes: started processes.
-    :ivar files: configuration files.
     :ivar switches: client of the stand-ins' admin ports.
     """
 
--- a/waxwingford_standins/platform_log.py
+++ b/waxwingford_standins/platform_log.py
@@ -107,7 +107,6 @@
     def append(self, stream: str, payload: bytes, now_ms: int) -> AppendOutcome:
         """Append an entry, subject to the faults.
 
-        :param stream: name of the stream.
         :param payload: payload of at most 1 MiB.
         :param now_ms: monotonic time, in milliseconds.
         :returns: outcome as observed by the client.
@@ -135,7 +134,6 @@
     ) -> ReadOutcome:
         """Read entries in offset order, without waiting.
 
-        :param stream: name of the stream.
         :param from_offset: first offset to read.
         :param limit: maximum number of entries.
         :param now_ms: monotonic time, in milliseconds.
@@ -157,7 +155,6 @@
     def truncate(self, stream: str, before_offset: int) -> None:
         """Drop old entries before their retention period ends.
 
-        :param stream: name of the stream.
         :param before_offset: first offset to retain.
         """
         stored = self._stream_by_name.get(stream)
@@ -226,7 +223,6 @@
     async def append(self, stream: str, payload: bytes) -> AppendOutcome:
         """Append an entry.
 
-        :param stream: name of the stream.
         :param payload: payload of at most 1 MiB.
         :returns: outcome as observed by the client.
         """
@@ -241,7 +237,6 @@
     ) -> ReadOutcome:
         """Read entries without waiting.
 
-        :param stream: name of the stream.
         :param from_offset: first offset to read.
         :param limit: maximum number of entries.
         :param wait_ms: ignored, since virtual time does not advance during a
--- a/waxwingford_standins/platform_main.py
+++ b/waxwingford_standins/platform_main.py
@@ -69,10 +69,7 @@
         self._data_available = asyncio.Event()
 
     def application(self) -> web.Application:
-        """Create the web application.
-
-        :returns: application with all routes.
-        """
+        """Create the web application."""
         app = web.Application(client_max_size=_MAX_BODY_BYTES)
         app.add_routes(
             (
--- a/waxwingford_standins/processes.py
+++ b/waxwingford_standins/processes.py
@@ -33,7 +33,6 @@
 
         :param name: name of the process, unique in the run.
         :param module: dotted name of the module.
-        :param options: command-line arguments.
         """
         with (self._logs / f'{name}.log').open('ab') as log:
             # A new session keeps Ctrl-C in a terminal from reaching the
--- a/waxwingford_standins/relay_main.py
+++ b/waxwingford_standins/relay_main.py
@@ -43,7 +43,6 @@
     """Configuration file of the process, in JSON.
 
     :ivar admin_port: TCP port for faults.
-    :ivar links: links to open.
     """
 
     admin_port: int
@@ -94,10 +93,7 @@
         return web.Response()
 
     async def open(self, link: Link) -> asyncio.Server:
-        """Start listening for a link.
-
-        :returns: server that accepts the connections.
-        """
+        """Start listening for a link."""
         return await asyncio.start_server(
             functools.partial(self._accept, link), _HOST, link.listen_port
         )
--- a/waxwingford_standins/report.py
+++ b/waxwingford_standins/report.py
@@ -55,13 +55,10 @@
 
     :ivar deployment: name of the deployment.
     :ivar seconds: duration of the load, in seconds.
-    :ivar latencies: request latencies by caller and outcome.
     :ivar attempts_by_outcome: number of request attempts by outcome.
     :ivar reasons: number of unanswered attempts by outcome and reason.
     :ivar server_refusals: number of requests refused by servers because all
         slots were busy.
-    :ivar batch: batch work.
-    :ivar findings: violated invariants.
     :ivar platform: counters of the platform.
     """
 
--- a/waxwingford_standins/server_attempts.py
+++ b/waxwingford_standins/server_attempts.py
@@ -88,7 +88,6 @@
     def start(self, start: StartTask, now_ms: int) -> str:
         """Start an attempt.
 
-        :param start: start command.
         :param now_ms: monotonic time, in milliseconds.
         :returns: reason of the refusal; empty on success.
         """
@@ -128,10 +127,7 @@
         )
 
     def runs(self, boot_id: str) -> list[AttemptRun]:
-        """List all attempts, across restarts, for the audit.
-
-        :returns: attempts of all boots.
-        """
+        """List all attempts, across restarts, for the audit."""
         return [
             *self._history,
             *(
--- a/waxwingford_standins/server_service.py
+++ b/waxwingford_standins/server_service.py
@@ -50,10 +50,7 @@
 
 
 class CallRefused(NamedTuple):
-    """The request was not executed.
-
-    :ivar reason: human-readable reason.
-    """
+    """The request was not executed."""
 
     reason: str
 
--- a/waxwingford_standins/server_tasks.py
+++ b/waxwingford_standins/server_tasks.py
@@ -59,8 +59,6 @@
 class ServerAttempt:
     """Running or ended attempt on a server.
 
-    :ivar start: command that started the attempt.
-    :ivar work: decoded payload of the task.
     :ivar started_ms: monotonic start time, in milliseconds.
     :ivar updated_ms: monotonic time up to which progress is counted, in
         milliseconds.
@@ -183,9 +181,7 @@
 def create_attempt(start: StartTask, now_ms: int) -> ServerAttempt:
     """Create an attempt, resuming from its checkpoint if there is one.
 
-    :param start: start command.
     :param now_ms: monotonic time, in milliseconds.
-    :returns: running attempt.
     """
     return ServerAttempt(
         start,
--- a/waxwingford_standins/serving.py
+++ b/waxwingford_standins/serving.py
@@ -17,7 +17,6 @@
 ) -> web.AppRunner:
     """Start serving a web application.
 
-    :param app: application to serve.
     :param host: IP address to listen on.
     :param port: TCP port to listen on.
     :returns: runner, whose ``cleanup`` stops serving.
--- a/waxwingford_standins/switches.py
+++ b/waxwingford_standins/switches.py
@@ -37,10 +37,7 @@
 
     @property
     def client(self) -> aiohttp.ClientSession:
-        """HTTP session, opened on first use.
-
-        :returns: open session.
-        """
+        """HTTP session, opened on first use."""
         if self._client is None:
             self._client = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(ssl=self.tls),
--- a/waxwingford_standins/trial.py
+++ b/waxwingford_standins/trial.py
@@ -69,10 +69,7 @@
 
 
 async def read_servers(local_run: LocalRun) -> list[ServerAudit]:
-    """Read the audits of all backend servers.
-
-    :returns: one audit per server.
-    """
+    """Read the audits of all backend servers."""
     return _servers_decoder.decode(await local_run.switches.server_audit())
 
 
@@ -82,7 +79,6 @@
     """Write the report and plot the timeline of the running daemons.
 
     :param local_run: run whose daemons are queried for their timelines.
-    :param directory: target directory.
     :returns: text of the report.
     """
     text = report_text(report)
