--- a/waxwingford_standins/tests/audit_steps.py
+++ b/waxwingford_standins/tests/audit_steps.py
@@ -26,7 +26,6 @@
 
 
 def add_server(context, server_id='s', runs=None, attempts=(), leaving_ms=-1):
-    """Add the audit of a server."""
     audit = ServerAudit(
         server_id, runs or {}, runs or {}, list(attempts), 1, 0, leaving_ms
     )
--- a/waxwingford_standins/tests/backend_server_steps.py
+++ b/waxwingford_standins/tests/backend_server_steps.py
@@ -41,7 +41,6 @@
 
 
 def start_command(task_id, run_ms, attempt=1, milli=4000, **fields):
-    """Build a start command."""
     payload = msgspec.json.encode(Work(run_ms)).decode()
     fields = {'resume_from': '', 'lease_ms': LEASE_MS} | fields
     return StartTask(
--- a/waxwingford_standins/tests/platform_steps.py
+++ b/waxwingford_standins/tests/platform_steps.py
@@ -138,7 +138,6 @@
 
 
 def listed_vms(context):
-    """Return the VM list as text."""
     listed = context.vms.read(context.clock.monotonic_ms()).vms
     return ', '.join(f'{vm.server_id} {vm.state}' for vm in listed)
 
--- a/waxwingford_standins/tests/tls_steps.py
+++ b/waxwingford_standins/tests/tls_steps.py
@@ -118,7 +118,6 @@
 
 
 def run_sync(coroutine):
-    """Run a coroutine to completion."""
     return shared['runner'].run(coroutine)
 
 
