--- a/waxwingford_standins/audit.py
+++ b/waxwingford_standins/audit.py
@@ -29,10 +29,7 @@
 class FinishedJob(NamedTuple):
     """Task counts of a finished job, as recorded in the log.
 
-    :ivar job_id: id of the job.
-    :ivar done: number of completed tasks.
     :ivar failed: number of tasks that failed permanently.
-    :ivar cancelled: number of cancelled tasks.
     """
 
     job_id: str
@@ -47,8 +44,6 @@
     """Check that responses agree with what the servers executed.
 
     :param calls: completed calls, as observed by their callers.
-    :param servers: audits of all servers.
-    :returns: violated invariants.
     """
     runs_by_key: collections.Counter[str] = collections.Counter()
     runs_by_token: collections.Counter[str] = collections.Counter()
@@ -67,11 +62,7 @@
 
 
 def audit_attempts(servers: Sequence[ServerAudit]) -> list[Finding]:
-    """Check that the attempts of a task neither overlap nor lose progress.
-
-    :param servers: audits of all servers.
-    :returns: violated invariants.
-    """
+    """Check that the attempts of a task neither overlap nor lose progress."""
     runs_by_task: dict[str, list[AttemptRun]] = collections.defaultdict(list)
     for run in itertools.chain.from_iterable(
         server.attempts for server in servers
@@ -86,11 +77,7 @@
 
 
 def audit_leaving(servers: Iterable[ServerAudit]) -> list[Finding]:
-    """Check that leaving servers received no new work.
-
-    :param servers: audits of all servers.
-    :returns: violated invariants.
-    """
+    """Check that leaving servers received no new work."""
     return [
         Finding(
             'work_on_leaving_server',
@@ -113,8 +100,6 @@
     :param acknowledged: ids of jobs whose submission was acknowledged.
     :param in_log: ids of jobs recorded as accepted in the log.
     :param finished: finished jobs recorded in the log.
-    :param servers: audits of all servers.
-    :returns: violated invariants.
     """
     lost = [
         Finding('job_lost', f'{job_id} was accepted but is not in the log')
@@ -155,9 +140,7 @@
 def _audit_task(task_id: str, runs: list[AttemptRun]) -> Iterator[Finding]:
     """Check all attempts of one task.
 
-    :param task_id: id of the task.
     :param runs: its attempts, ordered by start time.
-    :yields: violated invariants.
     """
     yield from _find_duplicates(task_id, runs)
     checkpoint = ''
--- a/waxwingford_standins/backend_main.py
+++ b/waxwingford_standins/backend_main.py
@@ -29,7 +29,6 @@
     """Configuration of one simulated server.
 
     :ivar vm: description of the VM, including the port to listen on.
-    :ivar model: latency model of the service.
     :ivar seed: seed of the latencies.
     """
 
@@ -44,7 +43,6 @@
     :ivar admin_port: TCP port for faults and audits.
     :ivar directory_url_by_domain: base URL to which the servers of each
         failure domain send heartbeats.
-    :ivar servers: servers to simulate.
     """
 
     admin_port: int
@@ -56,20 +54,12 @@
     """Simulated servers of the process and their admin interface."""
 
     def __init__(self, hosts: list[ServerHost], clock: Clock) -> None:
-        """Create the process without servers listening.
-
-        :param hosts: HTTP servers, one per backend server.
-        :param clock: monotonic clock.
-        """
         self._hosts = hosts
         self._clock = clock
         self._fault_tasks: set[asyncio.Task[None]] = set()
 
     def admin_application(self) -> web.Application:
-        """Create the application of the admin port.
-
-        :returns: web application.
-        """
+        """Create the application of the admin port."""
         app = web.Application()
         app.add_routes(
             (
--- a/waxwingford_standins/backend_server.py
+++ b/waxwingford_standins/backend_server.py
@@ -47,10 +47,8 @@
 class ServerAudit(NamedTuple):
     """Record of what a server executed, across restarts.
 
-    :ivar server_id: id of the server.
     :ivar runs_by_key: number of executions by idempotency key.
     :ivar runs_by_token: number of executions by request token.
-    :ivar attempts: all batch attempts.
     :ivar most_at_once: largest number of concurrent requests.
     :ivar refused: requests refused because all slots were busy.
     :ivar newest_work_after_leaving_ms: time from entering the leaving state
@@ -72,8 +70,6 @@
 
     :ivar vm: description and current state of the VM.
     :ivar boot_id: unique id of the current boot.
-    :ivar attempts: batch attempts on this server.
-    :ivar usage: sampling parameters of resource usage.
     """
 
     def __init__(
@@ -85,8 +81,6 @@
     ) -> None:
         """Create a freshly booted server.
 
-        :param vm: description of the VM.
-        :param model: latency model of the service.
         :param seed: seed of the latencies.
         :param first_epoch: initial lease epoch; must exceed every epoch
             granted by an earlier process for this VM.
@@ -112,7 +106,6 @@
     ) -> ControlGranted | ControlDenied:
         """Execute all commands of a control request, or none of them.
 
-        :param request: control request.
         :param now_ms: monotonic time, in milliseconds.
         :returns: results of the commands, or the lease that denied them.
         """
@@ -166,7 +159,6 @@
     ) -> CallStarted | CallRefused:
         """Start a service request if a slot is free.
 
-        :param call: service request.
         :param now_ms: monotonic time, in milliseconds.
         :returns: handle and duration, or the reason of the refusal.
         """
@@ -193,11 +185,7 @@
         self._service.end(number, now_ms)
 
     def answer(self, call: ServiceCall) -> bytes:
-        """Build the response body of a service request.
-
-        :param call: service request.
-        :returns: response body.
-        """
+        """Build the response body of a service request."""
         return self._service.answer(call, self.vm.server_id)
 
     def leave(self, now_ms: int) -> None:
@@ -226,7 +214,6 @@
         """Report what the server executed, across restarts.
 
         :param now_ms: monotonic time, in milliseconds.
-        :returns: execution counts and attempts.
         """
         self.advance(now_ms)
         return ServerAudit(
--- a/waxwingford_standins/deployment.py
+++ b/waxwingford_standins/deployment.py
@@ -21,7 +21,6 @@
 class DomainPlan(_StrictModel):
     """Daemons and servers of a failure domain.
 
-    :ivar name: name of the failure domain.
     :ivar daemons: ids of its daemons.
     :ivar racks: number of servers in each rack.
     """
@@ -48,10 +47,7 @@
     connections: Annotated[int, Field(ge=1, le=65_536)]
 
     def resources(self) -> Resources:
-        """Convert the capacity to a resource vector.
-
-        :returns: resources of one server.
-        """
+        """Convert the capacity to a resource vector."""
         return Resources(
             self.processors_milli, self.memory_mb, self.accelerators
         )
@@ -60,7 +56,6 @@
 class ServicePlan(_StrictModel):
     """Latency model of the latency-critical service.
 
-    :ivar name: name of the service.
     :ivar median_ms: median service time without interference, in
         milliseconds.
     :ivar sigma: standard deviation of the logarithm of the service time.
@@ -118,7 +113,6 @@
     :ivar member: member that owns the jobs.
     :ivar team: team of the owner.
     :ivar kind: batch kind.
-    :ivar jobs: number of jobs.
     :ivar tasks: number of tasks per job.
     :ivar processors_milli: requested CPU per task, in thousandths of a core.
     :ivar memory_mb: requested memory per task, in mebibytes.
@@ -164,15 +158,8 @@
 class Deployment(_StrictModel):
     """Daemons, servers and load of a local run.
 
-    :ivar name: name of the deployment.
     :ivar region: region of all failure domains.
     :ivar seed: seed of the random choices of stand-ins and load.
-    :ivar failure_domains: failure domains with their daemons and racks.
-    :ivar servers: capacity of every backend server.
-    :ivar service: the latency-critical service.
-    :ivar network: network latencies.
-    :ivar callers: request load.
-    :ivar jobs: batch load.
     """
 
     name: Name
--- a/waxwingford_standins/layout.py
+++ b/waxwingford_standins/layout.py
@@ -21,8 +21,6 @@
 class DaemonPlace(NamedTuple):
     """Address of a daemon.
 
-    :ivar daemon_id: id of the daemon.
-    :ivar failure_domain: failure domain of the daemon.
     :ivar http_port: port for callers and operators.
     :ivar rpc_port: port for peers.
     :ivar scheme: URL scheme, ``https`` if the daemons have certificates.
@@ -36,10 +34,7 @@
 
     @property
     def url(self) -> str:
-        """Base URL for callers.
-
-        :returns: URL of the HTTP port.
-        """
+        """Base URL for callers."""
         return f'{self.scheme}://{HOST}:{self.http_port}'
 
 
@@ -48,10 +43,6 @@
 
     :ivar platform_port: port of the platform's log and VM list.
     :ivar backend_admin_port: admin port of the backend server process.
-    :ivar relay_admin_port: admin port of the relay.
-    :ivar vms: all backend servers.
-    :ivar daemons: addresses of all daemons.
-    :ivar links: links of the relay.
     """
 
     platform_port: int
@@ -92,9 +83,7 @@
 def allocate_layout(deployment: Deployment, scheme: str = 'http') -> Layout:
     """Allocate the ports of a run.
 
-    :param deployment: deployment to run.
     :param scheme: URL scheme of the daemons.
-    :returns: addresses of all processes.
     """
     ports = free_ports()
     platform_port, backend_port, relay_port = itertools.islice(ports, 3)
--- a/waxwingford_standins/platform_main.py
+++ b/waxwingford_standins/platform_main.py
@@ -62,12 +62,6 @@
     """
 
     def __init__(self, log: LogCore, vms: VmListCore, clock: Clock) -> None:
-        """Create the handlers.
-
-        :param log: log to serve.
-        :param vms: VM list to serve.
-        :param clock: monotonic clock.
-        """
         self.counts = PlatformCounts()
         self._log = log
         self._vms = vms
@@ -75,10 +69,7 @@
         self._data_available = asyncio.Event()
 
     def application(self) -> web.Application:
-        """Create the web application.
-
-        :returns: application with all routes.
-        """
+        """Create the web application."""
         app = web.Application(client_max_size=_MAX_BODY_BYTES)
         app.add_routes(
             (
@@ -242,11 +233,7 @@
 
 
 def _drop_response(request: web.Request) -> web.Response:
-    """Abort the connection of a request, so that its response is lost.
-
-    :param request: request whose connection is aborted.
-    :returns: response that is never delivered.
-    """
+    """Abort the connection of a request, so that its response is lost."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
--- a/waxwingford_standins/relay_main.py
+++ b/waxwingford_standins/relay_main.py
@@ -43,7 +43,6 @@
     """Configuration file of the process, in JSON.
 
     :ivar admin_port: TCP port for faults.
-    :ivar links: links to open.
     """
 
     admin_port: int
@@ -66,17 +65,13 @@
     """Relay for all links, with the current partition."""
 
     def __init__(self) -> None:
-        """Create a relay without a partition."""
         self._isolated: frozenset[str] = frozenset()
         self._cut: frozenset[tuple[str, str]] = frozenset()
         self._changed = asyncio.Event()
         self._connections: set[asyncio.Task[None]] = set()
 
     def admin_application(self) -> web.Application:
-        """Create the application of the admin port.
-
-        :returns: web application.
-        """
+        """Create the application of the admin port."""
         app = web.Application()
         app.add_routes((web.post('/fault', self.set_fault),))
         return app
@@ -98,11 +93,7 @@
         return web.Response()
 
     async def open(self, link: Link) -> asyncio.Server:
-        """Start listening for a link.
-
-        :param link: link to relay.
-        :returns: server that accepts the connections.
-        """
+        """Start listening for a link."""
         return await asyncio.start_server(
             functools.partial(self._accept, link), _HOST, link.listen_port
         )
@@ -142,7 +133,6 @@
     ) -> None:
         """Relay data until either side closes its connection.
 
-        :param link: link of the connection.
         :param source_streams: reader and writer of the source.
         :param target_streams: reader and writer of the destination.
         """
--- a/waxwingford_standins/server_attempts.py
+++ b/waxwingford_standins/server_attempts.py
@@ -53,7 +53,6 @@
     ) -> None:
         """Renew task leases, ignoring unknown attempts.
 
-        :param keys: keys of the attempts.
         :param lease_ms: duration of the new leases, in milliseconds.
         :param now_ms: monotonic time, in milliseconds.
         """
@@ -89,7 +88,6 @@
     def start(self, start: StartTask, now_ms: int) -> str:
         """Start an attempt.
 
-        :param start: start command.
         :param now_ms: monotonic time, in milliseconds.
         :returns: reason of the refusal; empty on success.
         """
@@ -103,10 +101,7 @@
         return ''
 
     def running(self) -> list[ServerAttempt]:
-        """List running attempts.
-
-        :returns: running attempts.
-        """
+        """List running attempts."""
         return [
             attempt
             for attempt in self._attempt_by_key.values()
@@ -126,20 +121,13 @@
         ]
 
     def reports(self) -> tuple[AttemptReport, ...]:
-        """Report every attempt that is not forgotten.
-
-        :returns: reports of the attempts.
-        """
+        """Report every attempt that is not forgotten."""
         return tuple(
             attempt.report() for attempt in self._attempt_by_key.values()
         )
 
     def runs(self, boot_id: str) -> list[AttemptRun]:
-        """List all attempts, across restarts, for the audit.
-
-        :param boot_id: id of the current boot.
-        :returns: attempts of all boots.
-        """
+        """List all attempts, across restarts, for the audit."""
         return [
             *self._history,
             *(
--- a/waxwingford_standins/switches.py
+++ b/waxwingford_standins/switches.py
@@ -26,7 +26,6 @@
     ) -> None:
         """Create a client without connecting.
 
-        :param layout: addresses of the run.
         :param authorities: authorities of the daemons' certificates; empty
             without TLS.
         """
@@ -38,10 +37,7 @@
 
     @property
     def client(self) -> aiohttp.ClientSession:
-        """HTTP session, opened on first use.
-
-        :returns: open session.
-        """
+        """HTTP session, opened on first use."""
         if self._client is None:
             self._client = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(ssl=self.tls),
