--- a/waxwingford/bundles/_canonical.py
+++ b/waxwingford/bundles/_canonical.py
@@ -37,7 +37,7 @@
 
 
 def short_digest(digest: str) -> str:
-    """Shorten a digest for messages.
+    """Shorten the SHA-256 digest of a body for messages.
 
     :returns: its first 12 digits.
     """
--- a/waxwingford/placement/_sizes.py
+++ b/waxwingford/placement/_sizes.py
@@ -107,7 +107,7 @@
     def record_peak_usage(
         self, member: str, kind: str, peak: Resources
     ) -> None:
-        """Learn the usage_quantile of one task.
+        """Record the peak usage of one task.
 
         :param peak: largest usage in each dimension while the task ran.
         """
--- a/waxwingford/platform/_client_api.py
+++ b/waxwingford/platform/_client_api.py
@@ -37,7 +37,7 @@
 
 
 class ClientApi:
-    """Translates between HTTP and the operations of the desk."""
+    """Translates between HTTP and the operations of the shard frontend."""
 
     def __init__(self, frontend: ShardFrontend) -> None:
         self.configuration: Configuration | None = None
--- a/waxwingford/routing/_call_tracker.py
+++ b/waxwingford/routing/_call_tracker.py
@@ -30,7 +30,7 @@
         return self._server_by_call.pop(call_id, None)
 
     def abandon(self, call_id: int, until_ms: int) -> None:
-        """Schedule the end of a call that nobody waits for any more.
+        """Schedule the end of an abandoned call.
 
         :param until_ms: monotonic time at which the server has certainly ended
             the call, in milliseconds.
--- a/waxwingford/scheduling/tests/succession.feature
+++ b/waxwingford/scheduling/tests/succession.feature
@@ -97,7 +97,7 @@
     Then no stop is ordered
 
   Scenario: the pending time of a long-running task survives a change of owner
-    # Guards against a wait that starts anew with each owner.
+    # Guards against a wait that restarts with each owner.
     Given an engine with 1 servers of 8 cores
     And a running long-running job of 1 task
     When its run is stopped while no server accepts starts
--- a/waxwingford/settings/_model.py
+++ b/waxwingford/settings/_model.py
@@ -130,7 +130,7 @@
         progress.
     :ivar outbox_records: largest number of records waiting to be appended to
         the log.
-    :ivar time_line_events: number of events that the time line retains.
+    :ivar time_line_events: number of events that the timeline retains.
     :ivar drain_ms: time limit of each step of a drain.
     :ivar default_deadline_ms: deadline of a request that names none.
     :ivar key_memory_ms: how long an idempotency key is kept after its request
--- a/waxwingford/shard/_member.py
+++ b/waxwingford/shard/_member.py
@@ -209,7 +209,7 @@
         self.owner = owner
         outcome = await owner.claim(predecessor, epoch)
         # The store may apply a failed claim late. The next claim uses a higher
-        # epoch instead of waiting for heartbeats that nobody would send.
+        # epoch instead of waiting for heartbeats that no owner sends.
         self._claimed_epoch = max(self._claimed_epoch, owner.epoch)
         match outcome:
             case Claimed():
